--- a/bench/src/main/java/org/brasspier/bench/policy/GatedServer.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/GatedServer.java
@@ -67,16 +67,16 @@
 	}
 
 	long usualRunNanos(Attempt attempt) {
-		return this.admission.usualRunNanos(attempt.call().requestClass());
+		return this.admission.meanRunNanos(attempt.call().requestClass());
 	}
 
 	void callerGone(Attempt attempt) {
-		if (this.admission.cancelled(attempt.id())) {
+		if (this.admission.cancelWaiting(attempt.id())) {
 			this.held.remove(attempt.id());
 		}
 		else if (this.held.containsKey(attempt.id()) && this.server.cancel(attempt)) {
 			this.held.remove(attempt.id());
-			follow(this.admission.finished(attempt.id(), RunOutcome.BROKEN, this.time.now()));
+			follow(this.admission.finished(attempt.id(), RunOutcome.INTERRUPTED, this.time.now()));
 		}
 	}
 
@@ -94,7 +94,7 @@
 		Held running = new Held(request.attempt(), request.ending(), this.time.now());
 		this.held.put(id, running);
 		this.server.run(request.attempt(), () -> finished(running, RunOutcome.ANSWERED),
-				() -> finished(running, RunOutcome.BROKEN));
+				() -> finished(running, RunOutcome.INTERRUPTED));
 	}
 
 	private void finished(Held running, RunOutcome outcome) {
@@ -127,7 +127,7 @@
 		this.ticking = true;
 		this.time.after(TICK_NANOS, () -> {
 			this.ticking = false;
-			follow(this.admission.expired(this.time.now()));
+			follow(this.admission.advance(this.time.now()));
 			if (this.admission.waiting() > 0) {
 				tick();
 			}
--- a/bench/src/main/java/org/brasspier/bench/policy/UnkeyedVersion.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/UnkeyedVersion.java
@@ -9,9 +9,9 @@
 import org.brasspier.core.Ran;
 import org.brasspier.core.choosing.BackendChooser;
 import org.brasspier.core.choosing.Candidate;
-import org.brasspier.core.retry.RecentTimes;
+import org.brasspier.core.retry.RecentLatencies;
 import org.brasspier.core.retry.RetryBudget;
-import org.brasspier.core.retry.RetryRules;
+import org.brasspier.core.retry.RetryPolicy;
 
 /**
  * The policy on a service that is not divided by key: each daemon chooses a server, whose
@@ -33,7 +33,7 @@
 
 	private final List<BackendChooser> choosers;
 
-	private final List<RetryRules> retries;
+	private final List<RetryPolicy> retries;
 
 	private final List<RetryBudget> budgets;
 
@@ -50,15 +50,15 @@
 		this.choosers = IntStream.range(0, daemons)
 			.mapToObj((i) -> new BackendChooser(daemons, new SplittableRandom(SEED + i)))
 			.toList();
-		this.budgets = IntStream.range(0, daemons).mapToObj((i) -> RetryBudget.usual()).toList();
+		this.budgets = IntStream.range(0, daemons).mapToObj((i) -> RetryBudget.withDefaults()).toList();
 		this.retries = this.budgets.stream()
-			.map((budget) -> new RetryRules(budget, new RecentTimes(Duration.ofSeconds(30), 0)))
+			.map((budget) -> new RetryPolicy(budget, new RecentLatencies(Duration.ofSeconds(30), 0)))
 			.toList();
 	}
 
 	@Override
 	public void arrived(Attempt attempt) {
-		this.budgets.get(attempt.call().entry()).fresh();
+		this.budgets.get(attempt.call().entry()).recordRequest();
 		choose(attempt, this.time.now());
 	}
 
@@ -84,7 +84,7 @@
 	private void ended(Attempt attempt, int server, Ending ending, Times times) {
 		BackendChooser chooser = this.choosers.get(attempt.call().entry());
 		boolean failed = ending instanceof Ending.Failed;
-		chooser.ended(instance(server), attempt.call().requestClass(), times.tookNanos(), failed);
+		chooser.onEnded(instance(server), attempt.call().requestClass(), times.tookNanos(), failed);
 		switch (ending) {
 			case Ending.Answered answered -> {
 				this.callers.answer(attempt, 0);
@@ -94,9 +94,9 @@
 			}
 			case Ending.Failed refused -> {
 				Duration remaining = Duration.ofNanos(Math.max(0, attempt.deadlineNanos() - this.time.now()));
-				RetryRules rules = this.retries.get(attempt.call().entry());
+				RetryPolicy rules = this.retries.get(attempt.call().entry());
 				Ran ran = refused.failure().kind().ran();
-				if (!attempt.over() && rules.resend(attempt.call().requestClass(), ran, remaining)) {
+				if (!attempt.over() && rules.tryRetry(attempt.call().requestClass(), ran, remaining)) {
 					choose(attempt, times.arrived());
 				}
 				else {
--- a/core/src/main/java/org/brasspier/core/admission/AdmissionController.java
+++ b/core/src/main/java/org/brasspier/core/admission/AdmissionController.java
@@ -25,7 +25,7 @@
  * <p>
  * Use: {@link #offer} each request; hand over what is to run; call {@link #finished} once
  * for each handed over when the backend server is certainly no longer at it (its answer
- * came, or its connection is closed); call {@link #expired} every few milliseconds while
+ * came, or its connection is closed); call {@link #advance} every few milliseconds while
  * anything waits; carry out what the calls return.
  */
 public final class AdmissionController {
@@ -34,7 +34,7 @@
 
 	private final ServiceTimes times;
 
-	private ClassTurns turns;
+	private ClassScheduler turns;
 
 	private final CallerShares shares = new CallerShares();
 
@@ -44,17 +44,17 @@
 	/** Requests for which there is always room to wait. */
 	private static final int SHORT_QUEUE = 2;
 
-	private final Map<RequestClass, RetryTimes> retryTimes = new EnumMap<>(RequestClass.class);
+	private final Map<RequestClass, RetryAfterEstimator> retryTimes = new EnumMap<>(RequestClass.class);
 
 	private final Map<RequestClass, ClassQueue> queues = new EnumMap<>(RequestClass.class);
 
-	private final Map<RequestClass, QueuePace> paces = new EnumMap<>(RequestClass.class);
+	private final Map<RequestClass, QueueWaitEstimator> paces = new EnumMap<>(RequestClass.class);
 
-	private final Map<Long, Waiting> waiting = new HashMap<>();
+	private final Map<Long, WaitingRequest> waiting = new HashMap<>();
 
 	private final Map<Long, Running> running = new HashMap<>();
 
-	private final SlotRules slots;
+	private final SlotAllocation slots;
 
 	private boolean draining;
 
@@ -66,8 +66,8 @@
 	public AdmissionController(AdmissionLimits limits, AdmissionSettings settings) {
 		this.settings = settings;
 		this.times = new ServiceTimes(settings);
-		this.turns = new ClassTurns(settings, this.times);
-		this.slots = new SlotRules(limits, this.times);
+		this.turns = new ClassScheduler(settings, this.times);
+		this.slots = new SlotAllocation(limits, this.times);
 		Arrays.stream(RequestClass.values())
 			.forEach((requestClass) -> this.queues.put(requestClass, new ClassQueue(this.shares)));
 	}
@@ -79,7 +79,7 @@
 	 * @return whether it runs, waits or is refused
 	 */
 	public AdmissionDecision offer(PendingRequest request, long now) {
-		this.slots.seen(request.requestClass(), now);
+		this.slots.onOffered(request.requestClass(), now);
 		if (this.draining) {
 			return new Refuse(Failure.of(ErrorKind.NO_BACKEND, "the backend server is leaving"));
 		}
@@ -89,7 +89,7 @@
 		if (hopeless(request, now)) {
 			return new Refuse(overloaded("the deadline can't be met", request, now));
 		}
-		if (queue(request.requestClass()).isEmpty() && this.slots.free(request.requestClass(), now)) {
+		if (queue(request.requestClass()).isEmpty() && this.slots.hasFreeSlot(request.requestClass(), now)) {
 			start(request, now);
 			return new Run();
 		}
@@ -105,14 +105,14 @@
 	 * @param now the time
 	 * @return empty if it would run at once or be refused
 	 */
-	public Optional<Duration> waitFor(PendingRequest request, long now) {
+	public Optional<Duration> expectedQueueWait(PendingRequest request, long now) {
 		RequestClass requestClass = request.requestClass();
-		boolean runs = queue(requestClass).isEmpty() && this.slots.free(requestClass, now);
+		boolean runs = queue(requestClass).isEmpty() && this.slots.hasFreeSlot(requestClass, now);
 		double wait = expectedWait(requestClass, now);
 		if (runs || this.draining || late(request, wait, now) || wait > usefulWait(requestClass)) {
 			return Optional.empty();
 		}
-		return Optional.of(Duration.ofNanos((long) (wait + this.times.mean(requestClass) / this.slots.usable())));
+		return Optional.of(Duration.ofNanos((long) (wait + this.times.mean(requestClass) / this.slots.limit())));
 	}
 
 	// A caller's last resend, with less time left than its work takes. Even with a
@@ -143,9 +143,9 @@
 		RequestClass requestClass = ended.request().requestClass();
 		this.slots.release(requestClass, now);
 		this.shares.charge(ended.request().caller(), took - ended.chargedNanos());
-		this.shares.ended(ended.request().caller());
+		this.shares.onEnded(ended.request().caller());
 		learn(ended, outcome, took);
-		return expired(now);
+		return advance(now);
 	}
 
 	/**
@@ -153,7 +153,7 @@
 	 * @param now the time
 	 * @return what runs next and what is given up
 	 */
-	public NextRequests expired(long now) {
+	public NextRequests advance(long now) {
 		if (this.waiting.isEmpty()) {
 			return NextRequests.NONE;
 		}
@@ -171,8 +171,8 @@
 	 * @param id the number of the request
 	 * @return true if it was waiting and so certainly will not run
 	 */
-	public boolean cancelled(long id) {
-		Waiting entry = this.waiting.remove(id);
+	public boolean cancelWaiting(long id) {
+		WaitingRequest entry = this.waiting.remove(id);
 		return entry != null && queue(entry.request().requestClass()).remove(entry);
 	}
 
@@ -180,7 +180,7 @@
 	 * Takes over what the backend server announces now.
 	 * @param limits the new limits
 	 */
-	public void limits(AdmissionLimits limits) {
+	public void updateLimits(AdmissionLimits limits) {
 		this.slots.limits(limits);
 	}
 
@@ -191,17 +191,17 @@
 	 * @param callerPercent the most of the slots that a named caller may hold while
 	 * others wait, in percent
 	 */
-	public void rules(AdmissionSettings changed, Map<CallerId, Integer> callerPercent) {
+	public void updateRules(AdmissionSettings changed, Map<CallerId, Integer> callerPercent) {
 		this.settings = changed;
-		this.turns = new ClassTurns(changed, this.times);
-		this.shares.mostPercent(callerPercent);
+		this.turns = new ClassScheduler(changed, this.times);
+		this.shares.maxPercent(callerPercent);
 	}
 
 	/**
 	 * Refuses new requests from now on, or takes them again. What waits or runs goes on.
 	 * @param leaving whether the backend server is leaving
 	 */
-	public void draining(boolean leaving) {
+	public void setDraining(boolean leaving) {
 		this.draining = leaving;
 	}
 
@@ -212,7 +212,7 @@
 	 */
 	public List<RefusedRequest> refuseWaiting(Failure failure) {
 		List<Long> all = List.copyOf(this.waiting.keySet());
-		all.forEach(this::cancelled);
+		all.forEach(this::cancelWaiting);
 		return all.stream().map((id) -> new RefusedRequest(id, failure)).toList();
 	}
 
@@ -222,7 +222,7 @@
 	 * @param requestClass the class
 	 * @return the mean, in nanoseconds
 	 */
-	public long usualRunNanos(RequestClass requestClass) {
+	public long meanRunNanos(RequestClass requestClass) {
 		return (long) this.times.mean(requestClass);
 	}
 
@@ -270,9 +270,9 @@
 				this.slots.observed().observe(ended.concurrency(), took / Math.max(1, this.times.mean(requestClass)));
 				this.times.observe(requestClass, took);
 			}
-			case BROKEN -> this.times.observeAtLeast(requestClass, took);
+			case INTERRUPTED -> this.times.observeAtLeast(requestClass, took);
 			case SHED -> this.slots.observed().shed(ended.concurrency());
-			case NOT_BEGUN -> {
+			case NOT_STARTED -> {
 				// A refused fence at the first order taught a limit of one slot, which
 				// turned callers away for a minute.
 			}
@@ -295,9 +295,9 @@
 			}
 		}
 		if (queue(requestClass).isEmpty()) {
-			pace(requestClass).begunToWait(now);
+			pace(requestClass).onFirstQueued(now);
 		}
-		Waiting entry = new Waiting(request, latestStart(request, now));
+		WaitingRequest entry = new WaitingRequest(request, latestStart(request, now));
 		this.waiting.put(request.id(), entry);
 		queue(requestClass).add(entry);
 		return new Queued(displaced);
@@ -314,16 +314,16 @@
 	private double usefulWait(RequestClass requestClass) {
 		ClassRules rules = this.settings.of(requestClass);
 		double mean = this.times.mean(requestClass);
-		double inTime = rules.longestWait().toNanos() - RUN_ALLOWANCE * mean;
-		double shortQueue = SHORT_QUEUE * mean / this.slots.usable();
-		return Math.min(rules.letInWait().toNanos(), Math.max(inTime, shortQueue));
+		double inTime = rules.maxWait().toNanos() - RUN_ALLOWANCE * mean;
+		double shortQueue = SHORT_QUEUE * mean / this.slots.limit();
+		return Math.min(rules.maxExpectedWait().toNanos(), Math.max(inTime, shortQueue));
 	}
 
 	// Who has waited as long as its class may has been overtaken by others; its caller is
 	// told at once instead of shortly before the deadline.
 	private long latestStart(PendingRequest request, long now) {
 		RequestClass requestClass = request.requestClass();
-		return Math.min(latestUsefulStart(request), now + this.settings.of(requestClass).longestWait().toNanos());
+		return Math.min(latestUsefulStart(request), now + this.settings.of(requestClass).maxWait().toNanos());
 	}
 
 	private List<RefusedRequest> giveUpLate(long now) {
@@ -334,7 +334,7 @@
 		return refused;
 	}
 
-	private RefusedRequest giveUp(Waiting entry, long now) {
+	private RefusedRequest giveUp(WaitingRequest entry, long now) {
 		PendingRequest request = entry.request();
 		this.waiting.remove(request.id());
 		return new RefusedRequest(request.id(),
@@ -343,14 +343,14 @@
 
 	private Optional<PendingRequest> take(long now) {
 		Optional<RequestClass> turn = this.turns
-			.next((requestClass) -> !queue(requestClass).isEmpty() && this.slots.free(requestClass, now));
-		Optional<PendingRequest> next = turn.flatMap((requestClass) -> queue(requestClass).take(this.slots.usable()))
-			.map(Waiting::request);
+			.next((requestClass) -> !queue(requestClass).isEmpty() && this.slots.hasFreeSlot(requestClass, now));
+		Optional<PendingRequest> next = turn.flatMap((requestClass) -> queue(requestClass).take(this.slots.limit()))
+			.map(WaitingRequest::request);
 		next.ifPresent((request) -> {
 			this.waiting.remove(request.id());
-			pace(request.requestClass()).taken(now);
+			pace(request.requestClass()).onDequeued(now);
 			start(request, now);
-			this.turns.taken(request.requestClass(), (other) -> !queue(other).isEmpty());
+			this.turns.onSlotTaken(request.requestClass(), (other) -> !queue(other).isEmpty());
 		});
 		return next;
 	}
@@ -358,9 +358,9 @@
 	private void start(PendingRequest request, long now) {
 		double expected = this.times.mean(request.requestClass());
 		this.slots.take(request.requestClass(), now);
-		retryTimes(request.requestClass()).begun(now);
+		retryTimes(request.requestClass()).onStarted(now);
 		this.shares.charge(request.caller(), expected);
-		this.shares.begun(request.caller());
+		this.shares.onStarted(request.caller());
 		this.running.put(request.id(), new Running(request, now, expected, this.running.size() + 1));
 	}
 
@@ -370,35 +370,35 @@
 			.mapToDouble((other) -> queue(other).size() * this.times.mean(other))
 			.sum();
 		int own = queue(requestClass).size();
-		double observed = (own > 0) ? pace(requestClass).expectedNanos(own + 1, now) : 0;
-		return Math.max(ahead / this.slots.usable(), observed);
+		double observed = (own > 0) ? pace(requestClass).expectedWaitNanos(own + 1, now) : 0;
+		return Math.max(ahead / this.slots.limit(), observed);
 	}
 
 	private Failure overloaded(String detail, PendingRequest request, long now) {
 		RequestClass requestClass = request.requestClass();
 		if (!request.overdue()) {
-			retryTimes(requestClass).refused(now);
+			retryTimes(requestClass).onRefused(now);
 		}
-		double turn = Math.max(this.times.mean(requestClass) / this.slots.usable(), queueTurn(requestClass, now));
-		Duration pause = retryTimes(requestClass).next(now, expectedWait(requestClass, now), turn);
+		double turn = Math.max(this.times.mean(requestClass) / this.slots.limit(), queueTurn(requestClass, now));
+		Duration pause = retryTimes(requestClass).nextPause(now, expectedWait(requestClass, now), turn);
 		return new Failure(ErrorKind.OVERLOADED, detail, pause);
 	}
 
-	private RetryTimes retryTimes(RequestClass requestClass) {
-		return this.retryTimes.computeIfAbsent(requestClass, (key) -> new RetryTimes());
+	private RetryAfterEstimator retryTimes(RequestClass requestClass) {
+		return this.retryTimes.computeIfAbsent(requestClass, (key) -> new RetryAfterEstimator());
 	}
 
 	// Where other classes go first, the queue moves slower than the server does.
 	private double queueTurn(RequestClass requestClass, long now) {
-		return queue(requestClass).isEmpty() ? 0 : pace(requestClass).expectedNanos(1, now);
+		return queue(requestClass).isEmpty() ? 0 : pace(requestClass).expectedWaitNanos(1, now);
 	}
 
 	private ClassQueue queue(RequestClass requestClass) {
 		return this.queues.computeIfAbsent(requestClass, (key) -> new ClassQueue(this.shares));
 	}
 
-	private QueuePace pace(RequestClass requestClass) {
-		return this.paces.computeIfAbsent(requestClass, (key) -> new QueuePace());
+	private QueueWaitEstimator pace(RequestClass requestClass) {
+		return this.paces.computeIfAbsent(requestClass, (key) -> new QueueWaitEstimator());
 	}
 
 	private record Running(PendingRequest request, long sinceNanos, double chargedNanos, int concurrency) {
--- a/core/src/main/java/org/brasspier/core/admission/AdmissionSettings.java
+++ b/core/src/main/java/org/brasspier/core/admission/AdmissionSettings.java
@@ -62,40 +62,42 @@
 	 * classes that are left out keep theirs
 	 * @return the rules
 	 */
-	public AdmissionSettings sureOf(Map<RequestClass, Integer> percent) {
+	public AdmissionSettings withGuaranteedShares(Map<RequestClass, Integer> percent) {
 		Map<RequestClass, ClassRules> raised = new EnumMap<>(this.classes);
 		percent.forEach((requestClass, share) -> raised.computeIfPresent(requestClass,
-				(key, rules) -> rules.sureOf(Math.max(rules.sureShare(), share / WHOLE_PERCENT))));
+				(key, rules) -> rules.withGuaranteedShare(Math.max(rules.guaranteedShare(), share / WHOLE_PERCENT))));
 		return new AdmissionSettings(raised);
 	}
 
 	/**
 	 * The rules of one class.
 	 *
-	 * @param letInWait the expected wait beyond which a new request is refused at once
-	 * @param longestWait how long one that was let in may wait until it is given up;
-	 * longer than the expected wait, which errs most for classes that others go before
-	 * @param sureShare the share of slot time that the class gets even if a class before
-	 * it asks for more than there is
-	 * @param firstGuess the service time assumed before any was observed
+	 * @param maxExpectedWait the expected wait beyond which a new request is refused at
+	 * once
+	 * @param maxWait how long one that was let in may wait until it is given up; longer
+	 * than the expected wait, which errs most for classes that others go before
+	 * @param guaranteedShare the share of slot time that the class gets even if a class
+	 * before it asks for more than there is
+	 * @param initialServiceTime the service time assumed before any was observed
 	 */
-	public record ClassRules(Duration letInWait, Duration longestWait, double sureShare, Duration firstGuess) {
+	public record ClassRules(Duration maxExpectedWait, Duration maxWait, double guaranteedShare,
+			Duration initialServiceTime) {
 
 		/**
 		 * Checks the rules.
 		 * @throws IllegalArgumentException if one is out of its range
 		 */
 		public ClassRules {
-			if (!letInWait.isPositive() || longestWait.compareTo(letInWait) < 0 || !firstGuess.isPositive()
-					|| sureShare < 0 || sureShare > 1) {
+			if (!maxExpectedWait.isPositive() || maxWait.compareTo(maxExpectedWait) < 0
+					|| !initialServiceTime.isPositive() || guaranteedShare < 0 || guaranteedShare > 1) {
 				throw new IllegalArgumentException(
 						"letInWait %s and firstGuess %s must be positive, longestWait %s no shorter, sureShare %s from 0 to 1"
-							.formatted(letInWait, firstGuess, longestWait, sureShare));
+							.formatted(maxExpectedWait, initialServiceTime, maxWait, guaranteedShare));
 			}
 		}
 
-		ClassRules sureOf(double share) {
-			return new ClassRules(this.letInWait, this.longestWait, share, this.firstGuess);
+		ClassRules withGuaranteedShare(double share) {
+			return new ClassRules(this.maxExpectedWait, this.maxWait, share, this.initialServiceTime);
 		}
 
 	}
--- a/core/src/main/java/org/brasspier/core/admission/CallerShares.java
+++ b/core/src/main/java/org/brasspier/core/admission/CallerShares.java
@@ -31,28 +31,28 @@
 
 	private final Map<CallerId, Integer> holding = new HashMap<>();
 
-	private Map<CallerId, Integer> mostPercent = Map.of();
+	private Map<CallerId, Integer> maxPercent = Map.of();
 
-	private double level;
+	private double virtualTimeNanos;
 
 	// The most of the slots that a named caller may hold while others wait, in percent.
-	void mostPercent(Map<CallerId, Integer> percent) {
-		this.mostPercent = Map.copyOf(percent);
+	void maxPercent(Map<CallerId, Integer> percent) {
+		this.maxPercent = Map.copyOf(percent);
 	}
 
-	void begun(CallerId caller) {
+	void onStarted(CallerId caller) {
 		this.holding.merge(caller, 1, Integer::sum);
 	}
 
-	void ended(CallerId caller) {
+	void onEnded(CallerId caller) {
 		this.holding.computeIfPresent(caller, (key, count) -> (count > 1) ? count - 1 : null);
 	}
 
 	// Made for an office that operators know to flood: turns alone would leave it an
 	// equal
 	// share of every burst. It always gets one slot, or it could never be served.
-	boolean atMost(CallerId caller, int slots) {
-		Integer percent = this.mostPercent.get(caller);
+	boolean atLimit(CallerId caller, int slots) {
+		Integer percent = this.maxPercent.get(caller);
 		int held = this.holding.getOrDefault(caller, 0);
 		return percent != null && held >= Math.max(1, slots * percent / WHOLE_PERCENT);
 	}
@@ -60,12 +60,12 @@
 	// The slot time a caller has had, level with the present turn if it had less: who was
 	// away can't save up turns and then take all slots at once.
 	double used(CallerId caller) {
-		return Math.max(this.usedNanos.getOrDefault(caller, 0.0), this.level);
+		return Math.max(this.usedNanos.getOrDefault(caller, 0.0), this.virtualTimeNanos);
 	}
 
 	void charge(CallerId caller, double nanos) {
 		double before = used(caller);
-		this.level = before;
+		this.virtualTimeNanos = before;
 		this.usedNanos.put(caller, before + nanos);
 	}
 
--- a/core/src/main/java/org/brasspier/core/admission/ClassQueue.java
+++ b/core/src/main/java/org/brasspier/core/admission/ClassQueue.java
@@ -17,7 +17,7 @@
  */
 final class ClassQueue {
 
-	private final Map<CallerId, TreeSet<Waiting>> waiting = new TreeMap<>();
+	private final Map<CallerId, TreeSet<WaitingRequest>> waiting = new TreeMap<>();
 
 	private final CallerShares shares;
 
@@ -36,19 +36,20 @@
 	}
 
 	int size(CallerId caller) {
-		TreeSet<Waiting> own = this.waiting.get(caller);
+		TreeSet<WaitingRequest> own = this.waiting.get(caller);
 		return (own != null) ? own.size() : 0;
 	}
 
-	void add(Waiting entry) {
-		if (this.waiting.computeIfAbsent(entry.request().caller(), (caller) -> new TreeSet<>(Waiting.BY_LATEST_START))
+	void add(WaitingRequest entry) {
+		if (this.waiting
+			.computeIfAbsent(entry.request().caller(), (caller) -> new TreeSet<>(WaitingRequest.BY_LATEST_START))
 			.add(entry)) {
 			this.size++;
 		}
 	}
 
-	boolean remove(Waiting entry) {
-		TreeSet<Waiting> own = this.waiting.get(entry.request().caller());
+	boolean remove(WaitingRequest entry) {
+		TreeSet<WaitingRequest> own = this.waiting.get(entry.request().caller());
 		if (own == null || !own.remove(entry)) {
 			return false;
 		}
@@ -61,11 +62,11 @@
 
 	// Takes the next request: of the caller that had the least, the one due first. Who
 	// holds all that it may hold comes after everybody else.
-	Optional<Waiting> take(int slots) {
-		Optional<Waiting> next = this.waiting.entrySet()
+	Optional<WaitingRequest> take(int slots) {
+		Optional<WaitingRequest> next = this.waiting.entrySet()
 			.stream()
-			.min(Comparator
-				.comparing((Map.Entry<CallerId, TreeSet<Waiting>> entry) -> this.shares.atMost(entry.getKey(), slots))
+			.min(Comparator.comparing(
+					(Map.Entry<CallerId, TreeSet<WaitingRequest>> entry) -> this.shares.atLimit(entry.getKey(), slots))
 				.thenComparingDouble((entry) -> this.shares.used(entry.getKey())))
 			.map((entry) -> entry.getValue().first());
 		next.ifPresent(this::remove);
@@ -74,9 +75,9 @@
 
 	// Makes room for a caller by giving up the request due last of the caller that has
 	// most waiting, if that is at least two more than the newcomer has.
-	Optional<Waiting> displaceFor(CallerId newcomer) {
+	Optional<WaitingRequest> displaceFor(CallerId newcomer) {
 		int own = size(newcomer);
-		Optional<Waiting> displaced = this.waiting.values()
+		Optional<WaitingRequest> displaced = this.waiting.values()
 			.stream()
 			.max(Comparator.comparingInt(Collection::size))
 			.filter((most) -> most.size() >= own + 2)
@@ -86,8 +87,8 @@
 	}
 
 	// Takes out all that had to start by now.
-	List<Waiting> removeLate(long now) {
-		List<Waiting> late = new ArrayList<>();
+	List<WaitingRequest> removeLate(long now) {
+		List<WaitingRequest> late = new ArrayList<>();
 		this.waiting.values()
 			.forEach((own) -> own.stream().takeWhile((each) -> each.latestStartNanos() <= now).forEach(late::add));
 		late.forEach(this::remove);
--- a/core/src/main/java/org/brasspier/core/admission/ClassTurns.java
+++ b/core/src/main/java/org/brasspier/core/admission/ClassScheduler.java
@@ -13,7 +13,7 @@
  * share of slot time. Made for saturation by one class: without it a flood of lookups
  * would starve postings and audit readers for as long as it lasts. Not thread-safe.
  */
-final class ClassTurns {
+final class ClassScheduler {
 
 	private final AdmissionSettings settings;
 
@@ -21,7 +21,7 @@
 
 	private final Map<RequestClass, Double> owedNanos = new EnumMap<>(RequestClass.class);
 
-	ClassTurns(AdmissionSettings settings, ServiceTimes times) {
+	ClassScheduler(AdmissionSettings settings, ServiceTimes times) {
 		this.settings = settings;
 		this.times = times;
 	}
@@ -35,14 +35,14 @@
 	}
 
 	// Accounts for a slot that was given to one class while others were waiting.
-	void taken(RequestClass taken, Predicate<RequestClass> waiting) {
+	void onSlotTaken(RequestClass taken, Predicate<RequestClass> waiting) {
 		double cost = this.times.mean(taken);
 		for (RequestClass other : RequestClass.values()) {
 			if (!waiting.test(other)) {
 				this.owedNanos.remove(other);
 			}
 			else if (other != taken) {
-				this.owedNanos.merge(other, cost * this.settings.of(other).sureShare(), Double::sum);
+				this.owedNanos.merge(other, cost * this.settings.of(other).guaranteedShare(), Double::sum);
 			}
 		}
 		this.owedNanos.computeIfPresent(taken, (key, owed) -> Math.max(0, owed - cost));
--- a/core/src/main/java/org/brasspier/core/admission/QueuePace.java
+++ b/core/src/main/java/org/brasspier/core/admission/QueueWaitEstimator.java
@@ -5,7 +5,7 @@
  * slow server, slots that are kept. Made for saturation and stalls, where queue length
  * times service time promises far too much. Not thread-safe.
  */
-final class QueuePace {
+final class QueueWaitEstimator {
 
 	/** Some sixteen turns change the estimate: as many as a small server has slots. */
 	private static final double WEIGHT = 1.0 / 16;
@@ -14,11 +14,11 @@
 
 	private long lastTurnNanos;
 
-	void begunToWait(long now) {
+	void onFirstQueued(long now) {
 		this.lastTurnNanos = now;
 	}
 
-	void taken(long now) {
+	void onDequeued(long now) {
 		this.turnNanos += WEIGHT * (now - this.lastTurnNanos - this.turnNanos);
 		this.lastTurnNanos = now;
 	}
@@ -29,7 +29,7 @@
 	 * @param now the time
 	 * @return the expected time, in nanoseconds
 	 */
-	double expectedNanos(int count, long now) {
+	double expectedWaitNanos(int count, long now) {
 		// A turn that is overdue shows a stall before the average does.
 		return count * Math.max(this.turnNanos, now - this.lastTurnNanos);
 	}
--- a/core/src/main/java/org/brasspier/core/admission/RetryTimes.java
+++ b/core/src/main/java/org/brasspier/core/admission/RetryAfterEstimator.java
@@ -12,7 +12,7 @@
  * alone fill it, and a returning caller is refused again or takes the place of a fresh
  * one. An overload is expected to last as long again as it has lasted. Not thread-safe.
  */
-final class RetryTimes {
+final class RetryAfterEstimator {
 
 	/** Sooner than this a resend would meet the same queue. */
 	private static final long SHORTEST_NANOS = Duration.ofMillis(50).toNanos();
@@ -48,7 +48,7 @@
 	 * Takes that a request of the class was begun.
 	 * @param now the time
 	 */
-	void begun(long now) {
+	void onStarted(long now) {
 		decay(now);
 		this.begun++;
 		noteOverload(now);
@@ -59,7 +59,7 @@
 	 * its target.
 	 * @param now the time
 	 */
-	void refused(long now) {
+	void onRefused(long now) {
 		decay(now);
 		this.refused++;
 		noteOverload(now);
@@ -97,7 +97,7 @@
 	 * @param turnNanos how often the backend server takes a request of the class
 	 * @return from 50 ms to 10 s
 	 */
-	Duration next(long now, double waitNanos, double turnNanos) {
+	Duration nextPause(long now, double waitNanos, double turnNanos) {
 		double lasted = this.overloaded ? now - this.overloadedSinceNanos : 0;
 		double wait = Math.max(lasted, Math.max(SHORTEST_NANOS, waitNanos));
 		long earliest = now + (long) Math.min(LONGEST_NANOS, wait);
--- a/core/src/main/java/org/brasspier/core/admission/RunOutcome.java
+++ b/core/src/main/java/org/brasspier/core/admission/RunOutcome.java
@@ -15,11 +15,11 @@
 	 * It never began, for a reason that tells nothing of the backend server's load: the
 	 * caller is gone, the deadline or the lease ran out, or the fence was refused.
 	 */
-	NOT_BEGUN,
+	NOT_STARTED,
 
 	/**
 	 * It was cancelled, timed out or its connection broke; its time tells a lower bound.
 	 */
-	BROKEN
+	INTERRUPTED
 
 }
--- a/core/src/main/java/org/brasspier/core/admission/ServiceTimes.java
+++ b/core/src/main/java/org/brasspier/core/admission/ServiceTimes.java
@@ -23,7 +23,8 @@
 
 	ServiceTimes(AdmissionSettings settings) {
 		settings.classes()
-			.forEach((requestClass, rules) -> this.meanNanos.put(requestClass, (double) rules.firstGuess().toNanos()));
+			.forEach((requestClass, rules) -> this.meanNanos.put(requestClass,
+					(double) rules.initialServiceTime().toNanos()));
 	}
 
 	void observe(RequestClass requestClass, long nanos) {
--- a/core/src/main/java/org/brasspier/core/admission/SlotRules.java
+++ b/core/src/main/java/org/brasspier/core/admission/SlotAllocation.java
@@ -9,7 +9,7 @@
 /**
  * Which slots of the backend server each class may use. Not thread-safe.
  */
-final class SlotRules {
+final class SlotAllocation {
 
 	/**
 	 * One slot in eight, at least one, is kept for internal calls. Made for circles:
@@ -54,7 +54,7 @@
 
 	private ConcurrencyLimit observed;
 
-	SlotRules(AdmissionLimits limits, ServiceTimes times) {
+	SlotAllocation(AdmissionLimits limits, ServiceTimes times) {
 		this.limits = limits;
 		this.times = times;
 		this.observed = new ConcurrencyLimit(limits.concurrency());
@@ -67,7 +67,7 @@
 		this.limits = announced;
 	}
 
-	void seen(RequestClass requestClass, long now) {
+	void onOffered(RequestClass requestClass, long now) {
 		this.lastSeen.put(requestClass, now);
 		double internal = (requestClass == RequestClass.INTERNAL) ? 1 : 0;
 		this.seenCount++;
@@ -93,7 +93,7 @@
 		return requestClass == RequestClass.LOOKUP || requestClass == RequestClass.POSTING;
 	}
 
-	int usable() {
+	int limit() {
 		return this.observed.limit();
 	}
 
@@ -101,14 +101,14 @@
 		return this.observed;
 	}
 
-	boolean free(RequestClass requestClass, long now) {
+	boolean hasFreeSlot(RequestClass requestClass, long now) {
 		int total = this.taken.values().stream().mapToInt(Integer::intValue).sum();
-		if (total >= usable()) {
+		if (total >= limit()) {
 			return false;
 		}
 		return switch (requestClass) {
 			case INTERNAL -> true;
-			case LOOKUP, POSTING -> mayWait() < usable() - kept(now);
+			case LOOKUP, POSTING -> mayWait() < limit() - reservedForInternal(now);
 			case AUDIT -> auditFree(now);
 		};
 	}
@@ -118,9 +118,9 @@
 		return used(RequestClass.LOOKUP) + used(RequestClass.POSTING);
 	}
 
-	private int kept(long now) {
-		boolean keep = usable() > 1 && recent(RequestClass.INTERNAL, now) && this.internalShare >= INTERNAL_SHARE;
-		return keep ? Math.max(1, usable() / INTERNAL_ONE_IN) : 0;
+	private int reservedForInternal(long now) {
+		boolean keep = limit() > 1 && recent(RequestClass.INTERNAL, now) && this.internalShare >= INTERNAL_SHARE;
+		return keep ? Math.max(1, limit() / INTERNAL_ONE_IN) : 0;
 	}
 
 	// Long and short work mixed: a lookup that comes must not find all slots taken by
@@ -132,7 +132,7 @@
 	// so they end by themselves, and what a circle waits for is a brief read at most.
 	private boolean auditFree(long now) {
 		boolean brief = this.times.mean(RequestClass.AUDIT) <= BRIEF_NANOS;
-		int open = usable() - (brief ? 0 : kept(now));
+		int open = limit() - (brief ? 0 : reservedForInternal(now));
 		int others = (int) Math.max(1, Math.round(this.shortWork.mean(now) / 2));
 		return mayWait() + used(RequestClass.AUDIT) < open && used(RequestClass.AUDIT) < Math.max(1, open - others);
 	}
--- a/core/src/main/java/org/brasspier/core/admission/Waiting.java
+++ b/core/src/main/java/org/brasspier/core/admission/WaitingRequest.java
@@ -9,10 +9,10 @@
  * @param latestStartNanos when it is given up: its deadline less the time that it needs,
  * or the longest wait of its class, whichever is first
  */
-record Waiting(PendingRequest request, long latestStartNanos) {
+record WaitingRequest(PendingRequest request, long latestStartNanos) {
 
 	/** Who must start first is first. */
-	static final Comparator<Waiting> BY_LATEST_START = Comparator.comparingLong(Waiting::latestStartNanos)
+	static final Comparator<WaitingRequest> BY_LATEST_START = Comparator.comparingLong(WaitingRequest::latestStartNanos)
 		.thenComparingLong((waiting) -> waiting.request().id());
 
 }
--- a/core/src/main/java/org/brasspier/core/choosing/BackendChooser.java
+++ b/core/src/main/java/org/brasspier/core/choosing/BackendChooser.java
@@ -45,13 +45,13 @@
 	/** An instance that nothing was sent to for so long is forgotten. */
 	private static final long FORGET_AFTER_NANOS = Duration.ofMinutes(1).toNanos();
 
-	private final Map<InstanceId, ObservedServer> servers = new HashMap<>();
+	private final Map<InstanceId, ServerStatistics> servers = new HashMap<>();
 
-	private final UsualTimes times = new UsualTimes();
+	private final ClassServiceTimes times = new ClassServiceTimes();
 
 	private final RandomGenerator random;
 
-	private int choosers;
+	private int daemonCount;
 
 	private double trialAllowance = 1;
 
@@ -64,7 +64,7 @@
 	 * @param random breaks ties, so that daemons don't all choose the same server
 	 */
 	public BackendChooser(int choosers, RandomGenerator random) {
-		this.choosers = choosers;
+		this.daemonCount = choosers;
 		this.random = random;
 	}
 
@@ -103,7 +103,7 @@
 	 * @param instance the server
 	 * @param now the time, in nanoseconds
 	 */
-	public void chosen(InstanceId instance, long now) {
+	public void onChosen(InstanceId instance, long now) {
 		server(instance).chosen(now);
 	}
 
@@ -111,16 +111,16 @@
 	 * Takes how many daemons choose among the same servers from now on.
 	 * @param daemons how many, at least 1
 	 */
-	public void choosers(int daemons) {
-		this.choosers = daemons;
+	public void daemonCount(int daemons) {
+		this.daemonCount = daemons;
 	}
 
 	/**
 	 * How many daemons are reckoned with.
 	 * @return at least 1
 	 */
-	public int choosers() {
-		return this.choosers;
+	public int daemonCount() {
+		return this.daemonCount;
 	}
 
 	/**
@@ -130,7 +130,7 @@
 	 * @param tookNanos from handing it over to its end, without the way
 	 * @param failed whether the server failed it; a refusal is a failure too
 	 */
-	public void ended(InstanceId instance, RequestClass requestClass, long tookNanos, boolean failed) {
+	public void onEnded(InstanceId instance, RequestClass requestClass, long tookNanos, boolean failed) {
 		double relative = failed ? 1 : this.times.relative(requestClass, tookNanos);
 		server(instance).ended(relative, failed, this.latestNanos);
 	}
@@ -141,7 +141,7 @@
 	 * @param wait how long it would have waited there
 	 * @param now the time, in nanoseconds
 	 */
-	public void full(InstanceId instance, Duration wait, long now) {
+	public void onFull(InstanceId instance, Duration wait, long now) {
 		server(instance).full(now + wait.toNanos());
 	}
 
@@ -149,7 +149,7 @@
 	 * Forgets a chosen request whose caller is gone.
 	 * @param instance the server that had it
 	 */
-	public void cancelled(InstanceId instance) {
+	public void onCancelled(InstanceId instance) {
 		server(instance).cancelled();
 	}
 
@@ -182,7 +182,7 @@
 		return avoided;
 	}
 
-	private static double badness(ObservedServer server, long now) {
+	private static double badness(ServerStatistics server, long now) {
 		return server.slowness(now) / (1.01 - server.errors(now));
 	}
 
@@ -217,15 +217,15 @@
 	}
 
 	private double expectedNanos(Candidate candidate, RequestClass requestClass, long now) {
-		ObservedServer server = server(candidate.instance());
+		ServerStatistics server = server(candidate.instance());
 		double run = this.times.mean(requestClass) * server.slowness(now);
-		double busy = server.inFlight() * this.choosers / (candidate.slots() * candidate.warmShare());
+		double busy = server.inFlight() * this.daemonCount / (candidate.slots() * candidate.warmShare());
 		long wait = Math.max(0, server.fullUntilNanos() - now);
-		return candidate.distance().toNanos() + wait + run * (1 + busy) / (1.01 - server.errors(now));
+		return candidate.roundTrip().toNanos() + wait + run * (1 + busy) / (1.01 - server.errors(now));
 	}
 
-	private ObservedServer server(InstanceId instance) {
-		return this.servers.computeIfAbsent(instance, (key) -> new ObservedServer());
+	private ServerStatistics server(InstanceId instance) {
+		return this.servers.computeIfAbsent(instance, (key) -> new ServerStatistics());
 	}
 
 	private record Scored(Candidate candidate, double nanos, double lot) {
--- a/core/src/main/java/org/brasspier/core/choosing/Candidate.java
+++ b/core/src/main/java/org/brasspier/core/choosing/Candidate.java
@@ -8,21 +8,21 @@
  * A backend server that may take a request. Immutable and thread-safe.
  *
  * @param instance its identity
- * @param distance the time to its failure domain and back
+ * @param roundTrip the time to its failure domain and back
  * @param slots how many requests it runs at once
  * @param warmShare the share of its capacity that it may be given now, above 0 to 1
  */
-public record Candidate(InstanceId instance, Duration distance, int slots, double warmShare) {
+public record Candidate(InstanceId instance, Duration roundTrip, int slots, double warmShare) {
 
 	/**
 	 * Checks the numbers.
 	 * @throws IllegalArgumentException if one is out of its range
 	 */
 	public Candidate {
-		if (distance.isNegative() || slots < 1 || !(warmShare > 0 && warmShare <= 1)) {
+		if (roundTrip.isNegative() || slots < 1 || !(warmShare > 0 && warmShare <= 1)) {
 			throw new IllegalArgumentException(
 					"distance %s must not be negative, slots %d at least 1, warmShare %s above 0 to 1"
-						.formatted(distance, slots, warmShare));
+						.formatted(roundTrip, slots, warmShare));
 		}
 	}
 
--- a/core/src/main/java/org/brasspier/core/choosing/UsualTimes.java
+++ b/core/src/main/java/org/brasspier/core/choosing/ClassServiceTimes.java
@@ -9,7 +9,7 @@
  * How long requests of a class usually take over all servers, so that a server that got
  * the long ones is not taken for a slow one. Not thread-safe.
  */
-final class UsualTimes {
+final class ClassServiceTimes {
 
 	/** A few hundred answers: slower than the servers' own figures, which it levels. */
 	private static final double WEIGHT = 1.0 / 200;
--- a/core/src/main/java/org/brasspier/core/choosing/SearchPace.java
+++ b/core/src/main/java/org/brasspier/core/choosing/SearchThrottle.java
@@ -7,7 +7,7 @@
  * hold up everything that passes them. After a search in vain a growing number of
  * requests goes without one. Not thread-safe; one for each service.
  */
-public final class SearchPace {
+public final class SearchThrottle {
 
 	/** Requests in a row that go without a search, at most. */
 	private static final int MOST_WITHOUT = 16;
@@ -20,7 +20,7 @@
 	 * Whether the next request is to search. Asked once for each request.
 	 * @return false if it is to wait at the first server it is brought to
 	 */
-	public boolean searches() {
+	public boolean shouldSearch() {
 		if (this.without == 0) {
 			return true;
 		}
@@ -32,7 +32,7 @@
 	 * Takes that a request found a free slot without waiting. While a service is
 	 * saturated that happens now and then by chance, so searches come back step by step.
 	 */
-	public void found() {
+	public void onSlotFound() {
 		this.withoutNextTime = Math.max(1, this.withoutNextTime * 3 / 4);
 		this.without = this.withoutNextTime - 1;
 	}
@@ -40,7 +40,7 @@
 	/**
 	 * Takes that a search ended without a free slot.
 	 */
-	public void foundNone() {
+	public void onNoSlotFound() {
 		this.without = this.withoutNextTime;
 		this.withoutNextTime = Math.min(MOST_WITHOUT, 2 * this.withoutNextTime);
 	}
--- a/core/src/main/java/org/brasspier/core/choosing/ObservedServer.java
+++ b/core/src/main/java/org/brasspier/core/choosing/ServerStatistics.java
@@ -5,7 +5,7 @@
 /**
  * What was observed of one backend server. Not thread-safe.
  */
-final class ObservedServer {
+final class ServerStatistics {
 
 	/**
 	 * The weight of a new observation: twenty answers, a fraction of a second, show that
--- a/core/src/main/java/org/brasspier/core/choosing/SlotSearch.java
+++ b/core/src/main/java/org/brasspier/core/choosing/SlotSearch.java
@@ -39,7 +39,7 @@
 	 * @param instance the server
 	 * @param wait how long the request would have to wait there
 	 */
-	public void full(InstanceId instance, Duration wait) {
+	public void onFull(InstanceId instance, Duration wait) {
 		this.waits.put(instance, wait);
 	}
 
--- a/core/src/main/java/org/brasspier/core/crash/CrashWatch.java
+++ b/core/src/main/java/org/brasspier/core/crash/CrashDetector.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.keys.BackendIncarnation;
 
 /**
  * Finds out whether the backend server beside a daemon has crashed, and under which
@@ -14,7 +14,7 @@
  * at its address just after, or another life of it begins; it lives if it answers what
  * was sent later. All times are nanoseconds of one steady clock. Not thread-safe.
  */
-public final class CrashWatch {
+public final class CrashDetector {
 
 	/** A server that crashed is back, or found to be gone, within this time. */
 	private static final long REMEMBERED_NANOS = Duration.ofSeconds(10).toNanos();
@@ -22,7 +22,7 @@
 	// By request, when its connection ended.
 	private final Map<Long, Long> broken = new LinkedHashMap<>();
 
-	private Optional<BackendLife> life = Optional.empty();
+	private Optional<BackendIncarnation> life = Optional.empty();
 
 	/**
 	 * Takes that a connection ended while the server had a request of it.
@@ -30,7 +30,7 @@
 	 * @param request the request's fingerprint
 	 * @param now the time
 	 */
-	public void broke(BackendLife of, long request, long now) {
+	public void onConnectionLost(BackendIncarnation of, long request, long now) {
 		if (!this.life.equals(Optional.of(of))) {
 			this.broken.clear();
 			this.life = Optional.of(of);
@@ -45,7 +45,7 @@
 	 * @param of the server's life
 	 * @param sentNanos when it was sent what it answered
 	 */
-	public void answered(BackendLife of, long sentNanos) {
+	public void onAnswer(BackendIncarnation of, long sentNanos) {
 		if (this.life.equals(Optional.of(of))) {
 			this.broken.values().removeIf((broke) -> broke - sentNanos < 0);
 		}
@@ -55,7 +55,7 @@
 	 * Whether a connection has ended and it is not known yet why.
 	 * @return true if so
 	 */
-	public boolean doubtful() {
+	public boolean hasUnexplainedLosses() {
 		return !this.broken.isEmpty();
 	}
 
@@ -65,7 +65,7 @@
 	 * @param now the time
 	 * @return what it ran when it crashed; empty if nothing was cut off lately
 	 */
-	public Optional<CrashReport> ended(BackendLife of, long now) {
+	public Optional<CrashReport> onServerEnded(BackendIncarnation of, long now) {
 		if (!this.life.equals(Optional.of(of))) {
 			return Optional.empty();
 		}
--- a/core/src/main/java/org/brasspier/core/crash/CrashReport.java
+++ b/core/src/main/java/org/brasspier/core/crash/CrashReport.java
@@ -2,15 +2,15 @@
 
 import java.util.Set;
 
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.keys.BackendIncarnation;
 
 /**
  * What a backend server was running when it crashed. Immutable and thread-safe.
  *
- * @param life the server's life that ended
+ * @param incarnation the server's life that ended
  * @param requests the fingerprints of the requests, at most {@link #MAX_REQUESTS}
  */
-public record CrashReport(BackendLife life, Set<Long> requests) {
+public record CrashReport(BackendIncarnation incarnation, Set<Long> requests) {
 
 	/** Several times the slots of a backend server. */
 	public static final int MAX_REQUESTS = 64;
--- a/core/src/main/java/org/brasspier/core/crash/CrashNotes.java
+++ b/core/src/main/java/org/brasspier/core/crash/CrashState.java
@@ -11,7 +11,7 @@
  * @param cleared requests that were part of a crash somewhere and have ended well at this
  * instance since, at most {@link #MAX_CLEARED}
  */
-public record CrashNotes(List<CrashReport> reports, Set<Long> cleared) {
+public record CrashState(List<CrashReport> reports, Set<Long> cleared) {
 
 	/** Older ones are forgotten first. */
 	public static final int MAX_REPORTS = 8;
@@ -20,23 +20,23 @@
 	public static final int MAX_CLEARED = CrashReport.MAX_REQUESTS * MAX_REPORTS;
 
 	/** Nothing is known. */
-	public static final CrashNotes NONE = new CrashNotes(List.of(), Set.of());
+	public static final CrashState EMPTY = new CrashState(List.of(), Set.of());
 
 	/**
 	 * The same with another crash.
 	 * @param report the crash
 	 * @return these notes without the oldest crash if there were too many
 	 */
-	public CrashNotes with(CrashReport report) {
+	public CrashState withReport(CrashReport report) {
 		List<CrashReport> all = Stream.concat(this.reports.stream(), Stream.of(report)).toList();
-		return new CrashNotes(all.subList(Math.max(0, all.size() - MAX_REPORTS), all.size()), this.cleared);
+		return new CrashState(all.subList(Math.max(0, all.size() - MAX_REPORTS), all.size()), this.cleared);
 	}
 
 	/**
 	 * Copies the lists.
 	 * @throws IllegalArgumentException if one of them is too long
 	 */
-	public CrashNotes {
+	public CrashState {
 		reports = List.copyOf(reports);
 		cleared = Set.copyOf(cleared);
 		if (reports.size() > MAX_REPORTS || cleared.size() > MAX_CLEARED) {
--- a/core/src/main/java/org/brasspier/core/crash/CrashSuspects.java
+++ b/core/src/main/java/org/brasspier/core/crash/CrashSuspects.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 
 import org.brasspier.core.InstanceId;
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.keys.BackendIncarnation;
 
 /**
  * Which requests must not reach another backend server, by what all instances tell of
@@ -38,7 +38,7 @@
 	/** After this time a crash counts no more, and the request may be tried again. */
 	private static final long KEPT_NANOS = Duration.ofMinutes(5).toNanos();
 
-	private final Map<BackendLife, Noted> reports = new LinkedHashMap<>();
+	private final Map<BackendIncarnation, Noted> reports = new LinkedHashMap<>();
 
 	private final Map<Long, Cleared> cleared = new LinkedHashMap<>();
 
@@ -51,10 +51,10 @@
 	 * @param now the time, in nanoseconds
 	 * @return true if anything of it was not known
 	 */
-	public boolean told(InstanceId from, CrashNotes notes, long now) {
+	public boolean merge(InstanceId from, CrashState notes, long now) {
 		boolean news = false;
 		for (CrashReport report : notes.reports()) {
-			news |= this.reports.putIfAbsent(report.life(), new Noted(from, report, now)) == null;
+			news |= this.reports.putIfAbsent(report.incarnation(), new Noted(from, report, now)) == null;
 		}
 		for (long request : notes.cleared()) {
 			news |= this.cleared.putIfAbsent(request, new Cleared(from, now)) == null;
@@ -72,8 +72,8 @@
 	 * @param now the time, in nanoseconds
 	 * @return true if it was suspect, so that others are to be told
 	 */
-	public boolean endedWell(InstanceId at, long request, long now) {
-		if (!suspects(request)) {
+	public boolean recordSuccess(InstanceId at, long request, long now) {
+		if (!isSuspect(request)) {
 			return false;
 		}
 		this.cleared.put(request, new Cleared(at, now));
@@ -95,7 +95,7 @@
 	 * @param now the time, in nanoseconds
 	 * @return true if so
 	 */
-	public boolean keepsAway(long request, long now) {
+	public boolean isBlocked(long request, long now) {
 		if (!this.keptAway.contains(request)) {
 			return false;
 		}
@@ -108,7 +108,7 @@
 	 * @param request the request's fingerprint
 	 * @return true if so
 	 */
-	public boolean suspects(long request) {
+	public boolean isSuspect(long request) {
 		return !this.cleared.containsKey(request)
 				&& this.reports.values().stream().anyMatch((noted) -> noted.report.requests().contains(request));
 	}
@@ -117,7 +117,7 @@
 	 * How many requests are kept away.
 	 * @return the number
 	 */
-	public int keptAway() {
+	public int blockedCount() {
 		return this.keptAway.size();
 	}
 
@@ -126,17 +126,17 @@
 	 * @param instance the instance
 	 * @return the latest of what is known from it
 	 */
-	public CrashNotes notes(InstanceId instance) {
+	public CrashState stateOf(InstanceId instance) {
 		List<CrashReport> own = latest(this.reports.values().stream().filter((noted) -> noted.from.equals(instance)),
-				CrashNotes.MAX_REPORTS)
+				CrashState.MAX_REPORTS)
 			.map(Noted::report)
 			.toList();
 		Set<Long> ended = latest(
 				this.cleared.entrySet().stream().filter((entry) -> entry.getValue().at.equals(instance)),
-				CrashNotes.MAX_CLEARED)
+				CrashState.MAX_CLEARED)
 			.map(Map.Entry::getKey)
 			.collect(Collectors.toUnmodifiableSet());
-		return new CrashNotes(own, ended);
+		return new CrashState(own, ended);
 	}
 
 	// Both maps keep the order in which things became known.
--- a/core/src/main/java/org/brasspier/core/keys/BackendLife.java
+++ b/core/src/main/java/org/brasspier/core/keys/BackendIncarnation.java
@@ -8,16 +8,16 @@
  * apart. Immutable and thread-safe.
  *
  * @param id the backend server's id
- * @param bornMillis when it started, in milliseconds of its own time of day; 0 if it
+ * @param startedMillis when it started, in milliseconds of its own time of day; 0 if it
  * doesn't say
  */
-public record BackendLife(String id, long bornMillis) {
+public record BackendIncarnation(String id, long startedMillis) {
 
 	/**
 	 * Checks the id.
 	 * @throws IllegalArgumentException if it is empty
 	 */
-	public BackendLife {
+	public BackendIncarnation {
 		if (id.isEmpty()) {
 			throw new IllegalArgumentException("the id of a backend server must not be empty");
 		}
@@ -25,19 +25,20 @@
 
 	@Override
 	public String toString() {
-		return this.id + "@" + this.bornMillis;
+		return this.id + "@" + this.startedMillis;
 	}
 
 	// Written out: generated ones go through method handles, which take milliseconds to
 	// set up in a process that has just started.
 	@Override
 	public boolean equals(@Nullable Object other) {
-		return other instanceof BackendLife that && this.bornMillis == that.bornMillis && this.id.equals(that.id);
+		return other instanceof BackendIncarnation that && this.startedMillis == that.startedMillis
+				&& this.id.equals(that.id);
 	}
 
 	@Override
 	public int hashCode() {
-		return 31 * this.id.hashCode() + Long.hashCode(this.bornMillis);
+		return 31 * this.id.hashCode() + Long.hashCode(this.startedMillis);
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/keys/GrantCall.java
+++ b/core/src/main/java/org/brasspier/core/keys/GrantCall.java
@@ -13,7 +13,7 @@
 	 * The life of the backend server that it is meant for.
 	 * @return the life
 	 */
-	BackendLife life();
+	BackendIncarnation incarnation();
 
 	/**
 	 * The keys.
@@ -30,23 +30,24 @@
 	/**
 	 * Grants keys, or renews their grant.
 	 *
-	 * @param life the life of the backend server that it is meant for
+	 * @param incarnation the life of the backend server that it is meant for
 	 * @param span the keys
 	 * @param fence the fence
 	 * @param handover what the previous holder handed over; empty if nothing
 	 * @param hold how long the keys may be held from when the call arrives
 	 */
-	record Grant(BackendLife life, KeySpan span, Fence fence, String handover, Duration hold) implements GrantCall {
+	record Grant(BackendIncarnation incarnation, KeySpan span, Fence fence, String handover,
+			Duration hold) implements GrantCall {
 	}
 
 	/**
 	 * Ends a grant. It is answered once no work on the keys is running any more.
 	 *
-	 * @param life the life of the backend server that it is meant for
+	 * @param incarnation the life of the backend server that it is meant for
 	 * @param span the keys
 	 * @param fence the fence
 	 */
-	record Release(BackendLife life, KeySpan span, Fence fence) implements GrantCall {
+	record Release(BackendIncarnation incarnation, KeySpan span, Fence fence) implements GrantCall {
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/keys/GrantCalls.java
+++ b/core/src/main/java/org/brasspier/core/keys/GrantCallScheduler.java
@@ -11,10 +11,10 @@
 
 /**
  * Decides which grants and releases to send to the backend server beside this daemon, and
- * keeps its {@link GrantBook} by what comes of them. All times are nanoseconds of a clock
- * that also runs while the machine is suspended. Not thread-safe.
+ * keeps its {@link GrantTracker} by what comes of them. All times are nanoseconds of a
+ * clock that also runs while the machine is suspended. Not thread-safe.
  */
-public final class GrantCalls {
+public final class GrantCallScheduler {
 
 	/**
 	 * The longest time from when a hold is computed to when its call arrives: a
@@ -34,7 +34,7 @@
 	 */
 	private static final int MOST_GRANTS = 8;
 
-	private final GrantBook book;
+	private final GrantTracker book;
 
 	private final Set<GrantCall> pending = new HashSet<>();
 
@@ -48,7 +48,7 @@
 	 * Creates the calls of a process that has sent none.
 	 * @param book what was granted
 	 */
-	public GrantCalls(GrantBook book) {
+	public GrantCallScheduler(GrantTracker book) {
 		this.book = book;
 	}
 
@@ -61,25 +61,26 @@
 	 * @param now the time
 	 * @return the calls, the most urgent first
 	 */
-	public List<GrantCall> due(KeyMap map, BackendLife life, long leaseNanos, long now) {
+	public List<GrantCall> dueCalls(KeyMap map, BackendIncarnation life, long leaseNanos, long now) {
 		if (!this.begun) {
 			this.begun = true;
-			this.book.predecessorMayBeGrantedLate();
+			this.book.recordPredecessorGrants();
 		}
-		List<KeyHolding> own = this.book.following(map, life);
+		List<KeyHolding> own = this.book.applyMap(map, life);
 		this.retryNanos.values().removeIf((until) -> until - now <= 0);
 		this.superseded.removeIf((span) -> own.stream().noneMatch((held) -> held.span().equals(span)));
 		List<GrantCall> calls = new ArrayList<>();
 		own.stream()
-			.filter((held) -> held.next().isPresent() && free(held.span()) && !this.book.wasReleased(held))
+			.filter((held) -> held.nextHolder().isPresent() && free(held.span()) && !this.book.wasReleased(held))
 			.forEach((held) -> calls.add(release(held, now)));
-		long hold = this.book.hold(leaseNanos - ARRIVAL_NANOS);
+		long hold = this.book.holdNanos(leaseNanos - ARRIVAL_NANOS);
 		if (hold > 0) {
 			long room = MOST_GRANTS - this.pending.stream().filter((call) -> call instanceof GrantCall.Grant).count();
 			own.stream()
-				.filter((held) -> held.next().isEmpty() && free(held.span()))
-				.filter((held) -> now + hold - this.book.endNanos(held, now) >= Math.min(hold, RENEWAL_GAIN_NANOS))
-				.sorted(Comparator.comparingLong((held) -> this.book.endNanos(held, now)))
+				.filter((held) -> held.nextHolder().isEmpty() && free(held.span()))
+				.filter((held) -> now + hold - this.book.usableUntilNanos(held, now) >= Math.min(hold,
+						RENEWAL_GAIN_NANOS))
+				.sorted(Comparator.comparingLong((held) -> this.book.usableUntilNanos(held, now)))
 				.limit(Math.max(0, room))
 				.forEach((held) -> calls.add(grant(held, hold)));
 		}
@@ -93,12 +94,12 @@
 	}
 
 	private GrantCall release(KeyHolding held, long now) {
-		this.book.withhold(held.span(), now);
-		return new GrantCall.Release(held.life(), held.span(), held.fence());
+		this.book.stopUsing(held.span(), now);
+		return new GrantCall.Release(held.incarnation(), held.span(), held.fence());
 	}
 
 	private GrantCall grant(KeyHolding held, long hold) {
-		return new GrantCall.Grant(held.life(), held.span(), held.fence(), this.book.handover(held),
+		return new GrantCall.Grant(held.incarnation(), held.span(), held.fence(), this.book.handover(held),
 				Duration.ofNanos(hold));
 	}
 
@@ -108,10 +109,10 @@
 	 * @param sentNanos when it was sent
 	 * @param now the time
 	 */
-	public void granted(GrantCall.Grant call, long sentNanos, long now) {
+	public void onGranted(GrantCall.Grant call, long sentNanos, long now) {
 		this.pending.remove(call);
 		this.superseded.remove(call.span());
-		this.book.granted(call, sentNanos, now);
+		this.book.recordGrant(call, sentNanos, now);
 	}
 
 	/**
@@ -120,10 +121,10 @@
 	 * @param call the grant
 	 * @param now the time
 	 */
-	public void superseded(GrantCall.Grant call, long now) {
+	public void onSuperseded(GrantCall.Grant call, long now) {
 		this.pending.remove(call);
 		this.superseded.add(call.span());
-		this.book.withhold(call.span(), now);
+		this.book.stopUsing(call.span(), now);
 		this.retryNanos.put(call.span(), now + RETRY_NANOS);
 	}
 
@@ -141,7 +142,7 @@
 	 * @param call the release
 	 * @param handover what goes to the next holder; empty if nothing
 	 */
-	public void released(GrantCall.Release call, String handover) {
+	public void onReleased(GrantCall.Release call, String handover) {
 		this.pending.remove(call);
 		this.book.released(call.span(), handover);
 	}
@@ -152,11 +153,11 @@
 	 * @param call the call
 	 * @param now the time
 	 */
-	public void unanswered(GrantCall call, long now) {
+	public void onUnanswered(GrantCall call, long now) {
 		this.pending.remove(call);
 		this.retryNanos.put(call.span(), now + RETRY_NANOS);
 		if (call instanceof GrantCall.Grant grant) {
-			this.book.mayBeGrantedLate(grant, now);
+			this.book.recordUnansweredGrant(grant, now);
 		}
 	}
 
@@ -165,7 +166,7 @@
 	 * @param call the call
 	 * @param now the time
 	 */
-	public void notSent(GrantCall call, long now) {
+	public void onNotSent(GrantCall call, long now) {
 		this.pending.remove(call);
 		this.retryNanos.put(call.span(), now + RETRY_NANOS);
 	}
@@ -176,7 +177,7 @@
 	 * @param span the keys
 	 * @return true if so
 	 */
-	public boolean granting(KeySpan span) {
+	public boolean isGrantPending(KeySpan span) {
 		return this.pending.stream().anyMatch((call) -> call instanceof GrantCall.Grant && call.span().overlaps(span));
 	}
 
--- a/core/src/main/java/org/brasspier/core/keys/GrantBook.java
+++ b/core/src/main/java/org/brasspier/core/keys/GrantTracker.java
@@ -16,7 +16,7 @@
  * clock. All times are nanoseconds of a clock that also runs while the machine is
  * suspended. Not thread-safe.
  */
-public final class GrantBook {
+public final class GrantTracker {
 
 	/**
 	 * A shorter hold would run out before the next heartbeat and is not worth giving.
@@ -48,7 +48,7 @@
 	 * @param timing the times
 	 * @param now the time
 	 */
-	public GrantBook(InstanceId self, LeaseTiming timing, long now) {
+	public GrantTracker(InstanceId self, LeaseTiming timing, long now) {
 		this.self = self;
 		this.timing = timing;
 		this.startedNanos = now;
@@ -63,17 +63,17 @@
 	 * @return what it is to hold; empty if nothing may be said, so that nothing is
 	 * renewed and nothing is taken away
 	 */
-	public Optional<GrantAnswer> answer(KeyMap map, HoldReport report, long leaseNanos, long now) {
-		List<KeyHolding> own = following(map, report.life());
+	public Optional<GrantAnswer> answerHeartbeat(KeyMap map, HoldReport report, long leaseNanos, long now) {
+		List<KeyHolding> own = applyMap(map, report.incarnation());
 		noteReleases(own, report);
-		long hold = hold(leaseNanos);
+		long hold = holdNanos(leaseNanos);
 		if (hold == 0) {
 			return Optional.empty();
 		}
 		List<KeyGrant> grants = new ArrayList<>();
 		for (KeyHolding held : own) {
-			if (held.next().isPresent()) {
-				withhold(held.span(), now);
+			if (held.nextHolder().isPresent()) {
+				stopUsing(held.span(), now);
 			}
 			else {
 				// It may have released keys that are to stay after all.
@@ -90,8 +90,8 @@
 	 * @param leaseNanos how long this instance's lease goes on
 	 * @return nanoseconds; 0 if it would be too short
 	 */
-	long hold(long leaseNanos) {
-		long hold = Math.min(this.timing.hold().toNanos(), this.timing.within(leaseNanos));
+	long holdNanos(long leaseNanos) {
+		long hold = Math.min(this.timing.hold().toNanos(), this.timing.minusDrift(leaseNanos));
 		return (hold < SHORTEST_HOLD_NANOS) ? 0 : hold;
 	}
 
@@ -101,14 +101,17 @@
 	 * @param life the life of the backend server
 	 * @return this life's holdings
 	 */
-	List<KeyHolding> following(KeyMap map, BackendLife life) {
-		List<KeyHolding> own = map.of(this.self).stream().filter((held) -> held.life().equals(life)).toList();
+	List<KeyHolding> applyMap(KeyMap map, BackendIncarnation life) {
+		List<KeyHolding> own = map.heldBy(this.self)
+			.stream()
+			.filter((held) -> held.incarnation().equals(life))
+			.toList();
 		follow(own);
 		return own;
 	}
 
 	// When a holding can't be used any more unless it is granted again.
-	long endNanos(KeyHolding held, long now) {
+	long usableUntilNanos(KeyHolding held, long now) {
 		return Optional.ofNullable(this.granted.get(held.span()))
 			.filter((grant) -> grant.fence == held.fence().value() && grant.live(now))
 			.map(Granted::endNanos)
@@ -126,10 +129,10 @@
 	}
 
 	// The hold began between the sending of the call and its answer.
-	void granted(GrantCall.Grant call, long sentNanos, long now) {
+	void recordGrant(GrantCall.Grant call, long sentNanos, long now) {
 		long hold = call.hold().toNanos();
 		Granted before = this.granted.get(call.span());
-		long certainEnd = now + this.timing.atMost(hold);
+		long certainEnd = now + this.timing.plusDrift(hold);
 		if (before != null && before.certainEndNanos - certainEnd > 0) {
 			certainEnd = before.certainEndNanos;
 		}
@@ -142,20 +145,21 @@
 	}
 
 	// It counts from when it arrived, which was before it was given up.
-	void mayBeGrantedLate(GrantCall.Grant call, long now) {
-		this.lateGrants.add(new LateGrant(call.span(), now + this.timing.atMost(call.hold().toNanos())));
+	void recordUnansweredGrant(GrantCall.Grant call, long now) {
+		this.lateGrants.add(new LateGrant(call.span(), now + this.timing.plusDrift(call.hold().toNanos())));
 	}
 
 	// A process before this one may have sent grants that were not answered.
-	void predecessorMayBeGrantedLate() {
+	void recordPredecessorGrants() {
 		KeySpan all = new KeySpan(0, KeySpan.LAST_KEY);
-		this.lateGrants.add(new LateGrant(all, this.startedNanos + this.timing.atMost(this.timing.hold().toNanos())));
+		this.lateGrants
+			.add(new LateGrant(all, this.startedNanos + this.timing.plusDrift(this.timing.hold().toNanos())));
 	}
 
 	// The server releases what an answer leaves out, so nothing is handed to it after
 	// that. Until then it goes on serving the keys: they would be unserved for half a
 	// heartbeat's interval more if that ended with the plan.
-	void withhold(KeySpan span, long now) {
+	void stopUsing(KeySpan span, long now) {
 		this.granted.computeIfPresent(span, (key, grant) -> grant.until(now));
 	}
 
@@ -168,12 +172,12 @@
 			usable = Math.min(before.usableNanos, now);
 		}
 		this.granted.put(held.span(),
-				new Granted(held.fence().value(), usable, now + hold, now + this.timing.atMost(hold)));
+				new Granted(held.fence().value(), usable, now + hold, now + this.timing.plusDrift(hold)));
 	}
 
 	private void noteReleases(List<KeyHolding> own, HoldReport report) {
 		for (KeyHolding held : own) {
-			boolean leaving = held.next().isPresent();
+			boolean leaving = held.nextHolder().isPresent();
 			if (leaving && !report.holdsAny(held.span())) {
 				report.released(held.span()).ifPresent((handover) -> this.releasedSpans.put(held.span(), handover));
 			}
@@ -211,8 +215,8 @@
 	 * @param now the time
 	 * @return true if the server holds it under that fence
 	 */
-	public boolean usable(int key, KeyHolding holding, BackendLife life, long now) {
-		boolean own = holding.owner().equals(this.self) && holding.life().equals(life);
+	public boolean usable(int key, KeyHolding holding, BackendIncarnation life, long now) {
+		boolean own = holding.owner().equals(this.self) && holding.incarnation().equals(life);
 		return own && this.granted.entrySet()
 			.stream()
 			.filter((entry) -> entry.getKey().contains(key))
@@ -236,7 +240,7 @@
 		if (handover != null) {
 			return Optional.of(handover);
 		}
-		long unknown = this.startedNanos + this.timing.atMost(this.timing.hold().toNanos());
+		long unknown = this.startedNanos + this.timing.plusDrift(this.timing.hold().toNanos());
 		long until = this.granted.entrySet()
 			.stream()
 			.filter((entry) -> entry.getKey().overlaps(holding.span()))
--- a/core/src/main/java/org/brasspier/core/keys/HoldReport.java
+++ b/core/src/main/java/org/brasspier/core/keys/HoldReport.java
@@ -8,11 +8,11 @@
 /**
  * What a backend server says of the keys it holds. Immutable and thread-safe.
  *
- * @param life the life that says so
+ * @param incarnation the life that says so
  * @param holds what it holds or is still working on
  * @param freed what it has released since its last acknowledged heartbeat
  */
-public record HoldReport(BackendLife life, List<HeldKeys> holds, List<ReleasedKeys> freed) {
+public record HoldReport(BackendIncarnation incarnation, List<HeldKeys> holds, List<ReleasedKeys> freed) {
 
 	/**
 	 * Copies the lists.
--- a/core/src/main/java/org/brasspier/core/keys/KeyHolder.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyHolder.java
@@ -7,20 +7,21 @@
  * A backend server that can hold keys now. Immutable and thread-safe.
  *
  * @param instance its instance
- * @param life its life
+ * @param incarnation its life
  */
-public record KeyHolder(InstanceId instance, BackendLife life) {
+public record KeyHolder(InstanceId instance, BackendIncarnation incarnation) {
 
 	// Written out: generated ones go through method handles, which take milliseconds to
 	// set up in a process that has just started.
 	@Override
 	public boolean equals(@Nullable Object other) {
-		return other instanceof KeyHolder that && this.instance.equals(that.instance) && this.life.equals(that.life);
+		return other instanceof KeyHolder that && this.instance.equals(that.instance)
+				&& this.incarnation.equals(that.incarnation);
 	}
 
 	@Override
 	public int hashCode() {
-		return 31 * this.instance.hashCode() + this.life.hashCode();
+		return 31 * this.instance.hashCode() + this.incarnation.hashCode();
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/keys/KeyHolding.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyHolding.java
@@ -10,30 +10,31 @@
  *
  * @param span the keys
  * @param owner the instance whose backend server holds them
- * @param life the life of that backend server
+ * @param incarnation the life of that backend server
  * @param fence the fence under which it holds them; each change of holder has a higher
  * one
  * @param handover what the previous holder handed over on letting go, so that the keys
  * are warm; empty if it didn't
- * @param next the instance that is to have them next; empty if they stay
+ * @param nextHolder the instance that is to have them next; empty if they stay
  */
-public record KeyHolding(KeySpan span, InstanceId owner, BackendLife life, Fence fence, String handover,
-		Optional<InstanceId> next) {
+public record KeyHolding(KeySpan span, InstanceId owner, BackendIncarnation incarnation, Fence fence, String handover,
+		Optional<InstanceId> nextHolder) {
 
-	KeyHolding wanted(InstanceId wantedOwner) {
-		return new KeyHolding(this.span, this.owner, this.life, this.fence, this.handover, Optional.of(wantedOwner));
+	KeyHolding withNextHolder(InstanceId wantedOwner) {
+		return new KeyHolding(this.span, this.owner, this.incarnation, this.fence, this.handover,
+				Optional.of(wantedOwner));
 	}
 
-	KeyHolding part(KeySpan part) {
-		return new KeyHolding(part, this.owner, this.life, this.fence, this.handover, this.next);
+	KeyHolding withSpan(KeySpan part) {
+		return new KeyHolding(part, this.owner, this.incarnation, this.fence, this.handover, this.nextHolder);
 	}
 
-	boolean joins(KeyHolding other) {
-		return this.part(other.span).equals(other) && this.next.isEmpty();
+	boolean canMergeWith(KeyHolding other) {
+		return this.withSpan(other.span).equals(other) && this.nextHolder.isEmpty();
 	}
 
-	KeyHolding staying() {
-		return new KeyHolding(this.span, this.owner, this.life, this.fence, this.handover, Optional.empty());
+	KeyHolding withoutNextHolder() {
+		return new KeyHolding(this.span, this.owner, this.incarnation, this.fence, this.handover, Optional.empty());
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/keys/KeyMap.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyMap.java
@@ -29,16 +29,16 @@
 	 * spans spread them better than few wide ones; sixteen rows are a tenth of what an
 	 * answer to a heartbeat may carry.
 	 */
-	static final int SPANS_EACH = 16;
+	static final int SPANS_PER_HOLDER = 16;
 
 	/**
 	 * Spans of a service to begin with. With many holders they are narrow anyway, and
 	 * every change of the map is passed on whole.
 	 */
-	static final int FIRST_SPANS = 256;
+	static final int INITIAL_SPANS = 256;
 
 	/** So many fit a row of the store, each with all that can be said of it. */
-	static final int MOST_SPANS = 1000;
+	static final int MAX_SPANS = 1000;
 
 	private final List<KeyHolding> holdings;
 
@@ -75,13 +75,14 @@
 	 * @param holders who can hold keys; at least one
 	 * @return the map
 	 */
-	public static KeyMap first(List<KeyHolder> holders) {
-		int count = holders.size() * Math.clamp(FIRST_SPANS / holders.size(), 1, SPANS_EACH);
+	public static KeyMap initial(List<KeyHolder> holders) {
+		int count = holders.size() * Math.clamp(INITIAL_SPANS / holders.size(), 1, SPANS_PER_HOLDER);
 		long keys = KeySpan.LAST_KEY + 1L;
 		List<KeyHolding> dealt = IntStream.range(0, count).mapToObj((i) -> {
 			KeySpan span = new KeySpan((int) (keys * i / count), (int) (keys * (i + 1) / count - 1));
 			KeyHolder holder = holders.get(i % holders.size());
-			return new KeyHolding(span, holder.instance(), holder.life(), new Fence(i + 1L), "", Optional.empty());
+			return new KeyHolding(span, holder.instance(), holder.incarnation(), new Fence(i + 1L), "",
+					Optional.empty());
 		}).toList();
 		return new KeyMap(dealt, count + 1L);
 	}
@@ -91,12 +92,12 @@
 	 * number of spans does not grow with each cut.
 	 * @return the same map in as few spans as that allows
 	 */
-	public KeyMap joined() {
+	public KeyMap merged() {
 		List<KeyHolding> result = new ArrayList<>();
 		for (KeyHolding held : this.holdings) {
 			KeyHolding last = result.isEmpty() ? null : result.get(result.size() - 1);
-			if (last != null && last.joins(held)) {
-				result.set(result.size() - 1, last.part(new KeySpan(last.span().from(), held.span().to())));
+			if (last != null && last.canMergeWith(held)) {
+				result.set(result.size() - 1, last.withSpan(new KeySpan(last.span().from(), held.span().to())));
 			}
 			else {
 				result.add(held);
@@ -139,7 +140,7 @@
 	 * @param owner the instance
 	 * @return its holdings, by key
 	 */
-	public List<KeyHolding> of(InstanceId owner) {
+	public List<KeyHolding> heldBy(InstanceId owner) {
 		return this.holdings.stream().filter((held) -> held.owner().equals(owner)).toList();
 	}
 
@@ -148,11 +149,11 @@
 	 * @param before the map before it; empty if there was none
 	 * @return the owners of holdings that it changes, and those that are to have them
 	 */
-	public Set<InstanceId> concerned(Optional<KeyMap> before) {
+	public Set<InstanceId> affectedInstances(Optional<KeyMap> before) {
 		Set<KeyHolding> known = before.map(KeyMap::holdings).<Set<KeyHolding>>map(HashSet::new).orElseGet(Set::of);
 		return this.holdings.stream()
 			.filter((held) -> !known.contains(held))
-			.flatMap((held) -> Stream.concat(Stream.of(held.owner()), held.next().stream()))
+			.flatMap((held) -> Stream.concat(Stream.of(held.owner()), held.nextHolder().stream()))
 			.collect(Collectors.toSet());
 	}
 
@@ -163,7 +164,7 @@
 	 * @param handover what its previous holder handed over; empty if nothing
 	 * @return the new map
 	 */
-	public KeyMap moved(Predicate<KeyHolding> moved, Function<KeyHolding, KeyHolder> holder,
+	public KeyMap reassigned(Predicate<KeyHolding> moved, Function<KeyHolding, KeyHolder> holder,
 			Function<KeyHolding, String> handover) {
 		Fence fence = new Fence(this.nextFence);
 		return new KeyMap(this.holdings.stream().map((held) -> {
@@ -171,7 +172,8 @@
 				return held;
 			}
 			KeyHolder to = holder.apply(held);
-			return new KeyHolding(held.span(), to.instance(), to.life(), fence, handover.apply(held), Optional.empty());
+			return new KeyHolding(held.span(), to.instance(), to.incarnation(), fence, handover.apply(held),
+					Optional.empty());
 		}).toList(), this.nextFence + 1);
 	}
 
@@ -182,33 +184,33 @@
 	 * that stays is passed over
 	 * @return the new map
 	 */
-	public KeyMap carved(Map<KeySpan, InstanceId> moves) {
+	public KeyMap withPlannedMoves(Map<KeySpan, InstanceId> moves) {
 		List<KeyHolding> result = new ArrayList<>();
 		for (KeyHolding held : this.holdings) {
 			List<KeySpan> inside = moves.keySet()
 				.stream()
-				.filter((span) -> held.span().covers(span) && held.next().isEmpty())
+				.filter((span) -> held.span().covers(span) && held.nextHolder().isEmpty())
 				.sorted(Comparator.comparingInt(KeySpan::from))
 				.toList();
-			carve(held, inside, moves, result);
+			split(held, inside, moves, result);
 		}
 		return new KeyMap(result, this.nextFence);
 	}
 
-	private static void carve(KeyHolding held, List<KeySpan> inside, Map<KeySpan, InstanceId> moves,
+	private static void split(KeyHolding held, List<KeySpan> inside, Map<KeySpan, InstanceId> moves,
 			List<KeyHolding> result) {
 		int from = held.span().from();
 		for (KeySpan span : inside) {
 			if (span.from() > from) {
-				result.add(held.part(new KeySpan(from, span.from() - 1)));
+				result.add(held.withSpan(new KeySpan(from, span.from() - 1)));
 			}
 			InstanceId next = moves.get(span);
-			KeyHolding part = held.part(span);
-			result.add((next != null) ? part.wanted(next) : part);
+			KeyHolding part = held.withSpan(span);
+			result.add((next != null) ? part.withNextHolder(next) : part);
 			from = span.to() + 1;
 		}
 		if (from <= held.span().to()) {
-			result.add(held.part(new KeySpan(from, held.span().to())));
+			result.add(held.withSpan(new KeySpan(from, held.span().to())));
 		}
 	}
 
@@ -218,10 +220,10 @@
 	 * @param wanted the next owner of a holding; empty if it is to stay as it is
 	 * @return the new map
 	 */
-	public KeyMap wanted(Function<KeyHolding, Optional<InstanceId>> wanted) {
+	public KeyMap withNextHolders(Function<KeyHolding, Optional<InstanceId>> wanted) {
 		return new KeyMap(this.holdings.stream()
 			.map((held) -> wanted.apply(held)
-				.map((next) -> next.equals(held.owner()) ? held.staying() : held.wanted(next))
+				.map((next) -> next.equals(held.owner()) ? held.withoutNextHolder() : held.withNextHolder(next))
 				.orElse(held))
 			.toList(), this.nextFence);
 	}
--- a/core/src/main/java/org/brasspier/core/keys/KeyMeter.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyMeter.java
@@ -53,7 +53,7 @@
 	 * Counts a request.
 	 * @param key its key, 0 to 65535
 	 */
-	public void asked(int key) {
+	public void recordRequest(int key) {
 		this.counts[key]++;
 	}
 
@@ -61,7 +61,7 @@
 	 * Takes what was counted since the last call into the rates.
 	 * @param now the time
 	 */
-	public void tick(long now) {
+	public void updateRates(long now) {
 		double seconds = Math.max(1e-3, (now - this.tickedNanos) / SECOND_NANOS);
 		double asked = Arrays.stream(this.counts).sum() / seconds;
 		double keep = (asked > SURGE * this.total) ? 0 : Math.pow(KEEP, seconds);
@@ -80,7 +80,7 @@
 	 * @param spans the spans, in the order of keys
 	 * @return the pieces with their load; together they cover the spans
 	 */
-	public List<KeyLoad> pieces(List<KeySpan> spans) {
+	public List<KeyLoad> split(List<KeySpan> spans) {
 		double total = spans.stream().mapToDouble(this::rate).sum();
 		double most = Math.max(LEAST_RATE, total / PIECES);
 		List<KeyLoad> pieces = new ArrayList<>();
--- a/core/src/main/java/org/brasspier/core/keys/KeyPlanner.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyPlanner.java
@@ -29,14 +29,14 @@
 	 * @param holders who can hold keys now
 	 * @return the new map; empty if nothing changes
 	 */
-	public static Optional<KeyMap> withoutLost(KeyMap map, Set<InstanceId> lost, List<KeyHolder> holders) {
+	public static Optional<KeyMap> reassignLost(KeyMap map, Set<InstanceId> lost, List<KeyHolder> holders) {
 		boolean none = map.holdings().stream().noneMatch((held) -> lost.contains(held.owner()));
 		if (none || holders.isEmpty()) {
 			return Optional.empty();
 		}
-		Dealer dealer = new Dealer(map, holders);
-		return Optional
-			.of(map.moved((held) -> lost.contains(held.owner()), (held) -> dealer.least(held.span()), (held) -> ""));
+		KeyAllocator dealer = new KeyAllocator(map, holders);
+		return Optional.of(map.reassigned((held) -> lost.contains(held.owner()), (held) -> dealer.least(held.span()),
+				(held) -> ""));
 	}
 
 	/**
@@ -45,14 +45,16 @@
 	 * @param holder the instance and the life of its backend server
 	 * @return the new map; empty if nothing changes
 	 */
-	public static Optional<KeyMap> withLife(KeyMap map, KeyHolder holder) {
-		boolean none = map.of(holder.instance()).stream().allMatch((held) -> held.life().equals(holder.life()));
+	public static Optional<KeyMap> reassignToIncarnation(KeyMap map, KeyHolder holder) {
+		boolean none = map.heldBy(holder.instance())
+			.stream()
+			.allMatch((held) -> held.incarnation().equals(holder.incarnation()));
 		if (none) {
 			return Optional.empty();
 		}
-		return Optional
-			.of(map.moved((held) -> held.owner().equals(holder.instance()) && !held.life().equals(holder.life()),
-					(held) -> holder, (held) -> ""));
+		return Optional.of(map.reassigned(
+				(held) -> held.owner().equals(holder.instance()) && !held.incarnation().equals(holder.incarnation()),
+				(held) -> holder, (held) -> ""));
 	}
 
 	/**
@@ -64,8 +66,8 @@
 	 * @param holders who can hold keys now
 	 * @return the new map; empty if nothing changes
 	 */
-	public static Optional<KeyMap> retargeted(KeyMap map, Predicate<KeyHolding> whose, List<KeyHolder> holders) {
-		return withoutLeaving(map, Set.of(), whose, holders);
+	public static Optional<KeyMap> retarget(KeyMap map, Predicate<KeyHolding> whose, List<KeyHolder> holders) {
+		return reassignLeaving(map, Set.of(), whose, holders);
 	}
 
 	/**
@@ -76,36 +78,37 @@
 	 * @param holders who can hold keys now, without those that leave
 	 * @return the new map; empty if nothing changes
 	 */
-	public static Optional<KeyMap> withoutLeaving(KeyMap map, Set<InstanceId> leaving, List<KeyHolder> holders) {
-		return withoutLeaving(map, leaving, (held) -> true, holders);
+	public static Optional<KeyMap> reassignLeaving(KeyMap map, Set<InstanceId> leaving, List<KeyHolder> holders) {
+		return reassignLeaving(map, leaving, (held) -> true, holders);
 	}
 
-	private static Optional<KeyMap> withoutLeaving(KeyMap map, Set<InstanceId> leaving, Predicate<KeyHolding> whose,
+	private static Optional<KeyMap> reassignLeaving(KeyMap map, Set<InstanceId> leaving, Predicate<KeyHolding> whose,
 			List<KeyHolder> holders) {
 		Set<InstanceId> able = new HashSet<>(holders.stream().map(KeyHolder::instance).toList());
 		Predicate<KeyHolding> stays = (held) -> !whose.test(held)
-				|| held.next().map(able::contains).orElse(!leaving.contains(held.owner()));
+				|| held.nextHolder().map(able::contains).orElse(!leaving.contains(held.owner()));
 		if (holders.isEmpty() || map.holdings().stream().allMatch(stays)) {
 			return Optional.empty();
 		}
-		Dealer dealer = new Dealer(map, holders);
-		KeyMap planned = map.wanted((held) -> stays.test(held) ? Optional.empty()
+		KeyAllocator dealer = new KeyAllocator(map, holders);
+		KeyMap planned = map.withNextHolders((held) -> stays.test(held) ? Optional.empty()
 				: Optional.of(able.contains(held.owner()) ? held.owner() : dealer.least(held.span()).instance()));
 		return changed(map, planned);
 	}
 
 	/**
 	 * Gives holders that have no keys an even part of them, from those with most. Who has
-	 * some keys may have few because they are busy ones; that is for {@link KeyBalance}.
+	 * some keys may have few because they are busy ones; that is for
+	 * {@link KeyRebalancer}.
 	 * @param map who holds what
 	 * @param holders who can hold keys now
 	 * @return the new map; empty if nothing changes
 	 */
-	public static Optional<KeyMap> evened(KeyMap map, List<KeyHolder> holders) {
+	public static Optional<KeyMap> fillEmptyHolders(KeyMap map, List<KeyHolder> holders) {
 		if (holders.isEmpty()) {
 			return Optional.empty();
 		}
-		Dealer dealer = new Dealer(map, holders);
+		KeyAllocator dealer = new KeyAllocator(map, holders);
 		List<KeyHolder> withoutKeys = dealer.withoutKeys();
 		if (withoutKeys.isEmpty()) {
 			return Optional.empty();
@@ -115,13 +118,13 @@
 		for (KeyHolder poor : withoutKeys) {
 			fillUp(map, dealer, poor.instance(), even, moves);
 		}
-		return changed(map, map.wanted((held) -> Optional.ofNullable(moves.get(held.span()))));
+		return changed(map, map.withNextHolders((held) -> Optional.ofNullable(moves.get(held.span()))));
 	}
 
-	private static void fillUp(KeyMap map, Dealer dealer, InstanceId poor, double even,
+	private static void fillUp(KeyMap map, KeyAllocator dealer, InstanceId poor, double even,
 			Map<KeySpan, InstanceId> moves) {
 		List<KeyHolding> movable = new ArrayList<>(map.holdings());
-		movable.removeIf((held) -> held.next().isPresent() || held.owner().equals(poor));
+		movable.removeIf((held) -> held.nextHolder().isPresent() || held.owner().equals(poor));
 		while (dealer.keys(poor) < even) {
 			Optional<KeyHolding> next = movable.stream()
 				.filter((held) -> dealer.keys(held.owner()) - held.span().size() >= dealer.keys(poor))
@@ -142,17 +145,17 @@
 	/**
 	 * How many keys each holder has or is to have.
 	 */
-	private static final class Dealer {
+	private static final class KeyAllocator {
 
 		private final List<KeyHolder> holders;
 
 		private final Map<InstanceId, Integer> keys = new HashMap<>();
 
-		Dealer(KeyMap map, List<KeyHolder> holders) {
+		KeyAllocator(KeyMap map, List<KeyHolder> holders) {
 			this.holders = holders;
 			holders.forEach((holder) -> this.keys.put(holder.instance(), 0));
 			map.holdings()
-				.forEach((held) -> this.keys.computeIfPresent(held.next().orElse(held.owner()),
+				.forEach((held) -> this.keys.computeIfPresent(held.nextHolder().orElse(held.owner()),
 						(key, had) -> had + held.span().size()));
 		}
 
--- a/core/src/main/java/org/brasspier/core/keys/KeyBalance.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyRebalancer.java
@@ -18,7 +18,7 @@
  * the busiest server gets more than twice the mean and refuses while others rest.
  * Stateless and thread-safe.
  */
-public final class KeyBalance {
+public final class KeyRebalancer {
 
 	/**
 	 * Below this share of what it can do a server has free slots for nearly every
@@ -52,7 +52,7 @@
 	/** The rows that fit an answer to a heartbeat, with room to spare. */
 	private static final int MOST_SPANS = 72;
 
-	private KeyBalance() {
+	private KeyRebalancer() {
 	}
 
 	/**
@@ -68,7 +68,7 @@
 		Round round = new Round(map, loads);
 		Map<KeySpan, InstanceId> moves = new HashMap<>();
 		// A piece that is cut out of a span leaves two in its place.
-		int room = Math.min(MOST_MOVES, (KeyMap.MOST_SPANS - map.holdings().size()) / 2);
+		int room = Math.min(MOST_MOVES, (KeyMap.MAX_SPANS - map.holdings().size()) / 2);
 		while (moves.size() < room) {
 			Optional<Move> move = round.next();
 			if (move.isEmpty()) {
@@ -77,7 +77,7 @@
 			moves.put(move.get().piece.span(), move.get().to);
 			round.carryOut(move.get());
 		}
-		return moves.isEmpty() ? Optional.empty() : Optional.of(map.carved(moves));
+		return moves.isEmpty() ? Optional.empty() : Optional.of(map.withPlannedMoves(moves));
 	}
 
 	/**
@@ -85,12 +85,14 @@
 	 */
 	private static final class Round {
 
-		private final List<Seat> seats;
+		private final List<HolderState> seats;
 
 		private final double mean;
 
 		Round(KeyMap map, List<HolderLoad> loads) {
-			this.seats = loads.stream().map((load) -> new Seat(load, map.of(load.instance()).size())).toList();
+			this.seats = loads.stream()
+				.map((load) -> new HolderState(load, map.heldBy(load.instance()).size()))
+				.toList();
 			double rate = loads.stream().mapToDouble(HolderLoad::rate).sum();
 			this.mean = rate / loads.stream().mapToDouble(HolderLoad::capacity).sum();
 		}
@@ -101,16 +103,16 @@
 			return this.seats.stream()
 				.filter((seat) -> seat.share() >= BUSY
 						&& seat.share() >= this.mean + TRIGGER * Math.max(this.mean, BUSY))
-				.sorted(Comparator.comparingDouble(Seat::share).reversed())
+				.sorted(Comparator.comparingDouble(HolderState::share).reversed())
 				.map(this::from)
 				.flatMap(Optional::stream)
 				.findFirst();
 		}
 
-		private Optional<Move> from(Seat giver) {
+		private Optional<Move> from(HolderState giver) {
 			return this.seats.stream()
 				.filter((seat) -> seat != giver && seat.spans < MOST_SPANS && seat.share() < FULL)
-				.sorted(Comparator.comparingDouble(Seat::share))
+				.sorted(Comparator.comparingDouble(HolderState::share))
 				.map((taker) -> piece(giver, taker).map((piece) -> new Move(giver, taker, piece)))
 				.flatMap(Optional::stream)
 				.findFirst();
@@ -118,7 +120,7 @@
 
 		// The largest piece that fits what the one has too much and the other has room
 		// for; if none is that small, the smallest, provided it helps at all.
-		private Optional<KeyLoad> piece(Seat giver, Seat taker) {
+		private Optional<KeyLoad> piece(HolderState giver, HolderState taker) {
 			double wanted = Math.min(giver.rate - this.mean * giver.load.capacity(),
 					this.mean * taker.load.capacity() - taker.rate);
 			List<KeyLoad> movable = giver.movable();
@@ -141,7 +143,7 @@
 
 	}
 
-	private static final class Seat {
+	private static final class HolderState {
 
 		private final HolderLoad load;
 
@@ -151,7 +153,7 @@
 
 		private int spans;
 
-		Seat(HolderLoad load, int spans) {
+		HolderState(HolderLoad load, int spans) {
 			this.load = load;
 			this.rate = load.rate();
 			this.spans = spans;
@@ -171,15 +173,15 @@
 
 	private static final class Move {
 
-		private final Seat from;
+		private final HolderState from;
 
-		private final Seat taker;
+		private final HolderState taker;
 
 		private final InstanceId to;
 
 		private final KeyLoad piece;
 
-		Move(Seat from, Seat taker, KeyLoad piece) {
+		Move(HolderState from, HolderState taker, KeyLoad piece) {
 			this.from = from;
 			this.taker = taker;
 			this.to = taker.load.instance();
--- a/core/src/main/java/org/brasspier/core/keys/LeaseWatch.java
+++ b/core/src/main/java/org/brasspier/core/keys/LeaseMonitor.java
@@ -18,7 +18,7 @@
  * holder grants nothing beyond them. So nothing needs to be watched for, and the keys of
  * a lost instance wait for a promise's end rather than for a lease's. Not thread-safe.
  */
-public final class LeaseWatch {
+public final class LeaseMonitor {
 
 	/**
 	 * Nobody could renew while the store was away, so nobody is taken for lost as it
@@ -34,7 +34,7 @@
 
 	private final Deputy self;
 
-	private final PromiseBook promises;
+	private final PromiseTracker promises;
 
 	private final Map<InstanceId, Seen> seen = new HashMap<>();
 
@@ -50,7 +50,7 @@
 	 * @param self this process
 	 * @param promises what it has promised
 	 */
-	public LeaseWatch(LeaseTiming timing, Deputy self, PromiseBook promises) {
+	public LeaseMonitor(LeaseTiming timing, Deputy self, PromiseTracker promises) {
 		this.timing = timing;
 		this.self = self;
 		this.promises = promises;
@@ -63,7 +63,7 @@
 	 * @param rows each lease's row
 	 * @param now when the answer came
 	 */
-	public void look(Map<InstanceId, LeaseRow> rows, long now) {
+	public void onRowsRead(Map<InstanceId, LeaseRow> rows, long now) {
 		if (!this.looked || now - this.latestLookNanos > GRACE_NANOS) {
 			this.notBeforeNanos = now + GRACE_NANOS;
 		}
@@ -79,7 +79,7 @@
 	 * @param instance the instance
 	 * @return true if the latest look showed one
 	 */
-	public boolean known(InstanceId instance) {
+	public boolean hasRow(InstanceId instance) {
 		return this.seen.containsKey(instance);
 	}
 
@@ -88,7 +88,7 @@
 	 * @param instance the instance
 	 * @return what the latest look showed; empty if there is no row
 	 */
-	public Optional<Long> version(InstanceId instance) {
+	public Optional<Long> rowVersion(InstanceId instance) {
 		return Optional.ofNullable(this.seen.get(instance)).map((seen) -> seen.row.version());
 	}
 
@@ -108,12 +108,12 @@
 	 * @return false if it has no lease, its lease was taken away, or it was not renewed
 	 * for two intervals
 	 */
-	public boolean renewing(InstanceId instance, boolean heard, long now) {
+	public boolean isRenewing(InstanceId instance, boolean heard, long now) {
 		Seen row = this.seen.get(instance);
 		if (row == null || row.row.taken() || freeForDeputy(instance, row.row, now)) {
 			return false;
 		}
-		return inGrace(now) ? heard : stillNanos(row) <= overdueNanos();
+		return inGracePeriod(now) ? heard : stillNanos(row) <= overdueNanos();
 	}
 
 	/**
@@ -121,13 +121,13 @@
 	 * @param now the time
 	 * @return true for a while
 	 */
-	public boolean inGrace(long now) {
+	public boolean inGracePeriod(long now) {
 		return this.looked && now - this.notBeforeNanos < 0;
 	}
 
 	// A row stands still for an interval, and is looked at as seldom.
 	private long overdueNanos() {
-		return this.timing.renewEvery().toNanos() * 2 + SLACK_NANOS;
+		return this.timing.renewalInterval().toNanos() * 2 + SLACK_NANOS;
 	}
 
 	/**
@@ -137,7 +137,7 @@
 	 * @return the version of its row, to be named in the write that acts on it; 0 if it
 	 * has no row; empty if the lease may still go on
 	 */
-	public Optional<Long> ended(InstanceId instance, long now) {
+	public Optional<Long> endedRowVersion(InstanceId instance, long now) {
 		Seen seen = this.seen.get(instance);
 		if (seen != null && freeForDeputy(instance, seen.row, now)) {
 			return Optional.of(seen.row.version());
@@ -149,13 +149,13 @@
 			return Optional.of(0L);
 		}
 		// Counted to the latest look: that nobody looked for a while says nothing.
-		boolean over = seen.row.taken() || stillNanos(seen) >= this.timing.atMost(this.timing.lease().toNanos());
+		boolean over = seen.row.taken() || stillNanos(seen) >= this.timing.plusDrift(this.timing.lease().toNanos());
 		return over ? Optional.of(seen.row.version()) : Optional.empty();
 	}
 
 	// The holder grants nothing beyond the promises of the deputy that it names.
 	private boolean freeForDeputy(InstanceId instance, LeaseRow row, long now) {
-		return row.deputy().filter(this.self::equals).isPresent() && !this.promises.binds(instance, now);
+		return row.deputy().filter(this.self::equals).isPresent() && !this.promises.isBound(instance, now);
 	}
 
 	private long stillNanos(Seen seen) {
@@ -169,7 +169,7 @@
 	 * @return true if one is not known yet or was not renewed for two intervals, or if
 	 * its holder was promised something and has fallen silent
 	 */
-	public boolean suspicious(Set<InstanceId> holders, long now) {
+	public boolean anySuspect(Set<InstanceId> holders, long now) {
 		return holders.stream().anyMatch((holder) -> {
 			Seen seen = this.seen.get(holder);
 			return seen == null || freeForDeputy(holder, seen.row, now)
--- a/core/src/main/java/org/brasspier/core/keys/LeaseTiming.java
+++ b/core/src/main/java/org/brasspier/core/keys/LeaseTiming.java
@@ -6,13 +6,13 @@
  * The times that leases and grants go by. Immutable and thread-safe.
  *
  * @param lease how long an instance may grant keys after it sent the renewal of its lease
- * @param renewEvery how often it renews
+ * @param renewalInterval how often it renews
  * @param hold how long a backend server may hold keys after it sent the heartbeat that
  * was answered with them; bounded by the lease as well
  * @param promise how long a deputy promises to leave a holder's keys alone
  * @param drift by how much clocks may run apart, as a share
  */
-public record LeaseTiming(Duration lease, Duration renewEvery, Duration hold, Duration promise, double drift) {
+public record LeaseTiming(Duration lease, Duration renewalInterval, Duration hold, Duration promise, double drift) {
 
 	/**
 	 * A lease of ten seconds with a renewal each two outlasts an outage of the store of
@@ -34,11 +34,11 @@
 			throw new IllegalArgumentException(
 					"promise %s must be positive and no longer than lease %s".formatted(promise, lease));
 		}
-		if (!hold.isPositive() || hold.compareTo(lease) > 0 || !renewEvery.isPositive()
-				|| renewEvery.compareTo(lease) >= 0 || drift < 0 || drift > 0.1) {
+		if (!hold.isPositive() || hold.compareTo(lease) > 0 || !renewalInterval.isPositive()
+				|| renewalInterval.compareTo(lease) >= 0 || drift < 0 || drift > 0.1) {
 			throw new IllegalArgumentException(
 					"hold %s must be positive and no longer than lease %s, renewal %s shorter than it, drift %s 0 to 0.1"
-						.formatted(hold, lease, renewEvery, drift));
+						.formatted(hold, lease, renewalInterval, drift));
 		}
 	}
 
@@ -47,9 +47,9 @@
 	 * @param most the longest hold that backend servers accept
 	 * @return times with a hold, and a promise, no longer than that
 	 */
-	public LeaseTiming holdingAtMost(Duration most) {
+	public LeaseTiming withMaxHold(Duration most) {
 		boolean shorter = most.compareTo(this.hold) < 0;
-		return shorter ? new LeaseTiming(this.lease, this.renewEvery, most, most, this.drift) : this;
+		return shorter ? new LeaseTiming(this.lease, this.renewalInterval, most, most, this.drift) : this;
 	}
 
 	/**
@@ -57,7 +57,7 @@
 	 * @param nanos the time granted, in nanoseconds
 	 * @return the time with the drift added, in nanoseconds
 	 */
-	public long atMost(long nanos) {
+	public long plusDrift(long nanos) {
 		return (long) Math.ceil(nanos * (1 + this.drift));
 	}
 
@@ -66,7 +66,7 @@
 	 * @param nanos the time it must end within, in nanoseconds
 	 * @return the time without the drift, in nanoseconds
 	 */
-	public long within(long nanos) {
+	public long minusDrift(long nanos) {
 		return (long) Math.floor(nanos / (1 + this.drift));
 	}
 
--- a/core/src/main/java/org/brasspier/core/keys/OwnLease.java
+++ b/core/src/main/java/org/brasspier/core/keys/OwnLease.java
@@ -51,7 +51,7 @@
 	 * Takes that a renewal is about to be sent.
 	 * @param named the deputy that it names
 	 */
-	public void renewing(Optional<Deputy> named) {
+	public void onRenewalStarted(Optional<Deputy> named) {
 		named.ifPresent(this.unsettled::add);
 	}
 
@@ -62,7 +62,7 @@
 	 * @param version the row's version that it made
 	 * @param named the deputy that it names
 	 */
-	public void renewed(long sentNanos, long version, Optional<Deputy> named) {
+	public void onRenewed(long sentNanos, long version, Optional<Deputy> named) {
 		this.rowVersion = version;
 		this.endNanos = sentNanos + this.timing.lease().toNanos();
 		this.held = sentNanos > this.givenUpNanos;
@@ -76,7 +76,7 @@
 	 * @param from who promised
 	 * @param askedNanos when it was asked for it
 	 */
-	public void promised(Deputy from, long askedNanos) {
+	public void onPromise(Deputy from, long askedNanos) {
 		if (askedNanos <= this.givenUpNanos) {
 			return;
 		}
@@ -90,7 +90,7 @@
 	 * @param answering the process that answered
 	 * @param now the time
 	 */
-	public void heard(Deputy answering, long now) {
+	public void onProcessSeen(Deputy answering, long now) {
 		this.promisedUntilNanos.replaceAll((other, until) -> {
 			boolean replaced = other.instance().equals(answering.instance()) && other.process() != answering.process();
 			return (replaced && now < until) ? FOR_GOOD : until;
@@ -103,7 +103,7 @@
 	 * ends until it is renewed from that version.
 	 * @param version the version that the store showed; 0 if there is no row
 	 */
-	public void overtaken(long version) {
+	public void onRowChanged(long version) {
 		this.rowVersion = version;
 		this.held = false;
 		this.deputy = Optional.empty();
@@ -116,7 +116,7 @@
 	 * counts no more.
 	 * @param now the time
 	 */
-	public void giveUp(long now) {
+	public void relinquish(long now) {
 		this.held = false;
 		this.givenUpNanos = now;
 		this.promisedUntilNanos.clear();
@@ -143,7 +143,7 @@
 	 * @param now the time
 	 * @return nanoseconds; more than a lease if there was none
 	 */
-	public long renewedAgoNanos(long now) {
+	public long nanosSinceRenewal(long now) {
 		long lease = this.timing.lease().toNanos();
 		return this.held ? lease - (this.endNanos - now) : lease + 1;
 	}
@@ -154,7 +154,7 @@
 	 * @param now the time
 	 * @return nanoseconds; 0 if there is none
 	 */
-	public long promisedNanos(Deputy from, long now) {
+	public long promiseRemainingNanos(Deputy from, long now) {
 		return Math.max(0, this.promisedUntilNanos.getOrDefault(from, now) - now);
 	}
 
@@ -169,10 +169,10 @@
 		}
 		long remaining = this.endNanos - now;
 		if (this.deputy.isPresent()) {
-			remaining = Math.min(remaining, promisedNanos(this.deputy.get(), now));
+			remaining = Math.min(remaining, promiseRemainingNanos(this.deputy.get(), now));
 		}
 		for (Deputy other : this.unsettled) {
-			remaining = Math.min(remaining, promisedNanos(other, now));
+			remaining = Math.min(remaining, promiseRemainingNanos(other, now));
 		}
 		return Math.max(0, remaining);
 	}
--- a/core/src/main/java/org/brasspier/core/keys/PromiseBook.java
+++ b/core/src/main/java/org/brasspier/core/keys/PromiseTracker.java
@@ -10,7 +10,7 @@
  * their keys for a while. All times are nanoseconds of a clock that also runs while the
  * machine is suspended. Not thread-safe.
  */
-public final class PromiseBook {
+public final class PromiseTracker {
 
 	private final LeaseTiming timing;
 
@@ -22,7 +22,7 @@
 	 * Creates a book without promises.
 	 * @param timing the times
 	 */
-	public PromiseBook(LeaseTiming timing) {
+	public PromiseTracker(LeaseTiming timing) {
 		this.timing = timing;
 	}
 
@@ -40,7 +40,7 @@
 		if (tried != null && tried >= rowVersion) {
 			return false;
 		}
-		this.boundUntilNanos.put(holder, now + this.timing.atMost(this.timing.promise().toNanos()));
+		this.boundUntilNanos.put(holder, now + this.timing.plusDrift(this.timing.promise().toNanos()));
 		return true;
 	}
 
@@ -48,7 +48,7 @@
 	 * Takes that a holder needs no promise any more: it grants nothing.
 	 * @param holder the holder
 	 */
-	public void released(InstanceId holder) {
+	public void release(InstanceId holder) {
 		this.boundUntilNanos.remove(holder);
 	}
 
@@ -58,7 +58,7 @@
 	 * @param now the time
 	 * @return true if its keys must be left alone
 	 */
-	public boolean binds(InstanceId holder, long now) {
+	public boolean isBound(InstanceId holder, long now) {
 		Long until = this.boundUntilNanos.get(holder);
 		return until != null && now - until < 0;
 	}
@@ -68,7 +68,7 @@
 	 * @param holder the holder
 	 * @param rowVersion the version of its lease row that the write names
 	 */
-	public void attempting(InstanceId holder, long rowVersion) {
+	public void recordTakeoverAttempt(InstanceId holder, long rowVersion) {
 		this.attempted.merge(holder, rowVersion, Math::max);
 	}
 
--- a/core/src/main/java/org/brasspier/core/mesh/BackendTrack.java
+++ b/core/src/main/java/org/brasspier/core/mesh/BackendTracker.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.keys.BackendIncarnation;
 
 /**
  * Follows the lives of the one backend server beside a daemon by what it says. Messages
@@ -15,7 +15,7 @@
  * none of them may change what is known of the life that goes on. All times are
  * nanoseconds of one steady clock. Not thread-safe.
  */
-public final class BackendTrack {
+public final class BackendTracker {
 
 	/**
 	 * A server that gives no time of its start is taken for a new life only once the
@@ -33,14 +33,14 @@
 	/** So long its port must have been found closed, each time that it was tried. */
 	private static final long DEAD_CLOSED_NANOS = Duration.ofMillis(500).toNanos();
 
-	private final Set<BackendLife> leaving = new HashSet<>();
+	private final Set<BackendIncarnation> leaving = new HashSet<>();
 
 	// Of servers that left before this process heard of their life.
 	private final Set<String> leavingIds = new HashSet<>();
 
-	private final Map<BackendLife, Long> lastNumbers = new HashMap<>();
+	private final Map<BackendIncarnation, Long> lastNumbers = new HashMap<>();
 
-	private Optional<BackendLife> life = Optional.empty();
+	private Optional<BackendIncarnation> incarnation = Optional.empty();
 
 	private BackendPhase phase = BackendPhase.ABSENT;
 
@@ -64,8 +64,8 @@
 	 * @param now the time
 	 * @return false if it tells nothing new: it is late, or of a life that is over
 	 */
-	public boolean beat(BackendLife from, long number, boolean draining, long now) {
-		if (!this.life.equals(Optional.of(from))) {
+	public boolean onHeartbeat(BackendIncarnation from, long number, boolean draining, long now) {
+		if (!this.incarnation.equals(Optional.of(from))) {
 			if (!begins(from, number, now)) {
 				if (draining) {
 					this.leaving.add(from);
@@ -88,28 +88,28 @@
 		return true;
 	}
 
-	private void begin(BackendLife from, boolean leaves) {
-		this.life = Optional.of(from);
+	private void begin(BackendIncarnation from, boolean leaves) {
+		this.incarnation = Optional.of(from);
 		this.phase = leaves ? BackendPhase.DRAINING : BackendPhase.READY;
 		this.seenReady = !leaves;
 	}
 
 	// A life's first heartbeat shows that it began after whatever left under its id.
-	private boolean leaves(BackendLife from, long number) {
-		boolean first = from.bornMillis() > 0 && number == 1;
+	private boolean leaves(BackendIncarnation from, long number) {
+		boolean first = from.startedMillis() > 0 && number == 1;
 		return this.leaving.contains(from) || (this.leavingIds.contains(from.id()) && !first);
 	}
 
-	private boolean begins(BackendLife from, long number, long now) {
+	private boolean begins(BackendIncarnation from, long number, long now) {
 		if (number <= this.lastNumbers.getOrDefault(from, -1L)) {
 			return false;
 		}
-		if (this.life.isEmpty()) {
+		if (this.incarnation.isEmpty()) {
 			return true;
 		}
-		BackendLife known = this.life.get();
-		if (from.bornMillis() > 0 && known.bornMillis() > 0) {
-			return from.bornMillis() > known.bornMillis();
+		BackendIncarnation known = this.incarnation.get();
+		if (from.startedMillis() > 0 && known.startedMillis() > 0) {
+			return from.startedMillis() > known.startedMillis();
 		}
 		return !from.id().equals(known.id()) && now - this.heardNanos >= SILENT_NANOS;
 	}
@@ -120,12 +120,12 @@
 	 * @param id its id
 	 * @return false if it isn't the known one
 	 */
-	public boolean departed(String id) {
-		if (this.life.filter((known) -> known.id().equals(id)).isEmpty()) {
+	public boolean onDeparture(String id) {
+		if (this.incarnation.filter((known) -> known.id().equals(id)).isEmpty()) {
 			this.leavingIds.add(id);
 			return false;
 		}
-		this.life.ifPresent(this.leaving::add);
+		this.incarnation.ifPresent(this.leaving::add);
 		this.phase = BackendPhase.DEPARTED;
 		return true;
 	}
@@ -134,9 +134,9 @@
 	 * Takes that an earlier process has acknowledged a server's leaving.
 	 * @param left the server's life
 	 */
-	public void left(BackendLife left) {
+	public void restoreDeparture(BackendIncarnation left) {
 		this.leaving.add(left);
-		if (this.phase == BackendPhase.READY && this.life.equals(Optional.of(left))) {
+		if (this.phase == BackendPhase.READY && this.incarnation.equals(Optional.of(left))) {
 			begin(left, true);
 		}
 	}
@@ -153,8 +153,8 @@
 	 * The life that was last heard of.
 	 * @return empty if none ever was
 	 */
-	public Optional<BackendLife> life() {
-		return this.life;
+	public Optional<BackendIncarnation> incarnation() {
+		return this.incarnation;
 	}
 
 	/**
@@ -178,7 +178,7 @@
 	 * @param open whether anything listens there
 	 * @param now the time
 	 */
-	public void tried(boolean open, long now) {
+	public void onConnectionAttempt(boolean open, long now) {
 		if (!open && !this.closed) {
 			this.closedSinceNanos = now;
 		}
@@ -191,7 +191,7 @@
 	 * @param now the time
 	 * @return true if its port stays closed and it is silent
 	 */
-	public boolean dead(long now) {
+	public boolean isDead(long now) {
 		return this.closed && this.closedSeenNanos - this.closedSinceNanos >= DEAD_CLOSED_NANOS
 				&& this.closedSeenNanos - this.heardNanos > 0 && silentNanos(now) >= DEAD_SILENT_NANOS;
 	}
--- a/core/src/main/java/org/brasspier/core/mesh/FeedPace.java
+++ b/core/src/main/java/org/brasspier/core/mesh/FeedTiming.java
@@ -9,7 +9,7 @@
  * other and not together: whatever silences them is noticed by some daemon soon, which
  * tells the others. Not thread-safe; one for each feed.
  */
-public final class FeedPace {
+public final class FeedTiming {
 
 	/** A longer wait saves few calls and finds a silent connection later. */
 	private static final Duration LONGEST_WAIT = Duration.ofSeconds(6);
@@ -59,7 +59,7 @@
 	 * Takes that the store answered.
 	 * @param changed whether it told a change
 	 */
-	public void answered(boolean changed) {
+	public void onAnswer(boolean changed) {
 		this.inStep = changed || this.doubted;
 		this.doubted = false;
 		this.pause = FIRST_PAUSE;
@@ -71,7 +71,7 @@
 	 * @return how long to wait before the next call; calls that hang are not slowed down
 	 * further
 	 */
-	public Duration failed(Duration took) {
+	public Duration onFailure(Duration took) {
 		this.doubted = true;
 		Duration left = this.pause.minus(took);
 		Duration doubled = this.pause.multipliedBy(2);
@@ -83,7 +83,7 @@
 	 * Whether the store may be silent or turn this instance away.
 	 * @return true until it answers
 	 */
-	public boolean doubted() {
+	public boolean isSuspect() {
 		return this.doubted;
 	}
 
@@ -91,7 +91,7 @@
 	 * Takes that the store may be silent, for a reason other than a call of this feed.
 	 * @return false if that is known already, so that a call without a wait is under way
 	 */
-	public boolean doubt() {
+	public boolean markSuspect() {
 		boolean news = !this.doubted;
 		this.doubted = true;
 		return news;
--- a/core/src/main/java/org/brasspier/core/mesh/FollowedReaders.java
+++ b/core/src/main/java/org/brasspier/core/mesh/FollowedReaders.java
@@ -17,7 +17,7 @@
 public final class FollowedReaders {
 
 	/** How often a reader is asked; news comes without being asked for. */
-	public static final Duration ASK_EVERY = Duration.ofMillis(400);
+	public static final Duration POLL_INTERVAL = Duration.ofMillis(400);
 
 	/** Two askings and a way. */
 	private static final long HEARD_NANOS = Duration.ofMillis(900).toNanos();
@@ -46,7 +46,7 @@
 	 * @return true if the store answered the reader before and no longer does, so that
 	 * others may be waiting in vain as well
 	 */
-	public boolean heard(InstanceId reader, boolean readsStore, long now) {
+	public boolean onReport(InstanceId reader, boolean readsStore, long now) {
 		if (readsStore) {
 			this.current.put(reader, now);
 			return false;
@@ -58,7 +58,7 @@
 	 * Takes that a reader can't be reached any more.
 	 * @param reader the reader
 	 */
-	public void lost(InstanceId reader) {
+	public void onUnreachable(InstanceId reader) {
 		this.current.remove(reader);
 	}
 
@@ -68,7 +68,7 @@
 	 * @param now the time
 	 * @return false if it has to follow the store itself
 	 */
-	public boolean covered(Collection<InstanceId> followed, long now) {
+	public boolean receivesUpdates(Collection<InstanceId> followed, long now) {
 		this.current.keySet().retainAll(followed);
 		return this.current.values().stream().anyMatch((heard) -> now - heard < this.patienceNanos);
 	}
--- a/core/src/main/java/org/brasspier/core/mesh/AbsentInstances.java
+++ b/core/src/main/java/org/brasspier/core/mesh/InstanceBackoff.java
@@ -13,7 +13,7 @@
  * it itself. Without this, requests for a service of three servers met the two that were
  * gone and were refused, though the third had room. Not thread-safe.
  */
-public final class AbsentInstances {
+public final class InstanceBackoff {
 
 	/**
 	 * Several requests' way there and back: a server that restarts is missed for long.
@@ -30,7 +30,7 @@
 	 * @param instance the instance
 	 * @param now the time, in nanoseconds
 	 */
-	public void absent(InstanceId instance, long now) {
+	public void recordFailure(InstanceId instance, long now) {
 		Absence before = this.absences.get(instance);
 		long pause = (before != null) ? Math.min(LONGEST_NANOS, before.pauseNanos * 2) : FIRST_NANOS;
 		this.absences.put(instance, new Absence(pause, now + pause));
@@ -40,7 +40,7 @@
 	 * Takes that an instance's backend server was there.
 	 * @param instance the instance
 	 */
-	public void present(InstanceId instance) {
+	public void recordSuccess(InstanceId instance) {
 		this.absences.remove(instance);
 	}
 
@@ -50,7 +50,7 @@
 	 * @param now the time, in nanoseconds
 	 * @return false once it is time to try it again
 	 */
-	public boolean avoided(InstanceId instance, long now) {
+	public boolean shouldAvoid(InstanceId instance, long now) {
 		Absence absence = this.absences.get(instance);
 		return absence != null && now - absence.untilNanos < 0;
 	}
--- a/core/src/main/java/org/brasspier/core/mesh/LinkDelay.java
+++ b/core/src/main/java/org/brasspier/core/mesh/LinkDelay.java
@@ -18,7 +18,7 @@
 	 * answer, and counts the request's outcome as unknown: nobody waits for what was held
 	 * up longer.
 	 */
-	public static final Duration GIVEN_UP_AFTER = Duration.ofMillis(400);
+	public static final Duration SILENCE_TIMEOUT = Duration.ofMillis(400);
 
 	private long quickestNanos;
 
@@ -29,7 +29,7 @@
 	 * receiver
 	 * @return nanoseconds that it was held up, at least 0
 	 */
-	public long heldUpNanos(long sentNanos, long receivedNanos) {
+	public long delayNanos(long sentNanos, long receivedNanos) {
 		long tookNanos = receivedNanos - sentNanos;
 		this.quickestNanos = Math.min(this.quickestNanos, tookNanos);
 		return tookNanos - this.quickestNanos;
@@ -40,8 +40,8 @@
 	 * @param heldUpNanos the time
 	 * @return true if nobody waits for it
 	 */
-	public static boolean givenUp(long heldUpNanos) {
-		return heldUpNanos >= GIVEN_UP_AFTER.toNanos();
+	public static boolean exceedsTimeout(long heldUpNanos) {
+		return heldUpNanos >= SILENCE_TIMEOUT.toNanos();
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/mesh/LoopLag.java
+++ b/core/src/main/java/org/brasspier/core/mesh/LoopLag.java
@@ -12,7 +12,7 @@
 public final class LoopLag {
 
 	/** How often the timer fires while requests come. */
-	public static final Duration TICK = Duration.ofMillis(25);
+	public static final Duration TICK_INTERVAL = Duration.ofMillis(25);
 
 	/**
 	 * Behind by this much, a request costs others more than it gains: it is the target
@@ -31,7 +31,7 @@
 	 * @param dueNanos when it was due, by a steady clock
 	 * @param now when it came
 	 */
-	public void ticked(long dueNanos, long now) {
+	public void onTick(long dueNanos, long now) {
 		this.lagNanos = Math.max(0, now - dueNanos);
 		this.tickedNanos = now;
 	}
@@ -44,7 +44,7 @@
 	 * @return nanoseconds, at least 0
 	 */
 	public long lagNanos(long now) {
-		return Math.max(this.lagNanos, now - this.tickedNanos - TICK.toNanos());
+		return Math.max(this.lagNanos, now - this.tickedNanos - TICK_INTERVAL.toNanos());
 	}
 
 	/**
@@ -62,7 +62,7 @@
 	 * @param now the time
 	 * @return true if the loop is too far behind
 	 */
-	public boolean shedding(long now) {
+	public boolean shouldShed(long now) {
 		return lagNanos(now) >= SHED_NANOS;
 	}
 
--- a/core/src/main/java/org/brasspier/core/mesh/OverdueRequests.java
+++ b/core/src/main/java/org/brasspier/core/mesh/OverdueRequestDetector.java
@@ -10,7 +10,7 @@
  * The load is an overload: who is served late in place of one that could be answered in
  * time makes both late. Not thread-safe.
  */
-public final class OverdueRequests {
+public final class OverdueRequestDetector {
 
 	/**
 	 * By how many targets a request must have less time left than others of its route:
@@ -40,7 +40,7 @@
 	 * @param remainingMillis how long its caller still waits, in milliseconds
 	 * @return true if it can't be answered within its target any more
 	 */
-	public boolean overdue(RouteRule route, int remainingMillis) {
+	public boolean isOverdue(RouteRule route, int remainingMillis) {
 		double known = this.longestMillis.getOrDefault(route.name(), 0.0) * FADE;
 		double longest = Math.max(known, remainingMillis);
 		this.longestMillis.put(route.name(), longest);
--- a/core/src/main/java/org/brasspier/core/mesh/ReaderChoice.java
+++ b/core/src/main/java/org/brasspier/core/mesh/ReaderChoice.java
@@ -93,7 +93,7 @@
 	 * Whether this daemon reads the store for others.
 	 * @return true if so
 	 */
-	public boolean reads() {
+	public boolean isReader() {
 		return this.position >= 0;
 	}
 
--- a/core/src/main/java/org/brasspier/core/mesh/ResendRules.java
+++ b/core/src/main/java/org/brasspier/core/mesh/RequestRetryPolicy.java
@@ -9,7 +9,7 @@
  * from a budget. A daemon that turns a request away before it reaches its backend server
  * costs no slot, so that is free but bounded. Not thread-safe; one for each request.
  */
-public final class ResendRules {
+public final class RequestRetryPolicy {
 
 	/**
 	 * Daemons that may turn one request away before it is given up. When two are full the
@@ -29,7 +29,7 @@
 
 	private final RouteRule route;
 
-	private final ResendBudget budget;
+	private final ServiceRetryBudget budget;
 
 	private int reached;
 
@@ -44,7 +44,7 @@
 	 * @param route its route
 	 * @param budget what repeats are paid from
 	 */
-	public ResendRules(RouteRule route, ResendBudget budget) {
+	public RequestRetryPolicy(RouteRule route, ServiceRetryBudget budget) {
 		this.route = route;
 		this.budget = budget;
 	}
@@ -55,7 +55,7 @@
 	 * @param enoughTime whether another send could still be answered in time
 	 * @return true if the request is to be sent once more
 	 */
-	public boolean again(SendOutcome outcome, boolean enoughTime) {
+	public boolean shouldRetry(SendOutcome outcome, boolean enoughTime) {
 		return switch (outcome) {
 			case SendOutcome.Answered answered -> {
 				this.reached++;
@@ -67,18 +67,19 @@
 				this.mayHaveRun = true;
 				yield repeat(enoughTime);
 			}
-			case SendOutcome.NotRun notRun -> notRun.reached() ? declined(enoughTime) : turned(notRun, enoughTime);
+			case SendOutcome.NotRun notRun ->
+				notRun.reachedBackend() ? declined(enoughTime) : turned(notRun, enoughTime);
 		};
 	}
 
 	private boolean repeat(boolean enoughTime) {
 		return this.route.idempotent() && enoughTime && this.reached < this.route.maxAttempts()
-				&& this.budget.spendOnRerun();
+				&& this.budget.trySpendOnRerun();
 	}
 
 	private boolean declined(boolean enoughTime) {
 		this.reached++;
-		return enoughTime && this.reached < this.route.maxAttempts() && this.budget.spend();
+		return enoughTime && this.reached < this.route.maxAttempts() && this.budget.trySpend();
 	}
 
 	private boolean turned(SendOutcome.NotRun outcome, boolean enoughTime) {
--- a/core/src/main/java/org/brasspier/core/mesh/RetryPause.java
+++ b/core/src/main/java/org/brasspier/core/mesh/RetryAfter.java
@@ -9,7 +9,7 @@
  * refused again, and its second request would take the place of somebody's first. Where
  * nobody knows, it is as long as the caller can wait. Stateless and thread-safe.
  */
-public final class RetryPause {
+public final class RetryAfter {
 
 	/** Below a third, so that the way to the caller doesn't push it over. */
 	private static final double MOST_SHARE = 0.3;
@@ -17,7 +17,7 @@
 	/** A pause shorter than the way to most callers and back is none. */
 	private static final Duration SHORTEST = Duration.ofMillis(20);
 
-	private RetryPause() {
+	private RetryAfter() {
 	}
 
 	/**
--- a/core/src/main/java/org/brasspier/core/mesh/RoutingConfig.java
+++ b/core/src/main/java/org/brasspier/core/mesh/RoutingConfig.java
@@ -102,7 +102,7 @@
 	 * Whether a configuration is known at all.
 	 * @return false for {@link #NONE}
 	 */
-	public boolean known() {
+	public boolean isKnown() {
 		return this.version > 0;
 	}
 
@@ -172,7 +172,7 @@
 	 * @param service the service
 	 * @return rules for each class
 	 */
-	public AdmissionSettings admission(ServiceName service) {
+	public AdmissionSettings admissionSettings(ServiceName service) {
 		Map<RequestClass, ClassRules> rules = new EnumMap<>(AdmissionSettings.DEFAULT.classes());
 		for (RequestClass requestClass : RequestClass.values()) {
 			target(service, requestClass).ifPresent((target) -> rules.put(requestClass, rules(requestClass, target)));
--- a/core/src/main/java/org/brasspier/core/mesh/RowExchange.java
+++ b/core/src/main/java/org/brasspier/core/mesh/RowExchange.java
@@ -35,12 +35,12 @@
 	 * @param now the time
 	 * @return what to do
 	 */
-	public Step noticed(KnownRows own, KnownRows other, long now) {
+	public Action compare(KnownRows own, KnownRows other, long now) {
 		boolean ahead = own.aheadOf(other);
 		boolean behind = other.aheadOf(own);
 		if (!ahead && !behind) {
 			this.differ = false;
-			return Step.NOTHING;
+			return Action.NOTHING;
 		}
 		if (!this.differ) {
 			this.differ = true;
@@ -49,23 +49,23 @@
 		boolean nothingKnown = other.config() == 0 || other.mesh() == 0;
 		boolean due = nothingKnown || now - this.differSinceNanos >= BEHIND_NANOS;
 		if (!due || (this.spoke && now - this.spokeNanos < AGAIN_NANOS)) {
-			return Step.NOTHING;
+			return Action.NOTHING;
 		}
 		this.spoke = true;
 		this.spokeNanos = now;
-		return new Step(ahead, behind);
+		return new Action(ahead, behind);
 	}
 
 	/**
 	 * What to do.
 	 *
-	 * @param tell whether to tell the other one what it lacks
-	 * @param ask whether to ask it for what this one lacks
+	 * @param send whether to tell the other one what it lacks
+	 * @param request whether to ask it for what this one lacks
 	 */
-	public record Step(boolean tell, boolean ask) {
+	public record Action(boolean send, boolean request) {
 
 		/** Both know the same, or will soon. */
-		public static final Step NOTHING = new Step(false, false);
+		public static final Action NOTHING = new Action(false, false);
 
 	}
 
--- a/core/src/main/java/org/brasspier/core/mesh/RowRequests.java
+++ b/core/src/main/java/org/brasspier/core/mesh/RowRequestThrottle.java
@@ -9,7 +9,7 @@
  * are connections, and a narrow network would carry nothing else for seconds. One is
  * asked at a time. Not thread-safe; one for each daemon.
  */
-public final class RowRequests {
+public final class RowRequestThrottle {
 
 	/** After so long without an answer another daemon is asked. */
 	private static final long ANSWERED_WITHIN_NANOS = Duration.ofSeconds(1).toNanos();
@@ -23,7 +23,7 @@
 	 * @param now the time
 	 * @return false while an answer is expected
 	 */
-	public boolean mayAsk(long now) {
+	public boolean tryRequest(long now) {
 		if (this.waits && now - this.askedNanos < ANSWERED_WITHIN_NANOS) {
 			return false;
 		}
@@ -33,7 +33,7 @@
 	}
 
 	/** Takes that rows came which were not known. */
-	public void answered() {
+	public void onRowsReceived() {
 		this.waits = false;
 	}
 
--- a/core/src/main/java/org/brasspier/core/mesh/SendOutcome.java
+++ b/core/src/main/java/org/brasspier/core/mesh/SendOutcome.java
@@ -20,10 +20,10 @@
 	 * It certainly did not run and never will.
 	 *
 	 * @param failure why, and when to try again
-	 * @param reached whether it came as far as a backend server, which counts as a repeat
-	 * if it is sent once more
+	 * @param reachedBackend whether it came as far as a backend server, which counts as a
+	 * repeat if it is sent once more
 	 */
-	record NotRun(Failure failure, boolean reached) implements SendOutcome {
+	record NotRun(Failure failure, boolean reachedBackend) implements SendOutcome {
 	}
 
 	/**
--- a/core/src/main/java/org/brasspier/core/mesh/ResendBudget.java
+++ b/core/src/main/java/org/brasspier/core/mesh/ServiceRetryBudget.java
@@ -11,7 +11,7 @@
  * repeats a request without that and gets 0.19 with it, where operators allow 0.2. Not
  * thread-safe.
  */
-public final class ResendBudget {
+public final class ServiceRetryBudget {
 
 	/** A request that runs usually makes one call, so its repeat is two sends. */
 	private static final int SENDS_OF_A_RERUN = 2;
@@ -25,7 +25,7 @@
 	 * @param share what one fresh request adds, from 0 to 1
 	 * @param mostSaved the most repeats that can be saved up, at least 1
 	 */
-	public ResendBudget(double share, int mostSaved) {
+	public ServiceRetryBudget(double share, int mostSaved) {
 		this.all = new RetryBudget(share, mostSaved);
 		this.reruns = new RetryBudget(share / SENDS_OF_A_RERUN, mostSaved);
 	}
@@ -35,33 +35,33 @@
 	 * share it has changed.
 	 * @param most the most repeats that can be saved up, at least 1
 	 */
-	public void mostSaved(int most) {
-		this.all.mostSaved(most);
-		this.reruns.mostSaved(most);
+	public void setMostSaved(int most) {
+		this.all.setMostSaved(most);
+		this.reruns.setMostSaved(most);
 	}
 
 	/**
 	 * Counts a request that is sent for the first time.
 	 */
-	public void fresh() {
-		this.all.fresh();
-		this.reruns.fresh();
+	public void recordRequest() {
+		this.all.recordRequest();
+		this.reruns.recordRequest();
 	}
 
 	/**
 	 * Pays for a repeat of what certainly did not run.
 	 * @return false if there is nothing left, and it must not be sent
 	 */
-	public boolean spend() {
-		return this.all.spend();
+	public boolean trySpend() {
+		return this.all.trySpend();
 	}
 
 	/**
 	 * Pays for a repeat of what has or may have run, and may have made calls.
 	 * @return false if there is nothing left, and it must not be sent
 	 */
-	public boolean spendOnRerun() {
-		return this.all.left() && this.reruns.spend() && this.all.spend();
+	public boolean trySpendOnRerun() {
+		return this.all.canSpend() && this.reruns.trySpend() && this.all.trySpend();
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/mesh/ServiceRule.java
+++ b/core/src/main/java/org/brasspier/core/mesh/ServiceRule.java
@@ -10,11 +10,11 @@
  *
  * @param name the service's name
  * @param maxConnections how many connections one backend server accepts, at least 1
- * @param byKey whether its backend servers run a request only while they hold its key
+ * @param sharded whether its backend servers run a request only while they hold its key
  * @param grants how its backend servers receive grants of keys; empty if the settings of
  * each daemon say so
  */
-public record ServiceRule(ServiceName name, int maxConnections, boolean byKey, Optional<GrantDelivery> grants) {
+public record ServiceRule(ServiceName name, int maxConnections, boolean sharded, Optional<GrantDelivery> grants) {
 
 	/**
 	 * Checks the rule.
--- a/core/src/main/java/org/brasspier/core/request/BackendLiveness.java
+++ b/core/src/main/java/org/brasspier/core/request/BackendLiveness.java
@@ -32,16 +32,16 @@
 	 * It announced itself.
 	 * @param nowNanos the time on a monotonic clock
 	 */
-	public void announced(long nowNanos) {
+	public void onAnnouncement(long nowNanos) {
 		this.known = true;
 		this.announcedAtNanos = nowNanos;
-		heard();
+		onAnswer();
 	}
 
 	/**
 	 * It answered a probe or an order.
 	 */
-	public void heard() {
+	public void onAnswer() {
 		this.silentProbes = 0;
 		this.lost = false;
 		this.gone = false;
@@ -50,7 +50,7 @@
 	/**
 	 * A probe got no answer in time.
 	 */
-	public void silent() {
+	public void onProbeTimeout() {
 		this.silentProbes++;
 		this.lost |= this.silentProbes >= SILENT_PROBES;
 	}
@@ -58,7 +58,7 @@
 	/**
 	 * Its port refused a connection, so nobody listens there.
 	 */
-	public void refused() {
+	public void onConnectionRefused() {
 		this.lost = true;
 		this.gone = true;
 	}
@@ -67,7 +67,7 @@
 	 * Whether its process is known to be gone, not only silent.
 	 * @return true from a refused connection until it is heard of again
 	 */
-	public boolean gone() {
+	public boolean isGone() {
 		return this.gone;
 	}
 
@@ -76,7 +76,7 @@
 	 * @param nowNanos the time on the same clock
 	 * @return false before its first announcement, and while it is lost
 	 */
-	public boolean alive(long nowNanos) {
+	public boolean isAlive(long nowNanos) {
 		return this.known && !this.lost && nowNanos - this.announcedAtNanos < ANNOUNCEMENT_NANOS;
 	}
 
--- a/core/src/main/java/org/brasspier/core/request/CallerRequest.java
+++ b/core/src/main/java/org/brasspier/core/request/CallerRequest.java
@@ -17,7 +17,7 @@
  *
  * @param service the service asked for
  * @param key the key; always present where the service is divided by key
- * @param byKey whether the service is divided by key
+ * @param sharded whether the service is divided by key
  * @param identity what tells this request from others
  * @param requestClass what the request is worth and whether it may run twice
  * @param caller under whose share the request counts
@@ -27,7 +27,7 @@
  * @param headers header fields passed through
  * @param body the body, empty if none
  */
-public record CallerRequest(ServiceName service, Optional<String> key, boolean byKey, RequestIdentity identity,
+public record CallerRequest(ServiceName service, Optional<String> key, boolean sharded, RequestIdentity identity,
 		RequestClass requestClass, CallerId caller, int remainingMillis, Target target, List<HeaderField> headers,
 		byte[] body) {
 
@@ -36,7 +36,7 @@
 	 * @throws IllegalArgumentException if a service divided by key lacks the key
 	 */
 	public CallerRequest {
-		if (byKey && key.isEmpty()) {
+		if (sharded && key.isEmpty()) {
 			throw new IllegalArgumentException(
 					"service %s is divided by key, and Brasspier-Key is missing (see TROUBLESHOOTING.md#bad-key)"
 						.formatted(service));
@@ -57,8 +57,8 @@
 	 * where the service is not divided by key.
 	 * @return the point
 	 */
-	public KeyHash hash() {
-		return KeyHash.of((this.byKey) ? this.key.orElseThrow() : id().value());
+	public KeyHash keyHash() {
+		return KeyHash.of((this.sharded) ? this.key.orElseThrow() : id().value());
 	}
 
 	/**
@@ -81,8 +81,8 @@
 	 * where that was made up and a resend has another, its contents.
 	 * @return 64 bits
 	 */
-	public long mark() {
-		return (this.identity.madeUp()) ? fingerprint()
+	public long crashFingerprint() {
+		return (this.identity.generated()) ? fingerprint()
 				: Hashing.komihash5_0().hashCharsToLong(this.service.value() + "/" + id().value());
 	}
 
@@ -92,7 +92,7 @@
 	 * @return the copy
 	 */
 	public CallerRequest withRemainingMillis(int millis) {
-		return new CallerRequest(this.service, this.key, this.byKey, this.identity, this.requestClass, this.caller,
+		return new CallerRequest(this.service, this.key, this.sharded, this.identity, this.requestClass, this.caller,
 				millis, this.target, this.headers, this.body);
 	}
 
@@ -100,10 +100,10 @@
 	 * The same request after a send that may have run.
 	 * @return the copy, which is no first send
 	 */
-	public CallerRequest resent() {
-		RequestIdentity again = new RequestIdentity(this.identity.id(), this.identity.madeUp(), false,
+	public CallerRequest asRetry() {
+		RequestIdentity again = new RequestIdentity(this.identity.id(), this.identity.generated(), false,
 				this.identity.ticket());
-		return new CallerRequest(this.service, this.key, this.byKey, again, this.requestClass, this.caller,
+		return new CallerRequest(this.service, this.key, this.sharded, again, this.requestClass, this.caller,
 				this.remainingMillis, this.target, this.headers, this.body);
 	}
 
--- a/core/src/main/java/org/brasspier/core/request/CrashHistory.java
+++ b/core/src/main/java/org/brasspier/core/request/CrashHistory.java
@@ -37,12 +37,12 @@
 
 	/**
 	 * A request was running when its backend server was lost.
-	 * @param mark the request's mark, see {@link CallerRequest#mark()}
+	 * @param mark the request's mark, see {@link CallerRequest#crashFingerprint()}
 	 * @param point the point of its key or id
 	 * @return how many losses it was part of by now
 	 */
-	public int crashed(long mark, KeyHash point) {
-		int crashes = count(mark) + 1;
+	public int recordCrash(long mark, KeyHash point) {
+		int crashes = crashCount(mark) + 1;
 		put(mark, new Suspect(crashes, Optional.of(point)));
 		return crashes;
 	}
@@ -51,7 +51,7 @@
 	 * A request ended well; it is no longer suspect.
 	 * @param mark the request's mark
 	 */
-	public void endedWell(long mark) {
+	public void recordSuccess(long mark) {
 		this.suspects.remove(mark);
 	}
 
@@ -64,7 +64,7 @@
 		marks.forEach((mark) -> {
 			Optional<KeyHash> point = Optional.ofNullable(this.suspects.get(mark.requestHash()))
 				.flatMap(Suspect::point);
-			put(mark.requestHash(), new Suspect(Math.max(mark.crashes(), count(mark.requestHash())), point));
+			put(mark.requestHash(), new Suspect(Math.max(mark.crashes(), crashCount(mark.requestHash())), point));
 		});
 	}
 
@@ -73,7 +73,7 @@
 	 * @param mark the request's mark
 	 * @return 0 if it is not suspect
 	 */
-	public int count(long mark) {
+	public int crashCount(long mark) {
 		Suspect suspect = this.suspects.get(mark);
 		return (suspect != null) ? suspect.crashes : 0;
 	}
@@ -92,7 +92,7 @@
 	 * @param range the range
 	 * @return at most {@link CrashMark#MAX_PER_RANGE}
 	 */
-	public List<CrashMark> goingWith(KeyRange range) {
+	public List<CrashMark> marksFor(KeyRange range) {
 		return this.suspects.reversed()
 			.entrySet()
 			.stream()
--- a/core/src/main/java/org/brasspier/core/request/Admission.java
+++ b/core/src/main/java/org/brasspier/core/request/LedgerDecision.java
@@ -6,24 +6,24 @@
 /**
  * What the ledger says to one send of a posting. Immutable and thread-safe.
  */
-public sealed interface Admission {
+public sealed interface LedgerDecision {
 
 	/** It has not run; run it now and tell the ledger how it ended. */
-	record Run() implements Admission {
+	record Run() implements LedgerDecision {
 
 	}
 
 	/** An earlier send of it runs now; wait for that one's end. */
-	record Join() implements Admission {
+	record Join() implements LedgerDecision {
 
 	}
 
 	/**
 	 * An earlier send of it has ended; this is its answer again.
 	 *
-	 * @param end how the earlier send ended
+	 * @param outcome how the earlier send ended
 	 */
-	record Ended(Either<Failure, Answer> end) implements Admission {
+	record Completed(Either<Failure, Answer> outcome) implements LedgerDecision {
 
 	}
 
@@ -32,7 +32,7 @@
 	 *
 	 * @param failure why
 	 */
-	record Refused(Failure failure) implements Admission {
+	record Refused(Failure failure) implements LedgerDecision {
 
 	}
 
--- a/core/src/main/java/org/brasspier/core/request/RequestLedger.java
+++ b/core/src/main/java/org/brasspier/core/request/RequestLedger.java
@@ -60,7 +60,7 @@
 	 * @param nowMillis the time on the monotonic clock
 	 * @return the ticket
 	 */
-	public Ticket issue(ServiceName service, Fence fence, long nowMillis) {
+	public Ticket issueTicket(ServiceName service, Fence fence, long nowMillis) {
 		return new Ticket(service, fence, this.issuer, nowMillis);
 	}
 
@@ -72,7 +72,7 @@
 	 * @param nowMillis the time on the monotonic clock
 	 * @return what to do with it
 	 */
-	public Admission admit(Posting posting, Optional<Ticket> ticket, boolean firstSend, long nowMillis) {
+	public LedgerDecision admit(Posting posting, Optional<Ticket> ticket, boolean firstSend, long nowMillis) {
 		forgetOlderThan(nowMillis - this.limits.horizonMillis());
 		if (ticket.isEmpty()) {
 			return refused(ErrorKind.TICKET_REQUIRED, "a posting needs a ticket; send it with the one in this answer");
@@ -81,7 +81,7 @@
 			.orElseGet(() -> admitHere(posting, ticket.get(), firstSend, nowMillis));
 	}
 
-	private Optional<Admission> checkTicket(Posting posting, Ticket ticket, boolean firstSend) {
+	private Optional<LedgerDecision> checkTicket(Posting posting, Ticket ticket, boolean firstSend) {
 		if (!ticket.service().equals(posting.service())) {
 			return Optional.of(refused(ErrorKind.TICKET_REQUIRED,
 					"the ticket is for service %s; send with the one in this answer".formatted(ticket.service())));
@@ -98,7 +98,7 @@
 		return Optional.empty();
 	}
 
-	private Admission admitHere(Posting posting, Ticket ticket, boolean firstSend, long nowMillis) {
+	private LedgerDecision admitHere(Posting posting, Ticket ticket, boolean firstSend, long nowMillis) {
 		EntryKey key = EntryKey.of(posting);
 		Entry known = this.entries.get(key);
 		if (known != null) {
@@ -111,29 +111,29 @@
 			return refused(ErrorKind.OVERLOADED, "too many postings are in progress");
 		}
 		this.entries.put(key, new Entry(posting.fingerprint(), nowMillis));
-		return new Admission.Run();
+		return new LedgerDecision.Run();
 	}
 
-	private static Admission repeat(Entry known, Posting posting) {
+	private static LedgerDecision repeat(Entry known, Posting posting) {
 		if (known.fingerprint != posting.fingerprint()) {
 			return refused(ErrorKind.ID_REUSED, "request id %s was used for other contents".formatted(posting.id()));
 		}
 		if (known.inProgress) {
-			return new Admission.Join();
+			return new LedgerDecision.Join();
 		}
-		return known.end.<Admission>map(Admission.Ended::new)
+		return known.end.<LedgerDecision>map(LedgerDecision.Completed::new)
 			.orElseGet(
 					() -> refused(ErrorKind.POSSIBLY_RAN_BEFORE, "the posting has run; its answer is no longer kept"));
 	}
 
-	private static Admission possiblyRan(boolean firstSend, String why) {
+	private static LedgerDecision possiblyRan(boolean firstSend, String why) {
 		return (firstSend)
 				? refused(ErrorKind.TICKET_REQUIRED, why + "; send the posting with the ticket in this answer")
 				: refused(ErrorKind.POSSIBLY_RAN_BEFORE, why + "; an earlier send may have run");
 	}
 
-	private static Admission refused(ErrorKind kind, String detail) {
-		return new Admission.Refused(Failure.of(kind, detail));
+	private static LedgerDecision refused(ErrorKind kind, String detail) {
+		return new LedgerDecision.Refused(Failure.of(kind, detail));
 	}
 
 	/**
@@ -141,7 +141,7 @@
 	 * @param posting the posting as it was admitted
 	 * @param end how it ended
 	 */
-	public void ended(Posting posting, Either<Failure, Answer> end) {
+	public void recordOutcome(Posting posting, Either<Failure, Answer> end) {
 		Entry entry = this.entries.get(EntryKey.of(posting));
 		if (entry == null) {
 			return;
@@ -159,7 +159,7 @@
 	 * An admitted posting certainly did not run and will not; a resend may run it.
 	 * @param posting the posting as it was admitted
 	 */
-	public void notRun(Posting posting) {
+	public void recordNotRun(Posting posting) {
 		this.entries.remove(EntryKey.of(posting));
 	}
 
--- a/core/src/main/java/org/brasspier/core/request/Ticket.java
+++ b/core/src/main/java/org/brasspier/core/request/Ticket.java
@@ -44,7 +44,7 @@
 	 * @param present a fence that the key's range is known to have had before the sending
 	 * @return false if an owner may admit it
 	 */
-	public boolean outdatedUnder(Fence present) {
+	public boolean isStaleUnder(Fence present) {
 		return this.fence.olderThan(present);
 	}
 
--- a/core/src/main/java/org/brasspier/core/retry/ConnectionAllowance.java
+++ b/core/src/main/java/org/brasspier/core/retry/LostConnectionRetries.java
@@ -11,9 +11,9 @@
  * again and again loses its connections sooner, and resends to it are paid from the
  * budget. Stateless and thread-safe.
  */
-public final class ConnectionAllowance {
+public final class LostConnectionRetries {
 
-	private ConnectionAllowance() {
+	private LostConnectionRetries() {
 	}
 
 	/**
@@ -22,8 +22,8 @@
 	 * @param silent from then until it was lost
 	 * @return true if what waits on it needs no budget
 	 */
-	public static boolean covers(Duration used, Duration silent) {
-		return used.toNanos() * RetryBudget.USUAL_SHARE >= silent.toNanos();
+	public static boolean exemptFromBudget(Duration used, Duration silent) {
+		return used.toNanos() * RetryBudget.DEFAULT_SHARE >= silent.toNanos();
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/retry/RecentTimes.java
+++ b/core/src/main/java/org/brasspier/core/retry/RecentLatencies.java
@@ -8,7 +8,7 @@
  * How long requests took lately, in two halves that replace each other. One significant
  * digit keeps it to some 3 kB. Not thread-safe.
  */
-public final class RecentTimes {
+public final class RecentLatencies {
 
 	private static final long LONGEST_MICROS = Duration.ofMinutes(10).toNanos() / 1000;
 
@@ -25,7 +25,7 @@
 	 * @param window how far back they reach at least
 	 * @param now the time, in nanoseconds
 	 */
-	public RecentTimes(Duration window, long now) {
+	public RecentLatencies(Duration window, long now) {
 		this.halfNanos = window.toNanos();
 		this.turnNanos = now + this.halfNanos;
 	}
--- a/core/src/main/java/org/brasspier/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/brasspier/core/retry/RetryBudget.java
@@ -8,13 +8,13 @@
 public final class RetryBudget {
 
 	/** Ten fresh requests pay for one resend, so load grows by a tenth at most. */
-	public static final double USUAL_SHARE = 0.1;
+	public static final double DEFAULT_SHARE = 0.1;
 
 	/**
 	 * What can be saved up: enough for the blip when a range moves, too little for a
 	 * storm after an outage however long it was quiet.
 	 */
-	public static final int USUAL_MOST_SAVED = 20;
+	public static final int DEFAULT_MOST_SAVED = 20;
 
 	private final double share;
 
@@ -41,15 +41,15 @@
 	 * A budget with the usual share.
 	 * @return a full budget
 	 */
-	public static RetryBudget usual() {
-		return new RetryBudget(USUAL_SHARE, USUAL_MOST_SAVED);
+	public static RetryBudget withDefaults() {
+		return new RetryBudget(DEFAULT_SHARE, DEFAULT_MOST_SAVED);
 	}
 
 	/**
 	 * Takes another bound of what can be saved up; what is saved beyond it is lost.
 	 * @param most the most resends that can be saved up, at least 1
 	 */
-	public void mostSaved(int most) {
+	public void setMostSaved(int most) {
 		this.mostSaved = most;
 		this.saved = Math.min(most, this.saved);
 	}
@@ -57,7 +57,7 @@
 	/**
 	 * Counts a request that is sent for the first time.
 	 */
-	public void fresh() {
+	public void recordRequest() {
 		this.saved = Math.min(this.mostSaved, this.saved + this.share);
 	}
 
@@ -65,7 +65,7 @@
 	 * Whether a resend could be paid for.
 	 * @return false if there is nothing left
 	 */
-	public boolean left() {
+	public boolean canSpend() {
 		return this.saved >= 1;
 	}
 
@@ -73,8 +73,8 @@
 	 * Pays for one resend.
 	 * @return false if there is nothing left, and the resend must not be
 	 */
-	public boolean spend() {
-		if (!left()) {
+	public boolean trySpend() {
+		if (!canSpend()) {
 			return false;
 		}
 		this.saved--;
--- a/core/src/main/java/org/brasspier/core/retry/RetryRules.java
+++ b/core/src/main/java/org/brasspier/core/retry/RetryPolicy.java
@@ -9,7 +9,7 @@
 /**
  * Whether and when a daemon sends a request on a second time. Not thread-safe.
  */
-public final class RetryRules {
+public final class RetryPolicy {
 
 	/**
 	 * A hedge goes out when the first has taken longer than 95 of 100 do: earlier ones
@@ -22,14 +22,14 @@
 
 	private final RetryBudget budget;
 
-	private final RecentTimes times;
+	private final RecentLatencies times;
 
 	/**
 	 * Creates the rules of one service.
 	 * @param budget what resends and hedges are paid from
 	 * @param times how long its requests took lately
 	 */
-	public RetryRules(RetryBudget budget, RecentTimes times) {
+	public RetryPolicy(RetryBudget budget, RecentLatencies times) {
 		this.budget = budget;
 		this.times = times;
 	}
@@ -43,8 +43,8 @@
 	 * @param remaining the time until the deadline
 	 * @return true if it must be sent again now
 	 */
-	public boolean resend(RequestClass requestClass, Ran ran, Duration remaining) {
-		return mayResend(requestClass, ran, remaining) && this.budget.spend();
+	public boolean tryRetry(RequestClass requestClass, Ran ran, Duration remaining) {
+		return mayRetry(requestClass, ran, remaining) && this.budget.trySpend();
 	}
 
 	/**
@@ -54,7 +54,7 @@
 	 * @param remaining the time until the deadline
 	 * @return true if it must be sent again now
 	 */
-	public boolean mayResend(RequestClass requestClass, Ran ran, Duration remaining) {
+	public boolean mayRetry(RequestClass requestClass, Ran ran, Duration remaining) {
 		boolean harmless = ran == Ran.NOT_RUN || requestClass.idempotent() && ran == Ran.UNKNOWN;
 		boolean inTime = remaining.compareTo(this.times.percentile(50)) > 0;
 		return harmless && inTime && !remaining.isZero();
@@ -67,7 +67,7 @@
 	 * @param remaining the time until the deadline
 	 * @return the pause after the first copy; empty if there must be no second
 	 */
-	public Optional<Duration> hedgeAfter(RequestClass requestClass, Duration remaining) {
+	public Optional<Duration> hedgeDelay(RequestClass requestClass, Duration remaining) {
 		if (!requestClass.idempotent() || requestClass == RequestClass.AUDIT || this.times.count() < FEWEST_OBSERVED) {
 			return Optional.empty();
 		}
@@ -80,8 +80,8 @@
 	 * Pays for a hedge whose pause is over.
 	 * @return false if the budget is spent and the hedge must not be sent
 	 */
-	public boolean hedge() {
-		return this.budget.spend();
+	public boolean trySpendOnHedge() {
+		return this.budget.trySpend();
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/routing/OwnershipSnapshot.java
+++ b/core/src/main/java/org/brasspier/core/routing/OwnershipSnapshot.java
@@ -55,8 +55,8 @@
 	 * @param nowNanos the time, as {@link System#nanoTime()} counts
 	 * @return empty if the point isn't held or the lease has run out
 	 */
-	public Optional<Assignment> holding(ServiceName service, KeyHash hash, long nowNanos) {
-		return (leaseValid(nowNanos)) ? this.held.find(service, hash) : Optional.empty();
+	public Optional<Assignment> findHeld(ServiceName service, KeyHash hash, long nowNanos) {
+		return (isLeaseValid(nowNanos)) ? this.held.find(service, hash) : Optional.empty();
 	}
 
 	/**
@@ -64,7 +64,7 @@
 	 * @param nowNanos the time, as {@link System#nanoTime()} counts
 	 * @return false from the end of the lease on
 	 */
-	public boolean leaseValid(long nowNanos) {
+	public boolean isLeaseValid(long nowNanos) {
 		return nowNanos - this.leaseEndNanos < 0;
 	}
 
--- a/core/src/test/java/org/brasspier/core/ValueTypesTests.java
+++ b/core/src/test/java/org/brasspier/core/ValueTypesTests.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.keys.BackendIncarnation;
 import org.brasspier.core.keys.Deputy;
 import org.brasspier.core.keys.KeyHolder;
 import org.brasspier.core.keys.KeySpan;
@@ -24,7 +24,7 @@
 
 	private static final InstanceId TWO = new InstanceId("two");
 
-	private static final BackendLife LIFE = new BackendLife("server", 1);
+	private static final BackendIncarnation LIFE = new BackendIncarnation("server", 1);
 
 	private static final FailureDomain NEAR = new FailureDomain("near");
 
@@ -33,9 +33,10 @@
 		return Stream.of(List.of(ONE, new InstanceId("one"), TWO),
 				List.of(new ServiceName("one"), new ServiceName("one"), new ServiceName("two")),
 				List.of(NEAR, new FailureDomain("near"), new FailureDomain("far")),
-				List.of(LIFE, new BackendLife("server", 1), new BackendLife("other", 1), new BackendLife("server", 2)),
+				List.of(LIFE, new BackendIncarnation("server", 1), new BackendIncarnation("other", 1),
+						new BackendIncarnation("server", 2)),
 				List.of(new KeyHolder(ONE, LIFE), new KeyHolder(ONE, LIFE), new KeyHolder(TWO, LIFE),
-						new KeyHolder(ONE, new BackendLife("server", 2))),
+						new KeyHolder(ONE, new BackendIncarnation("server", 2))),
 				List.of(new Deputy(ONE, 1), new Deputy(ONE, 1), new Deputy(TWO, 1), new Deputy(ONE, 2)),
 				List.of(new KeySpan(1, 3), new KeySpan(1, 3), new KeySpan(2, 3), new KeySpan(1, 4)),
 				List.of(new KnownRows(1, 2), new KnownRows(1, 2), new KnownRows(3, 2), new KnownRows(1, 3)),
--- a/core/src/test/java/org/brasspier/core/admission/AdmissionControllerTests.java
+++ b/core/src/test/java/org/brasspier/core/admission/AdmissionControllerTests.java
@@ -41,16 +41,16 @@
 
 	@Test
 	void tellsTheWaitOnlyOfWhatWouldBeQueued() {
-		assertThat(this.admission.waitFor(request(RequestClass.LOOKUP, CREW, 1000), 0)).isEmpty();
+		assertThat(this.admission.expectedQueueWait(request(RequestClass.LOOKUP, CREW, 1000), 0)).isEmpty();
 		fill();
-		Duration first = this.admission.waitFor(request(RequestClass.LOOKUP, CREW, 1000), 0).orElseThrow();
+		Duration first = this.admission.expectedQueueWait(request(RequestClass.LOOKUP, CREW, 1000), 0).orElseThrow();
 		offer(RequestClass.LOOKUP, CREW, 1000);
-		assertThat(this.admission.waitFor(request(RequestClass.LOOKUP, CREW, 1000), 0).orElseThrow())
+		assertThat(this.admission.expectedQueueWait(request(RequestClass.LOOKUP, CREW, 1000), 0).orElseThrow())
 			.isGreaterThan(first);
 		assertThat(this.admission.waiting()).isEqualTo(1);
-		assertThat(this.admission.waitFor(request(RequestClass.LOOKUP, CREW, 1), 0)).isEmpty();
-		this.admission.draining(true);
-		assertThat(this.admission.waitFor(request(RequestClass.LOOKUP, CREW, 1000), 0)).isEmpty();
+		assertThat(this.admission.expectedQueueWait(request(RequestClass.LOOKUP, CREW, 1), 0)).isEmpty();
+		this.admission.setDraining(true);
+		assertThat(this.admission.expectedQueueWait(request(RequestClass.LOOKUP, CREW, 1000), 0)).isEmpty();
 	}
 
 	@Test
@@ -122,7 +122,7 @@
 	@Test
 	void whatNeverBeganTeachesNothingOfTheServersSlots() {
 		offer(RequestClass.LOOKUP, CREW, 1000);
-		this.admission.finished(1, RunOutcome.NOT_BEGUN, MILLI);
+		this.admission.finished(1, RunOutcome.NOT_STARTED, MILLI);
 		offer(RequestClass.LOOKUP, CREW, 1000);
 		assertThat(offer(RequestClass.LOOKUP, CREW, 1000)).isInstanceOf(Run.class);
 	}
@@ -131,7 +131,7 @@
 	void aWaitingRequestWhoseDeadlineComesIsGivenUpWithoutRunning() {
 		fill();
 		offer(RequestClass.LOOKUP, CREW, 30);
-		NextRequests next = this.admission.expired(40 * MILLI);
+		NextRequests next = this.admission.advance(40 * MILLI);
 		assertThat(next.run()).isEmpty();
 		assertThat(next.refused().stream().map(RefusedRequest::id)).containsExactly(3L);
 		assertThat(this.admission.finished(1, RunOutcome.ANSWERED, 41 * MILLI)).isEqualTo(NextRequests.NONE);
@@ -189,7 +189,7 @@
 	@Test
 	void aSaturatedServerLetsInOnlyWhatItCanAnswerInTime() {
 		long run = 60 * MILLI;
-		long target = AdmissionSettings.DEFAULT.of(RequestClass.LOOKUP).longestWait().toNanos();
+		long target = AdmissionSettings.DEFAULT.of(RequestClass.LOOKUP).maxWait().toNanos();
 		AdmissionController wide = controller(10, 100);
 		wide.offer(request(RequestClass.LOOKUP, CREW, 10_000), 0);
 		wide.finished(this.lastId, RunOutcome.ANSWERED, run);
@@ -259,16 +259,16 @@
 	void aCancelledRequestThatWaitedNeverRuns() {
 		fill();
 		offer(RequestClass.POSTING, CREW, 1000);
-		assertThat(this.admission.cancelled(3)).isTrue();
-		assertThat(this.admission.finished(1, RunOutcome.BROKEN, 10 * MILLI).run()).isEmpty();
-		assertThat(this.admission.cancelled(2)).isFalse();
+		assertThat(this.admission.cancelWaiting(3)).isTrue();
+		assertThat(this.admission.finished(1, RunOutcome.INTERRUPTED, 10 * MILLI).run()).isEmpty();
+		assertThat(this.admission.cancelWaiting(2)).isFalse();
 	}
 
 	@Test
 	void aDrainingServerTakesNothingNewAndFinishesWhatWaits() {
 		fill();
 		offer(RequestClass.LOOKUP, CREW, 1000);
-		this.admission.draining(true);
+		this.admission.setDraining(true);
 		assertThat(offer(RequestClass.LOOKUP, CREW, 1000)).isInstanceOf(Refuse.class);
 		assertThat(this.admission.finished(1, RunOutcome.ANSWERED, 5 * MILLI).run()).containsExactly(3L);
 	}
@@ -280,7 +280,7 @@
 	@Test
 	void aCallerWithAMostShareHoldsNoMoreWhileOthersWait() {
 		AdmissionController shared = controller(3, 100);
-		shared.rules(AdmissionSettings.DEFAULT, Map.of(CROWD, 34));
+		shared.updateRules(AdmissionSettings.DEFAULT, Map.of(CROWD, 34));
 		IntStream.range(0, 6).forEach((i) -> shared.offer(request(RequestClass.LOOKUP, CROWD, 1000), 0));
 		IntStream.range(0, 3).forEach((i) -> shared.offer(request(RequestClass.LOOKUP, CREW, 1000), 0));
 		assertThat(shared.finished(1, RunOutcome.ANSWERED, MILLI).run()).containsExactly(7L);
@@ -292,10 +292,10 @@
 	@Test
 	void aClassIsSureOfNoLessThanOperatorsAskFor() {
 		AdmissionSettings raised = AdmissionSettings.DEFAULT
-			.sureOf(Map.of(RequestClass.POSTING, 40, RequestClass.LOOKUP, 10));
-		assertThat(raised.of(RequestClass.POSTING).sureShare()).isEqualTo(0.4);
-		assertThat(raised.of(RequestClass.LOOKUP).sureShare())
-			.isEqualTo(AdmissionSettings.DEFAULT.of(RequestClass.LOOKUP).sureShare());
+			.withGuaranteedShares(Map.of(RequestClass.POSTING, 40, RequestClass.LOOKUP, 10));
+		assertThat(raised.of(RequestClass.POSTING).guaranteedShare()).isEqualTo(0.4);
+		assertThat(raised.of(RequestClass.LOOKUP).guaranteedShare())
+			.isEqualTo(AdmissionSettings.DEFAULT.of(RequestClass.LOOKUP).guaranteedShare());
 	}
 
 	private void fill() {
--- a/core/src/test/java/org/brasspier/core/choosing/BackendChooserTests.java
+++ b/core/src/test/java/org/brasspier/core/choosing/BackendChooserTests.java
@@ -59,7 +59,7 @@
 		List<Candidate> two = List.of(candidate(0, 0, 1), candidate(1, 0, 1));
 		IntStream.range(0, 200).forEach((i) -> {
 			InstanceId instance = this.chooser.choose(two, RequestClass.LOOKUP, i * MILLI).orElseThrow();
-			this.chooser.ended(instance, RequestClass.LOOKUP, MILLI, true);
+			this.chooser.onEnded(instance, RequestClass.LOOKUP, MILLI, true);
 			this.chosen.merge(index(instance), 1, Integer::sum);
 		});
 		assertThat(this.chosen.keySet()).containsExactly(0, 1);
@@ -72,7 +72,7 @@
 		List<Candidate> nearAndFar = List.of(candidate(0, 0, 1), candidate(1, 12, 1));
 		assertThat(index(this.chooser.choose(nearAndFar, RequestClass.POSTING, 0).orElseThrow())).isEqualTo(0);
 		assertThat(index(this.chooser.choose(nearAndFar, RequestClass.POSTING, 0).orElseThrow())).isEqualTo(0);
-		this.chooser.choosers(40);
+		this.chooser.daemonCount(40);
 		assertThat(index(this.chooser.choose(nearAndFar, RequestClass.POSTING, 0).orElseThrow())).isEqualTo(1);
 	}
 
@@ -96,11 +96,11 @@
 			long now = i * 10 * MILLI;
 			InstanceId first = this.chooser.choose(four, RequestClass.LOOKUP, now).orElseThrow();
 			boolean failed = index(first) == 0;
-			this.chooser.ended(first, RequestClass.LOOKUP, 5 * MILLI, failed);
+			this.chooser.onEnded(first, RequestClass.LOOKUP, 5 * MILLI, failed);
 			this.chosen.merge(index(first), 1, Integer::sum);
 			if (failed) {
 				InstanceId second = this.chooser.choose(four.subList(1, 4), RequestClass.LOOKUP, now).orElseThrow();
-				this.chooser.ended(second, RequestClass.LOOKUP, 5 * MILLI, false);
+				this.chooser.onEnded(second, RequestClass.LOOKUP, 5 * MILLI, false);
 			}
 		});
 		assertThat(this.chosen.getOrDefault(0, 0)).isAtMost(50);
@@ -119,14 +119,14 @@
 			if (flights.size() >= concurrency) {
 				Flight flight = flights.remove();
 				now = flight.endNanos();
-				this.chooser.ended(flight.instance(), RequestClass.LOOKUP, now - flight.startNanos(), false);
+				this.chooser.onEnded(flight.instance(), RequestClass.LOOKUP, now - flight.startNanos(), false);
 			}
 			InstanceId instance = this.chooser.choose(candidates, RequestClass.LOOKUP, now).orElseThrow();
 			this.chosen.merge(index(instance), 1, Integer::sum);
 			long took = (long) (millis.apply(index(instance)) * MILLI);
 			flights.add(new Flight(now, now + took, instance));
 		}
-		flights.forEach((flight) -> this.chooser.ended(flight.instance(), RequestClass.LOOKUP,
+		flights.forEach((flight) -> this.chooser.onEnded(flight.instance(), RequestClass.LOOKUP,
 				flight.endNanos() - flight.startNanos(), false));
 	}
 
--- a/core/src/test/java/org/brasspier/core/choosing/ChoosersModel.java
+++ b/core/src/test/java/org/brasspier/core/choosing/ManyDaemonsModel.java
@@ -29,7 +29,7 @@
  * Many daemons that choose, each for itself, among the backend servers of one service;
  * each server admits by itself. In virtual time, without network.
  */
-final class ChoosersModel {
+final class ManyDaemonsModel {
 
 	private static final long MILLI = 1_000_000;
 
@@ -75,11 +75,11 @@
 
 	private int refused;
 
-	ChoosersModel(int daemons, Load load, long seed) {
+	ManyDaemonsModel(int daemons, Load load, long seed) {
 		this.random = new SplittableRandom(seed);
 		this.load = load;
 		this.daemons = IntStream.range(0, daemons)
-			.mapToObj((i) -> new Daemon(new BackendChooser(daemons, this.random.split()), new SearchPace()))
+			.mapToObj((i) -> new Daemon(new BackendChooser(daemons, this.random.split()), new SearchThrottle()))
 			.toList();
 		this.servers = IntStream.range(0, load.servers()).mapToObj(Server::new).toList();
 	}
@@ -142,7 +142,7 @@
 
 	}
 
-	private record Daemon(BackendChooser chooser, SearchPace pace) {
+	private record Daemon(BackendChooser chooser, SearchThrottle pace) {
 
 	}
 
@@ -155,19 +155,19 @@
 	 */
 	private final class Request {
 
-		private final Daemon daemon = ChoosersModel.this.daemons
-			.get(ChoosersModel.this.random.nextInt(ChoosersModel.this.daemons.size()));
+		private final Daemon daemon = ManyDaemonsModel.this.daemons
+			.get(ManyDaemonsModel.this.random.nextInt(ManyDaemonsModel.this.daemons.size()));
 
 		private final BackendChooser chooser = this.daemon.chooser();
 
-		private final long startedNanos = ChoosersModel.this.now;
+		private final long startedNanos = ManyDaemonsModel.this.now;
 
-		private final long runNanos = (long) (ChoosersModel.this.load.runMillis() * MILLI
-				* (0.5 + ChoosersModel.this.random.nextDouble()));
+		private final long runNanos = (long) (ManyDaemonsModel.this.load.runMillis() * MILLI
+				* (0.5 + ManyDaemonsModel.this.random.nextDouble()));
 
 		private final Set<InstanceId> tried = new HashSet<>();
 
-		private final SlotSearch search = new SlotSearch(this.daemon.pace().searches());
+		private final SlotSearch search = new SlotSearch(this.daemon.pace().shouldSearch());
 
 		private int refusals;
 
@@ -177,51 +177,51 @@
 
 		Request() {
 			if (counted(this.startedNanos)) {
-				ChoosersModel.this.asked++;
+				ManyDaemonsModel.this.asked++;
 			}
 		}
 
 		void send() {
-			List<Candidate> candidates = ChoosersModel.this.servers.stream()
+			List<Candidate> candidates = ManyDaemonsModel.this.servers.stream()
 				.map((server) -> server.candidate)
 				.filter((candidate) -> !this.tried.contains(candidate.instance()))
 				.toList();
 			InstanceId chosen = waitsAt()
-				.or(() -> this.chooser.choose(candidates, RequestClass.LOOKUP, ChoosersModel.this.now))
+				.or(() -> this.chooser.choose(candidates, RequestClass.LOOKUP, ManyDaemonsModel.this.now))
 				.orElseThrow();
 			this.tried.add(chosen);
 			if (counted(this.startedNanos)) {
-				ChoosersModel.this.sends++;
+				ManyDaemonsModel.this.sends++;
 			}
 			this.waits = this.search.mayWait();
-			this.sentNanos = ChoosersModel.this.now;
-			Server server = ChoosersModel.this.servers.get(Integer.parseInt(chosen.value()));
-			at(ChoosersModel.this.now + WAY, () -> server.offer(this));
+			this.sentNanos = ManyDaemonsModel.this.now;
+			Server server = ManyDaemonsModel.this.servers.get(Integer.parseInt(chosen.value()));
+			at(ManyDaemonsModel.this.now + WAY, () -> server.offer(this));
 		}
 
 		private Optional<InstanceId> waitsAt() {
 			Optional<InstanceId> shortest = this.search.mayWait() ? this.search.takeShortestWait() : Optional.empty();
-			shortest.ifPresent((instance) -> this.chooser.chosen(instance, ChoosersModel.this.now));
+			shortest.ifPresent((instance) -> this.chooser.onChosen(instance, ManyDaemonsModel.this.now));
 			return shortest;
 		}
 
 		void full(Server server, Duration wait) {
-			at(ChoosersModel.this.now + WAY, () -> {
-				this.chooser.full(server.candidate.instance(), wait, ChoosersModel.this.now);
-				this.search.full(server.candidate.instance(), wait);
+			at(ManyDaemonsModel.this.now + WAY, () -> {
+				this.chooser.onFull(server.candidate.instance(), wait, ManyDaemonsModel.this.now);
+				this.search.onFull(server.candidate.instance(), wait);
 				if (this.search.mayWait()) {
-					this.daemon.pace().foundNone();
+					this.daemon.pace().onNoSlotFound();
 				}
 				send();
 			});
 		}
 
 		void ended(Server server, boolean answered) {
-			at(ChoosersModel.this.now + WAY, () -> {
-				this.chooser.ended(server.candidate.instance(), RequestClass.LOOKUP,
-						ChoosersModel.this.now - this.sentNanos, !answered);
+			at(ManyDaemonsModel.this.now + WAY, () -> {
+				this.chooser.onEnded(server.candidate.instance(), RequestClass.LOOKUP,
+						ManyDaemonsModel.this.now - this.sentNanos, !answered);
 				if (!this.waits) {
-					this.daemon.pace().found();
+					this.daemon.pace().onSlotFound();
 				}
 				if (!answered) {
 					this.refusals++;
@@ -237,10 +237,10 @@
 
 		private void count(boolean answered) {
 			if (!answered) {
-				ChoosersModel.this.refused++;
+				ManyDaemonsModel.this.refused++;
 			}
-			else if (ChoosersModel.this.now - this.startedNanos <= TARGET.toNanos()) {
-				ChoosersModel.this.inTime++;
+			else if (ManyDaemonsModel.this.now - this.startedNanos <= TARGET.toNanos()) {
+				ManyDaemonsModel.this.inTime++;
 			}
 		}
 
@@ -268,7 +268,7 @@
 		Server(int number) {
 			this.candidate = new Candidate(new InstanceId("" + number), Duration.ZERO, SLOTS, 1);
 			this.speed = SPEEDS[number % SPEEDS.length];
-			this.slowness = (number % 3 == 0) ? ChoosersModel.this.load.slowness() : 1;
+			this.slowness = (number % 3 == 0) ? ManyDaemonsModel.this.load.slowness() : 1;
 			Map<RequestClass, ClassRules> rules = new HashMap<>();
 			Duration letIn = Duration.ofNanos((long) (TARGET.toNanos() * LET_IN_SHARE));
 			Arrays.stream(RequestClass.values())
@@ -277,10 +277,10 @@
 		}
 
 		void offer(Request request) {
-			long number = ChoosersModel.this.numbers++;
+			long number = ManyDaemonsModel.this.numbers++;
 			PendingRequest pending = new PendingRequest(number, RequestClass.LOOKUP, new CallerId("any"),
 					request.startedNanos + DEADLINE.toNanos());
-			Optional<Duration> wait = this.admission.waitFor(pending, ChoosersModel.this.now);
+			Optional<Duration> wait = this.admission.expectedQueueWait(pending, ManyDaemonsModel.this.now);
 			if (wait.isPresent() && !request.search.mayWait()) {
 				request.full(this, wait.get());
 				return;
@@ -289,7 +289,7 @@
 				this.offered++;
 			}
 			this.requests.put(number, request);
-			switch (this.admission.offer(pending, ChoosersModel.this.now)) {
+			switch (this.admission.offer(pending, ManyDaemonsModel.this.now)) {
 				case AdmissionDecision.Run ignored -> run(number);
 				case AdmissionDecision.Queued ignored -> lookSoon();
 				case AdmissionDecision.Refuse ignored -> refuse(number);
@@ -298,11 +298,11 @@
 
 		private void run(long number) {
 			Request request = this.requests.get(number);
-			double factor = counted(ChoosersModel.this.now) ? this.slowness / this.speed : 1 / this.speed;
-			at(ChoosersModel.this.now + (long) (request.runNanos * factor), () -> {
+			double factor = counted(ManyDaemonsModel.this.now) ? this.slowness / this.speed : 1 / this.speed;
+			at(ManyDaemonsModel.this.now + (long) (request.runNanos * factor), () -> {
 				this.requests.remove(number);
 				request.ended(this, true);
-				carryOut(this.admission.finished(number, RunOutcome.ANSWERED, ChoosersModel.this.now));
+				carryOut(this.admission.finished(number, RunOutcome.ANSWERED, ManyDaemonsModel.this.now));
 			});
 		}
 
@@ -311,9 +311,9 @@
 				return;
 			}
 			this.looking = true;
-			at(ChoosersModel.this.now + LOOK_AGAIN, () -> {
+			at(ManyDaemonsModel.this.now + LOOK_AGAIN, () -> {
 				this.looking = false;
-				carryOut(this.admission.expired(ChoosersModel.this.now));
+				carryOut(this.admission.advance(ManyDaemonsModel.this.now));
 				if (this.admission.waiting() > 0) {
 					lookSoon();
 				}
--- a/core/src/test/java/org/brasspier/core/choosing/ManyChoosersTests.java
+++ b/core/src/test/java/org/brasspier/core/choosing/ManyDaemonsTests.java
@@ -9,16 +9,16 @@
  * Load: lookups of one service that come in through very many daemons, a few a second
  * through each, and need most of the slots of servers that differ in speed.
  */
-class ManyChoosersTests {
+class ManyDaemonsTests {
 
-	private static final ChoosersModel.Load SEVEN_TENTHS = new ChoosersModel.Load(25, 464, 152, 20, 1);
+	private static final ManyDaemonsModel.Load SEVEN_TENTHS = new ManyDaemonsModel.Load(25, 464, 152, 20, 1);
 
-	private static final ChoosersModel.Load NINE_TENTHS = new ChoosersModel.Load(25, 590, 152, 20, 1);
+	private static final ManyDaemonsModel.Load NINE_TENTHS = new ManyDaemonsModel.Load(25, 590, 152, 20, 1);
 
-	private static final ChoosersModel.Load THIRD_TURNS_SLOW = new ChoosersModel.Load(25, 330, 152, 12, 4);
+	private static final ManyDaemonsModel.Load THIRD_TURNS_SLOW = new ManyDaemonsModel.Load(25, 330, 152, 12, 4);
 
 	/** Half as much again as the servers can run. */
-	private static final ChoosersModel.Load SATURATED = new ChoosersModel.Load(9, 355, 152, 40, 1);
+	private static final ManyDaemonsModel.Load SATURATED = new ManyDaemonsModel.Load(9, 355, 152, 40, 1);
 
 	/** A request is refused by two servers before it is given up. */
 	private static final int MOST_TURNS_EACH = 2;
@@ -28,7 +28,7 @@
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4 })
 	void seventyFourDaemonsServeLookupsInTimeAsFewDaemonsDo(long seed) {
-		ChoosersModel.Result result = new ChoosersModel(74, SEVEN_TENTHS, seed).play();
+		ManyDaemonsModel.Result result = new ManyDaemonsModel(74, SEVEN_TENTHS, seed).play();
 		assertThat(result.inTime()).isAtLeast(0.9);
 		assertThat(result.refused()).isAtMost(0.02);
 	}
@@ -38,7 +38,7 @@
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4 })
 	void requestsOfManyDaemonsFindTheFreeSlotsUpToNineTenthsOfTheLoad(long seed) {
-		ChoosersModel.Result result = new ChoosersModel(74, NINE_TENTHS, seed).play();
+		ManyDaemonsModel.Result result = new ManyDaemonsModel(74, NINE_TENTHS, seed).play();
 		assertThat(result.inTime()).isAtLeast(0.95);
 		assertThat(result.refused()).isAtMost(0.02);
 	}
@@ -48,7 +48,7 @@
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4 })
 	void requestsOfManyDaemonsFindTheFreeSlotsWhenAThirdOfTheServersTurnsSlow(long seed) {
-		ChoosersModel.Result result = new ChoosersModel(74, THIRD_TURNS_SLOW, seed).play();
+		ManyDaemonsModel.Result result = new ManyDaemonsModel(74, THIRD_TURNS_SLOW, seed).play();
 		assertThat(result.inTime()).isAtLeast(0.9);
 		assertThat(result.refused()).isAtMost(0.02);
 	}
@@ -56,7 +56,7 @@
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2 })
 	void fewDaemonsServeLookupsInTime(long seed) {
-		ChoosersModel.Result result = new ChoosersModel(8, SEVEN_TENTHS, seed).play();
+		ManyDaemonsModel.Result result = new ManyDaemonsModel(8, SEVEN_TENTHS, seed).play();
 		assertThat(result.inTime()).isAtLeast(0.9);
 		assertThat(result.refused()).isAtMost(0.02);
 	}
@@ -66,7 +66,7 @@
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4 })
 	void requestsOfManyDaemonsHardlySearchWhileNoSlotIsFree(long seed) {
-		ChoosersModel.Result result = new ChoosersModel(74, SATURATED, seed).play();
+		ManyDaemonsModel.Result result = new ManyDaemonsModel(74, SATURATED, seed).play();
 		assertThat(result.sendsEach()).isAtMost(MOST_TURNS_EACH + 0.2);
 	}
 
--- a/core/src/test/java/org/brasspier/core/choosing/SearchPaceTests.java
+++ b/core/src/test/java/org/brasspier/core/choosing/SearchThrottleTests.java
@@ -6,15 +6,15 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class SearchPaceTests {
+class SearchThrottleTests {
 
-	private final SearchPace pace = new SearchPace();
+	private final SearchThrottle pace = new SearchThrottle();
 
 	private long searches(int requests) {
 		return IntStream.range(0, requests).filter((i) -> {
-			boolean searches = this.pace.searches();
+			boolean searches = this.pace.shouldSearch();
 			if (searches) {
-				this.pace.foundNone();
+				this.pace.onNoSlotFound();
 			}
 			return searches;
 		}).count();
@@ -39,9 +39,9 @@
 	private boolean twoInTurnSearch() {
 		boolean both = true;
 		for (int i = 0; i < 2; i++) {
-			boolean searches = this.pace.searches();
+			boolean searches = this.pace.shouldSearch();
 			if (searches) {
-				this.pace.found();
+				this.pace.onSlotFound();
 			}
 			both &= searches;
 		}
--- a/core/src/test/java/org/brasspier/core/choosing/SlotSearchTests.java
+++ b/core/src/test/java/org/brasspier/core/choosing/SlotSearchTests.java
@@ -17,9 +17,9 @@
 
 	@Test
 	void aRequestWaitsWhereItIsShortestOnceTwoServersAreFull() {
-		this.search.full(FIRST, Duration.ofMillis(90));
+		this.search.onFull(FIRST, Duration.ofMillis(90));
 		assertThat(this.search.mayWait()).isFalse();
-		this.search.full(SECOND, Duration.ofMillis(40));
+		this.search.onFull(SECOND, Duration.ofMillis(40));
 		assertThat(this.search.mayWait()).isTrue();
 		assertThat(this.search.takeShortestWait()).hasValue(SECOND);
 		assertThat(this.search.takeShortestWait()).hasValue(FIRST);
@@ -30,7 +30,7 @@
 	// has refused the request, and asks server after server.
 	@Test
 	void theSearchDoesNotBeginAgain() {
-		this.search.full(FIRST, Duration.ofMillis(90));
+		this.search.onFull(FIRST, Duration.ofMillis(90));
 		this.search.takeShortestWait();
 		assertThat(this.search.mayWait()).isTrue();
 	}
--- a/core/src/test/java/org/brasspier/core/crash/CrashSuspectsTests.java
+++ b/core/src/test/java/org/brasspier/core/crash/CrashSuspectsTests.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 import org.brasspier.core.InstanceId;
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.keys.BackendIncarnation;
 import org.junit.jupiter.api.Test;
 
 import static com.google.common.truth.Truth.assertThat;
@@ -21,21 +21,21 @@
 	private int lives;
 
 	// Another server crashes while it runs these.
-	private CrashNotes crash(Long... requests) {
+	private CrashState crash(Long... requests) {
 		this.lives++;
-		return new CrashNotes(List.of(new CrashReport(new BackendLife("server", this.lives), Set.of(requests))),
+		return new CrashState(List.of(new CrashReport(new BackendIncarnation("server", this.lives), Set.of(requests))),
 				Set.of());
 	}
 
 	private void crashed(Long... requests) {
-		this.suspects.told(new InstanceId("instance-" + this.lives), crash(requests), 0);
+		this.suspects.merge(new InstanceId("instance-" + this.lives), crash(requests), 0);
 	}
 
 	@Test
 	void oneCrashKeepsNothingAway() {
 		crashed(CULPRIT, 2L, 3L);
-		assertThat(this.suspects.keepsAway(CULPRIT, 0)).isFalse();
-		assertThat(this.suspects.suspects(2)).isTrue();
+		assertThat(this.suspects.isBlocked(CULPRIT, 0)).isFalse();
+		assertThat(this.suspects.isSuspect(2)).isTrue();
 	}
 
 	/**
@@ -45,8 +45,8 @@
 	void theOnlyRequestOfTwoCrashesIsKeptAwayAndNothingElse() {
 		crashed(CULPRIT, 2L, 3L, 4L);
 		crashed(CULPRIT, 5L, 6L, 7L);
-		assertThat(this.suspects.keepsAway(CULPRIT, 0)).isTrue();
-		assertThat(this.suspects.keptAway()).isEqualTo(1);
+		assertThat(this.suspects.isBlocked(CULPRIT, 0)).isTrue();
+		assertThat(this.suspects.blockedCount()).isEqualTo(1);
 	}
 
 	/**
@@ -57,10 +57,10 @@
 	void whatTwoCrashesShareWithTheCulpritIsNotKeptAway() {
 		crashed(CULPRIT, 2L, 3L);
 		crashed(CULPRIT, 2L, 4L);
-		assertThat(this.suspects.keptAway()).isEqualTo(0);
+		assertThat(this.suspects.blockedCount()).isEqualTo(0);
 		crashed(CULPRIT, 5L);
-		assertThat(this.suspects.keepsAway(CULPRIT, 0)).isTrue();
-		assertThat(this.suspects.keptAway()).isEqualTo(1);
+		assertThat(this.suspects.isBlocked(CULPRIT, 0)).isTrue();
+		assertThat(this.suspects.blockedCount()).isEqualTo(1);
 	}
 
 	/**
@@ -72,41 +72,41 @@
 		crashed(CULPRIT, 2L);
 		crashed(CULPRIT, 2L);
 		crashed(CULPRIT, 2L);
-		assertThat(this.suspects.keepsAway(2, 0)).isFalse();
+		assertThat(this.suspects.isBlocked(2, 0)).isFalse();
 		crashed(CULPRIT);
-		assertThat(this.suspects.keepsAway(CULPRIT, 0)).isTrue();
-		assertThat(this.suspects.keepsAway(2, 0)).isFalse();
+		assertThat(this.suspects.isBlocked(CULPRIT, 0)).isTrue();
+		assertThat(this.suspects.isBlocked(2, 0)).isFalse();
 	}
 
 	/** Guards against more than two servers that are lost after the third. */
 	@Test
 	void whatWasPartOfFiveCrashesIsKeptAwayWhateverElseWas() {
 		for (int i = 0; i < 5; i++) {
-			assertThat(this.suspects.keepsAway(CULPRIT, 0)).isFalse();
+			assertThat(this.suspects.isBlocked(CULPRIT, 0)).isFalse();
 			crashed(CULPRIT, 2L);
 		}
-		assertThat(this.suspects.keepsAway(CULPRIT, 0)).isTrue();
+		assertThat(this.suspects.isBlocked(CULPRIT, 0)).isTrue();
 	}
 
 	/** Guards against innocent requests that are refused for good. */
 	@Test
 	void whatEndsWellIsClearedAndLeavesTheCulprit() {
 		crashed(CULPRIT, 2L);
-		assertThat(this.suspects.endedWell(HERE, 2, 0)).isTrue();
-		assertThat(this.suspects.endedWell(HERE, 2, 0)).isFalse();
+		assertThat(this.suspects.recordSuccess(HERE, 2, 0)).isTrue();
+		assertThat(this.suspects.recordSuccess(HERE, 2, 0)).isFalse();
 		crashed(CULPRIT, 2L);
-		assertThat(this.suspects.keepsAway(CULPRIT, 0)).isTrue();
-		assertThat(this.suspects.keepsAway(2, 0)).isFalse();
-		assertThat(this.suspects.notes(HERE).cleared()).containsExactly(2L);
+		assertThat(this.suspects.isBlocked(CULPRIT, 0)).isTrue();
+		assertThat(this.suspects.isBlocked(2, 0)).isFalse();
+		assertThat(this.suspects.stateOf(HERE).cleared()).containsExactly(2L);
 	}
 
 	/** Guards against one crash that counts as many because many tell of it. */
 	@Test
 	void theSameCrashToldTwiceCountsOnce() {
-		CrashNotes notes = crash(CULPRIT);
-		assertThat(this.suspects.told(HERE, notes, 0)).isTrue();
-		assertThat(this.suspects.told(HERE, notes, 0)).isFalse();
-		assertThat(this.suspects.keepsAway(CULPRIT, 0)).isFalse();
+		CrashState notes = crash(CULPRIT);
+		assertThat(this.suspects.merge(HERE, notes, 0)).isTrue();
+		assertThat(this.suspects.merge(HERE, notes, 0)).isFalse();
+		assertThat(this.suspects.isBlocked(CULPRIT, 0)).isFalse();
 	}
 
 	@Test
@@ -114,21 +114,21 @@
 		crashed(CULPRIT);
 		crashed(CULPRIT);
 		long later = Duration.ofMinutes(5).toNanos();
-		assertThat(this.suspects.keepsAway(CULPRIT, later - 1)).isTrue();
-		assertThat(this.suspects.keepsAway(CULPRIT, later)).isFalse();
+		assertThat(this.suspects.isBlocked(CULPRIT, later - 1)).isTrue();
+		assertThat(this.suspects.isBlocked(CULPRIT, later)).isFalse();
 		assertThat(this.suspects.isEmpty()).isTrue();
 	}
 
 	@Test
 	void whatAnInstanceTellsIsBoundedAndHasTheLatestCrashes() {
-		CrashNotes notes = CrashNotes.NONE;
-		for (int i = 0; i < CrashNotes.MAX_REPORTS * 3; i++) {
-			notes = notes.with(crash((long) i).reports().get(0));
-			this.suspects.told(HERE, notes, 0);
+		CrashState notes = CrashState.EMPTY;
+		for (int i = 0; i < CrashState.MAX_REPORTS * 3; i++) {
+			notes = notes.withReport(crash((long) i).reports().get(0));
+			this.suspects.merge(HERE, notes, 0);
 		}
-		assertThat(this.suspects.notes(HERE)).isEqualTo(notes);
-		assertThat(notes.reports()).hasSize(CrashNotes.MAX_REPORTS);
-		assertThat(notes.reports().get(CrashNotes.MAX_REPORTS - 1).life().bornMillis()).isEqualTo(this.lives);
+		assertThat(this.suspects.stateOf(HERE)).isEqualTo(notes);
+		assertThat(notes.reports()).hasSize(CrashState.MAX_REPORTS);
+		assertThat(notes.reports().get(CrashState.MAX_REPORTS - 1).incarnation().startedMillis()).isEqualTo(this.lives);
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/keys/DeputyLeaseTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/DeputyLeaseTests.java
@@ -18,9 +18,9 @@
 
 	private final OwnLease lease = new OwnLease(TIMING);
 
-	private final PromiseBook promises = new PromiseBook(TIMING);
+	private final PromiseTracker promises = new PromiseTracker(TIMING);
 
-	private final LeaseWatch watch = new LeaseWatch(TIMING, DEPUTY, this.promises);
+	private final LeaseMonitor watch = new LeaseMonitor(TIMING, DEPUTY, this.promises);
 
 	/**
 	 * An instance is lost. Its deputy has heard nothing since its last promise and takes
@@ -30,16 +30,16 @@
 	@Test
 	void aLostHoldersKeysAreFreeForItsDeputyOnceThePromiseHasEnded() {
 		this.promises.promise(A, 7, 0);
-		this.watch.look(Map.of(A, LeaseRow.of(7, Optional.of(DEPUTY))), millis(100));
-		assertThat(this.watch.ended(A, PROMISE)).isEmpty();
-		assertThat(this.watch.ended(A, TIMING.atMost(PROMISE))).hasValue(7L);
-		assertThat(this.watch.suspicious(Set.of(A), TIMING.atMost(PROMISE))).isTrue();
+		this.watch.onRowsRead(Map.of(A, LeaseRow.of(7, Optional.of(DEPUTY))), millis(100));
+		assertThat(this.watch.endedRowVersion(A, PROMISE)).isEmpty();
+		assertThat(this.watch.endedRowVersion(A, TIMING.plusDrift(PROMISE))).hasValue(7L);
+		assertThat(this.watch.anySuspect(Set.of(A), TIMING.plusDrift(PROMISE))).isTrue();
 	}
 
 	@Test
 	void nobodyButTheDeputyTakesKeysBeforeTheLeaseHasEnded() {
-		this.watch.look(Map.of(A, LeaseRow.of(7, Optional.of(NEXT))), 0);
-		assertThat(this.watch.ended(A, millis(9_000))).isEmpty();
+		this.watch.onRowsRead(Map.of(A, LeaseRow.of(7, Optional.of(NEXT))), 0);
+		assertThat(this.watch.endedRowVersion(A, millis(9_000))).isEmpty();
 	}
 
 	/**
@@ -48,14 +48,14 @@
 	 */
 	@Test
 	void aProcessThatHasForgottenItsPromisesIsNoDeputy() {
-		this.watch.look(Map.of(A, LeaseRow.of(7, Optional.of(new Deputy(B, 4)))), 0);
-		assertThat(this.watch.ended(A, millis(9_000))).isEmpty();
+		this.watch.onRowsRead(Map.of(A, LeaseRow.of(7, Optional.of(new Deputy(B, 4)))), 0);
+		assertThat(this.watch.endedRowVersion(A, millis(9_000))).isEmpty();
 	}
 
 	@Test
 	void aLeaseThatNamesADeputyEndsWithThePromiseCountedFromTheAsking() {
-		this.lease.promised(DEPUTY, millis(100));
-		this.lease.renewed(millis(200), 7, Optional.of(DEPUTY));
+		this.lease.onPromise(DEPUTY, millis(100));
+		this.lease.onRenewed(millis(200), 7, Optional.of(DEPUTY));
 		assertThat(this.lease.remainingNanos(millis(200))).isEqualTo(PROMISE - millis(100));
 		assertThat(this.lease.remainingNanos(millis(100) + PROMISE)).isEqualTo(0);
 	}
@@ -66,10 +66,10 @@
 	 */
 	@Test
 	void aHolderGoesOnWithoutTheStoreAsLongAsItsDeputyPromises() {
-		this.lease.promised(DEPUTY, 0);
-		this.lease.renewed(0, 7, Optional.of(DEPUTY));
+		this.lease.onPromise(DEPUTY, 0);
+		this.lease.onRenewed(0, 7, Optional.of(DEPUTY));
 		for (long at = 0; at < 9_000; at += 500) {
-			this.lease.promised(DEPUTY, millis(at));
+			this.lease.onPromise(DEPUTY, millis(at));
 			assertThat(this.lease.remainingNanos(millis(at))).isGreaterThan(0);
 		}
 		assertThat(this.lease.remainingNanos(TIMING.lease().toNanos())).isEqualTo(0);
@@ -81,13 +81,13 @@
 	 */
 	@Test
 	void aRenewalOfUnknownOutcomeBindsTheHolderToBothDeputies() {
-		this.lease.promised(DEPUTY, 0);
-		this.lease.renewed(0, 7, Optional.of(DEPUTY));
-		this.lease.promised(DEPUTY, millis(3_000));
-		this.lease.promised(NEXT, millis(1_000));
-		this.lease.renewing(Optional.of(NEXT));
+		this.lease.onPromise(DEPUTY, 0);
+		this.lease.onRenewed(0, 7, Optional.of(DEPUTY));
+		this.lease.onPromise(DEPUTY, millis(3_000));
+		this.lease.onPromise(NEXT, millis(1_000));
+		this.lease.onRenewalStarted(Optional.of(NEXT));
 		assertThat(this.lease.remainingNanos(millis(3_000))).isEqualTo(PROMISE - millis(2_000));
-		this.lease.renewed(millis(3_200), 8, Optional.of(DEPUTY));
+		this.lease.onRenewed(millis(3_200), 8, Optional.of(DEPUTY));
 		assertThat(this.lease.remainingNanos(millis(3_200))).isEqualTo(PROMISE - millis(200));
 	}
 
@@ -99,7 +99,7 @@
 	@Test
 	void aDeputyThatHasTriedToTakeKeysPromisesNothingUntilTheLeaseIsRenewed() {
 		assertThat(this.promises.promise(A, 7, 0)).isTrue();
-		this.promises.attempting(A, 7);
+		this.promises.recordTakeoverAttempt(A, 7);
 		assertThat(this.promises.promise(A, 7, millis(5_000))).isFalse();
 		assertThat(this.promises.promise(A, 8, millis(6_000))).isTrue();
 	}
@@ -111,14 +111,14 @@
 	 */
 	@Test
 	void aHolderThatGivesUpFreesItsKeysAtOnce() {
-		this.lease.promised(DEPUTY, 0);
-		this.lease.renewed(0, 7, Optional.of(DEPUTY));
+		this.lease.onPromise(DEPUTY, 0);
+		this.lease.onRenewed(0, 7, Optional.of(DEPUTY));
 		this.promises.promise(A, 7, 0);
-		this.watch.look(Map.of(A, LeaseRow.of(7, Optional.of(DEPUTY))), millis(100));
-		this.lease.giveUp(millis(150));
-		this.promises.released(A);
+		this.watch.onRowsRead(Map.of(A, LeaseRow.of(7, Optional.of(DEPUTY))), millis(100));
+		this.lease.relinquish(millis(150));
+		this.promises.release(A);
 		assertThat(this.lease.remainingNanos(millis(200))).isEqualTo(0);
-		assertThat(this.watch.ended(A, millis(200))).hasValue(7L);
+		assertThat(this.watch.endedRowVersion(A, millis(200))).hasValue(7L);
 	}
 
 	/**
@@ -128,15 +128,15 @@
 	 */
 	@Test
 	void whatWasPromisedBeforeALeaseWasGivenUpCountsNoMore() {
-		this.lease.promised(DEPUTY, 0);
-		this.lease.renewed(0, 7, Optional.of(DEPUTY));
-		this.lease.giveUp(millis(150));
-		this.lease.promised(DEPUTY, millis(100));
-		this.lease.renewed(millis(120), 8, Optional.of(DEPUTY));
+		this.lease.onPromise(DEPUTY, 0);
+		this.lease.onRenewed(0, 7, Optional.of(DEPUTY));
+		this.lease.relinquish(millis(150));
+		this.lease.onPromise(DEPUTY, millis(100));
+		this.lease.onRenewed(millis(120), 8, Optional.of(DEPUTY));
 		assertThat(this.lease.remainingNanos(millis(200))).isEqualTo(0);
-		this.lease.renewed(millis(300), 9, Optional.of(DEPUTY));
+		this.lease.onRenewed(millis(300), 9, Optional.of(DEPUTY));
 		assertThat(this.lease.remainingNanos(millis(310))).isEqualTo(0);
-		this.lease.promised(DEPUTY, millis(320));
+		this.lease.onPromise(DEPUTY, millis(320));
 		assertThat(this.lease.remainingNanos(millis(330))).isGreaterThan(0);
 	}
 
@@ -146,9 +146,9 @@
 	 */
 	@Test
 	void aDeputyThatWasReplacedBeforeItsPromiseEndedBindsNobody() {
-		this.lease.promised(DEPUTY, 0);
-		this.lease.renewed(0, 7, Optional.of(DEPUTY));
-		this.lease.heard(new Deputy(B, 99), millis(2_000));
+		this.lease.onPromise(DEPUTY, 0);
+		this.lease.onRenewed(0, 7, Optional.of(DEPUTY));
+		this.lease.onProcessSeen(new Deputy(B, 99), millis(2_000));
 		assertThat(this.lease.remainingNanos(millis(9_000))).isEqualTo(millis(1_000));
 	}
 
@@ -158,9 +158,9 @@
 	 */
 	@Test
 	void aDeputyThatWasReplacedAfterItsPromiseEndedMayHaveTakenTheKeys() {
-		this.lease.promised(DEPUTY, 0);
-		this.lease.renewed(0, 7, Optional.of(DEPUTY));
-		this.lease.heard(new Deputy(B, 99), PROMISE);
+		this.lease.onPromise(DEPUTY, 0);
+		this.lease.onRenewed(0, 7, Optional.of(DEPUTY));
+		this.lease.onProcessSeen(new Deputy(B, 99), PROMISE);
 		assertThat(this.lease.remainingNanos(millis(5_000))).isEqualTo(0);
 	}
 
--- a/core/src/test/java/org/brasspier/core/keys/GrantCallsTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/GrantCallSchedulerTests.java
@@ -7,27 +7,27 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class GrantCallsTests extends KeyFixtures {
+class GrantCallSchedulerTests extends KeyFixtures {
 
 	private static final long LEASE = TIMING.lease().toNanos();
 
 	/** No process before this one can have granted anything that still lasts. */
-	private static final long LATER = TIMING.atMost(TIMING.hold().toNanos());
+	private static final long LATER = TIMING.plusDrift(TIMING.hold().toNanos());
 
-	private final KeyMap map = KeyMap.first(holders(A, B));
+	private final KeyMap map = KeyMap.initial(holders(A, B));
 
-	private final GrantBook book = new GrantBook(A, TIMING, 0);
+	private final GrantTracker book = new GrantTracker(A, TIMING, 0);
 
-	private final GrantCalls calls = new GrantCalls(this.book);
+	private final GrantCallScheduler calls = new GrantCallScheduler(this.book);
 
-	private final KeyHolding own = this.map.of(A).get(0);
+	private final KeyHolding own = this.map.heldBy(A).get(0);
 
 	private List<GrantCall> due(KeyMap known, long now) {
-		return this.calls.due(known, holder(A).life(), LEASE, now);
+		return this.calls.dueCalls(known, holder(A).incarnation(), LEASE, now);
 	}
 
 	private KeyMap leaving() {
-		return this.map.carved(Map.of(this.own.span(), B));
+		return this.map.withPlannedMoves(Map.of(this.own.span(), B));
 	}
 
 	private KeyHolding leavingHolding() {
@@ -36,7 +36,7 @@
 
 	private void grantAll(long now) {
 		for (List<GrantCall> next = due(this.map, now); !next.isEmpty(); next = due(this.map, now)) {
-			next.forEach((call) -> this.calls.granted((GrantCall.Grant) call, now, now));
+			next.forEach((call) -> this.calls.onGranted((GrantCall.Grant) call, now, now));
 		}
 	}
 
@@ -48,15 +48,15 @@
 	}
 
 	private boolean usable(long now) {
-		return this.book.usable(this.own.span().from(), this.own, holder(A).life(), now);
+		return this.book.usable(this.own.span().from(), this.own, holder(A).incarnation(), now);
 	}
 
 	@Test
 	void keysAreUsedOnceTheirGrantIsAnswered() {
 		GrantCall.Grant grant = (GrantCall.Grant) due(this.map, 0).get(0);
 		assertThat(usable(millis(1))).isFalse();
-		this.calls.granted(grant, 0, millis(2));
-		assertThat(this.book.usable(grant.span().from(), this.map.holding(grant.span().from()), holder(A).life(),
+		this.calls.onGranted(grant, 0, millis(2));
+		assertThat(this.book.usable(grant.span().from(), this.map.holding(grant.span().from()), holder(A).incarnation(),
 				millis(3)))
 			.isTrue();
 	}
@@ -71,13 +71,15 @@
 
 	@Test
 	void nothingIsGrantedOnceTheLeaseHasRunOut() {
-		assertThat(this.calls.due(this.map, holder(A).life(), 0, 0)).isEmpty();
+		assertThat(this.calls.dueCalls(this.map, holder(A).incarnation(), 0, 0)).isEmpty();
 	}
 
 	@Test
 	void aHoldThatBeginsWhenItsCallArrivesEndsWithinTheLease() {
-		GrantCall.Grant grant = (GrantCall.Grant) this.calls.due(this.map, holder(A).life(), millis(2000), 0).get(0);
-		assertThat(TIMING.atMost(grant.hold().toNanos())).isAtMost(millis(1500));
+		GrantCall.Grant grant = (GrantCall.Grant) this.calls
+			.dueCalls(this.map, holder(A).incarnation(), millis(2000), 0)
+			.get(0);
+		assertThat(TIMING.plusDrift(grant.hold().toNanos())).isAtMost(millis(1500));
 	}
 
 	@Test
@@ -87,7 +89,7 @@
 		assertThat(release.span()).isEqualTo(this.own.span());
 		assertThat(usable(LATER + millis(11))).isFalse();
 		assertThat(this.book.released(leavingHolding(), LATER + millis(11))).isEmpty();
-		this.calls.released(release, "token");
+		this.calls.onReleased(release, "token");
 		assertThat(this.book.released(leavingHolding(), LATER + millis(12))).hasValue("token");
 	}
 
@@ -96,10 +98,10 @@
 	void keysWhoseGrantWasNotAnsweredWaitUntilItHasRunOutDespiteTheirRelease() {
 		GrantCall.Grant grant = (GrantCall.Grant) due(this.map, LATER).get(0);
 		assertThat(grant.span()).isEqualTo(this.own.span());
-		assertThat(this.calls.granting(this.own.span())).isTrue();
-		this.calls.unanswered(grant, LATER + millis(400));
-		this.calls.released(release(LATER + millis(700)), "token");
-		long end = LATER + millis(400) + TIMING.atMost(grant.hold().toNanos());
+		assertThat(this.calls.isGrantPending(this.own.span())).isTrue();
+		this.calls.onUnanswered(grant, LATER + millis(400));
+		this.calls.onReleased(release(LATER + millis(700)), "token");
+		long end = LATER + millis(400) + TIMING.plusDrift(grant.hold().toNanos());
 		assertThat(this.book.released(leavingHolding(), end - 1)).isEmpty();
 		assertThat(this.book.released(leavingHolding(), end)).hasValue("token");
 	}
@@ -107,7 +109,7 @@
 	/** Guards against an unanswered grant of the process before this one. */
 	@Test
 	void aNewProcessWaitsDespiteAReleaseForWhatItsPredecessorMayHaveGranted() {
-		this.calls.released(release(millis(10)), "token");
+		this.calls.onReleased(release(millis(10)), "token");
 		assertThat(this.book.released(leavingHolding(), LATER - 1)).isEmpty();
 		assertThat(this.book.released(leavingHolding(), LATER)).hasValue("token");
 	}
@@ -124,8 +126,8 @@
 	void aReleaseWithoutAnAnswerIsOverWhenTheHoldHasRunOut() {
 		grantAll(LATER);
 		GrantCall.Release release = release(LATER + millis(10));
-		this.calls.unanswered(release, LATER + millis(400));
-		long end = LATER + TIMING.atMost(TIMING.hold().toNanos());
+		this.calls.onUnanswered(release, LATER + millis(400));
+		long end = LATER + TIMING.plusDrift(TIMING.hold().toNanos());
 		assertThat(this.book.released(leavingHolding(), end - 1)).isEmpty();
 		assertThat(this.book.released(leavingHolding(), end)).hasValue("");
 	}
@@ -133,7 +135,7 @@
 	@Test
 	void keysThatAreToStayAfterAllAreGrantedAgainWithWhatTheirServerHandedOver() {
 		grantAll(LATER);
-		this.calls.released(release(LATER + millis(10)), "token");
+		this.calls.onReleased(release(LATER + millis(10)), "token");
 		GrantCall again = due(this.map, LATER + millis(20)).get(0);
 		assertThat(again.span()).isEqualTo(this.own.span());
 		assertThat(((GrantCall.Grant) again).handover()).isEqualTo("token");
@@ -146,18 +148,19 @@
 	@Test
 	void aSupersededGrantAsksForANewFence() {
 		GrantCall.Grant grant = (GrantCall.Grant) due(this.map, LATER).get(0);
-		this.calls.superseded(grant, LATER + millis(1));
+		this.calls.onSuperseded(grant, LATER + millis(1));
 		assertThat(this.calls.needsNewFence(this.own)).isTrue();
-		assertThat(this.book.usable(this.own.span().from(), this.own, holder(A).life(), LATER + millis(2))).isFalse();
+		assertThat(this.book.usable(this.own.span().from(), this.own, holder(A).incarnation(), LATER + millis(2)))
+			.isFalse();
 	}
 
 	@Test
 	void aServerThatStartedAgainIsGrantedItsKeysUnderItsNewLife() {
 		grantAll(LATER);
-		KeyHolder again = new KeyHolder(A, new BackendLife(holder(A).life().id(), 2));
-		KeyMap renewed = KeyPlanner.withLife(this.map, again).orElseThrow();
-		GrantCall first = this.calls.due(renewed, again.life(), LEASE, LATER + millis(10)).get(0);
-		assertThat(first.life()).isEqualTo(again.life());
+		KeyHolder again = new KeyHolder(A, new BackendIncarnation(holder(A).incarnation().id(), 2));
+		KeyMap renewed = KeyPlanner.reassignToIncarnation(this.map, again).orElseThrow();
+		GrantCall first = this.calls.dueCalls(renewed, again.incarnation(), LEASE, LATER + millis(10)).get(0);
+		assertThat(first.incarnation()).isEqualTo(again.incarnation());
 		assertThat(first.fence().value()).isAtLeast(this.map.nextFence());
 	}
 
--- a/core/src/test/java/org/brasspier/core/keys/GrantModel.java
+++ b/core/src/test/java/org/brasspier/core/keys/GrantModel.java
@@ -67,7 +67,7 @@
 		this.random = new SplittableRandom(seed);
 		this.delivery = delivery;
 		IntStream.range(0, INSTANCES).forEach((index) -> this.instances.add(new Instance(index)));
-		this.map = KeyMap.first(this.instances.stream().map(Instance::holder).toList());
+		this.map = KeyMap.initial(this.instances.stream().map(Instance::holder).toList());
 	}
 
 	void play() {
@@ -109,8 +109,8 @@
 		after(millis(50, 600), this::planMove);
 		KeyHolding held = this.map.holdings().get(this.random.nextInt(this.map.holdings().size()));
 		InstanceId to = this.instances.get(this.random.nextInt(INSTANCES)).id;
-		if (held.next().isEmpty() && !held.owner().equals(to)) {
-			this.map = this.map.carved(Map.of(held.span(), to));
+		if (held.nextHolder().isEmpty() && !held.owner().equals(to)) {
+			this.map = this.map.withPlannedMoves(Map.of(held.span(), to));
 		}
 	}
 
@@ -156,18 +156,18 @@
 
 		private int born = 1;
 
-		private GrantBook book;
+		private GrantTracker book;
 
-		private GrantCalls calls;
+		private GrantCallScheduler calls;
 
 		Instance(int index) {
 			this.id = new InstanceId("instance-" + index);
-			this.book = new GrantBook(this.id, TIMING, 0);
-			this.calls = new GrantCalls(this.book);
+			this.book = new GrantTracker(this.id, TIMING, 0);
+			this.calls = new GrantCallScheduler(this.book);
 		}
 
 		KeyHolder holder() {
-			return new KeyHolder(this.id, new BackendLife("server", this.born));
+			return new KeyHolder(this.id, new BackendIncarnation("server", this.born));
 		}
 
 		void start() {
@@ -178,8 +178,8 @@
 		}
 
 		private void restartDaemon() {
-			this.book = new GrantBook(this.id, TIMING, GrantModel.this.now);
-			this.calls = new GrantCalls(this.book);
+			this.book = new GrantTracker(this.id, TIMING, GrantModel.this.now);
+			this.calls = new GrantCallScheduler(this.book);
 		}
 
 		private void restartServer() {
@@ -187,7 +187,8 @@
 			this.seen.clear();
 			this.freed.clear();
 			this.born++;
-			GrantModel.this.map = KeyPlanner.withLife(GrantModel.this.map, holder()).orElse(GrantModel.this.map);
+			GrantModel.this.map = KeyPlanner.reassignToIncarnation(GrantModel.this.map, holder())
+				.orElse(GrantModel.this.map);
 		}
 
 		boolean holds(int key) {
@@ -199,22 +200,23 @@
 		private void step() {
 			after(STEP, this::step);
 			if (GrantModel.this.delivery instanceof GrantDelivery.ByCall) {
-				this.calls.due(GrantModel.this.map, holder().life(), LEASE, GrantModel.this.now).forEach(this::call);
+				this.calls.dueCalls(GrantModel.this.map, holder().incarnation(), LEASE, GrantModel.this.now)
+					.forEach(this::call);
 			}
 			handOver();
 		}
 
 		private void handOver() {
-			for (KeyHolding held : GrantModel.this.map.of(this.id)) {
-				if (held.next().isEmpty() || this.calls.granting(held.span())) {
+			for (KeyHolding held : GrantModel.this.map.heldBy(this.id)) {
+				if (held.nextHolder().isEmpty() || this.calls.isGrantPending(held.span())) {
 					continue;
 				}
 				this.book.released(held, GrantModel.this.now).ifPresent((handover) -> {
 					Instance next = GrantModel.this.instances.stream()
-						.filter((other) -> held.next().equals(Optional.of(other.id)))
+						.filter((other) -> held.nextHolder().equals(Optional.of(other.id)))
 						.findFirst()
 						.orElseThrow();
-					GrantModel.this.map = GrantModel.this.map.moved(held::equals, (moved) -> next.holder(),
+					GrantModel.this.map = GrantModel.this.map.reassigned(held::equals, (moved) -> next.holder(),
 							(moved) -> handover);
 					GrantModel.this.moves++;
 				});
@@ -222,7 +224,7 @@
 		}
 
 		private void call(GrantCall call) {
-			GrantCalls by = this.calls;
+			GrantCallScheduler by = this.calls;
 			int livedBy = this.born;
 			long sent = GrantModel.this.now;
 			boolean lost = chance(25);
@@ -236,27 +238,27 @@
 						}
 					});
 					if (lost) {
-						after(CALL_TIMEOUT, () -> by.unanswered(grant, GrantModel.this.now));
+						after(CALL_TIMEOUT, () -> by.onUnanswered(grant, GrantModel.this.now));
 					}
 				}
 				case GrantCall.Release release -> {
 					this.server.values().removeIf((held) -> release.span().overlaps(held.span) && livedBy == this.born);
 					if (lost) {
-						after(RELEASE_TIMEOUT, () -> by.unanswered(release, GrantModel.this.now));
+						after(RELEASE_TIMEOUT, () -> by.onUnanswered(release, GrantModel.this.now));
 					}
 					else {
-						after(millis(1, 300), () -> by.released(release, "token"));
+						after(millis(1, 300), () -> by.onReleased(release, "token"));
 					}
 				}
 			}
 		}
 
-		private void answered(GrantCalls by, GrantCall.Grant grant, boolean accepted, long sent) {
+		private void answered(GrantCallScheduler by, GrantCall.Grant grant, boolean accepted, long sent) {
 			if (accepted) {
-				by.granted(grant, sent, GrantModel.this.now);
+				by.onGranted(grant, sent, GrantModel.this.now);
 			}
 			else {
-				by.superseded(grant, GrantModel.this.now);
+				by.onSuperseded(grant, GrantModel.this.now);
 			}
 		}
 
@@ -269,7 +271,7 @@
 				return false;
 			}
 			this.seen.merge(grant.span(), grant.fence().value(), Math::max);
-			long until = arrived + TIMING.atMost(grant.hold().toNanos());
+			long until = arrived + TIMING.plusDrift(grant.hold().toNanos());
 			GrantModel.this.lateGrants += (GrantModel.this.now - arrived > CALL_TIMEOUT) ? 1 : 0;
 			this.server.values().removeIf((held) -> held.span.overlaps(grant.span()));
 			this.server.put(grant.span(), new Held(grant.span(), grant.fence().value(), until));
@@ -288,21 +290,21 @@
 				.map((held) -> new HeldKeys(held.span, new org.brasspier.core.Fence(held.fence)))
 				.toList();
 			List<ReleasedKeys> released = List.copyOf(this.freed);
-			HoldReport report = new HoldReport(holder().life(), holds, released);
+			HoldReport report = new HoldReport(holder().incarnation(), holds, released);
 			after(millis(1, 20),
-					() -> this.book.answer(GrantModel.this.map, report, LEASE, GrantModel.this.now)
+					() -> this.book.answerHeartbeat(GrantModel.this.map, report, LEASE, GrantModel.this.now)
 						.filter((answer) -> !chance(25))
 						.ifPresent((answer) -> after(millis(1, 900), () -> take(answer, report, sent))));
 		}
 
 		private void take(GrantAnswer answer, HoldReport report, long sent) {
-			if (!report.life().equals(holder().life())) {
+			if (!report.incarnation().equals(holder().incarnation())) {
 				return;
 			}
 			this.freed.removeAll(report.freed());
 			Map<KeySpan, Held> before = new HashMap<>(this.server);
 			this.server.clear();
-			long until = sent + TIMING.atMost(answer.hold().toNanos());
+			long until = sent + TIMING.plusDrift(answer.hold().toNanos());
 			answer.grants()
 				.forEach(
 						(grant) -> this.server.put(grant.span(), new Held(grant.span(), grant.fence().value(), until)));
