--- a/core/src/test/java/org/brasspier/core/keys/GrantBookTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/GrantTrackerTests.java
@@ -9,22 +9,22 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class GrantBookTests extends KeyFixtures {
+class GrantTrackerTests extends KeyFixtures {
 
 	private static final long LONG_LEASE = Duration.ofSeconds(10).toNanos();
 
-	private final KeyMap map = KeyMap.first(holders(A, B));
+	private final KeyMap map = KeyMap.initial(holders(A, B));
 
-	private final GrantBook book = new GrantBook(A, TIMING, 0);
+	private final GrantTracker book = new GrantTracker(A, TIMING, 0);
 
-	private final KeyHolding own = this.map.of(A).get(0);
+	private final KeyHolding own = this.map.heldBy(A).get(0);
 
 	private Optional<GrantAnswer> beat(KeyMap known, List<HeldKeys> holds, List<ReleasedKeys> freed, long now) {
-		return this.book.answer(known, report(A, holds, freed), LONG_LEASE, now);
+		return this.book.answerHeartbeat(known, report(A, holds, freed), LONG_LEASE, now);
 	}
 
 	private KeyMap leaving() {
-		return this.map.carved(Map.of(this.own.span(), B));
+		return this.map.withPlannedMoves(Map.of(this.own.span(), B));
 	}
 
 	private KeyHolding leavingHolding() {
@@ -35,7 +35,7 @@
 	void aServerIsToldAllItsKeysAndNoOthers() {
 		GrantAnswer answer = beat(this.map, List.of(), List.of(), 0).orElseThrow();
 		assertThat(answer.grants().stream().map(KeyGrant::span).toList())
-			.containsExactlyElementsIn(this.map.of(A).stream().map(KeyHolding::span).toList());
+			.containsExactlyElementsIn(this.map.heldBy(A).stream().map(KeyHolding::span).toList());
 	}
 
 	/**
@@ -45,30 +45,30 @@
 	 */
 	@Test
 	void nothingIsSaidOfKeysOnceTheLeaseHasRunOut() {
-		assertThat(this.book.answer(this.map, report(A, List.of(), List.of()), 0, 0)).isEmpty();
+		assertThat(this.book.answerHeartbeat(this.map, report(A, List.of(), List.of()), 0, 0)).isEmpty();
 	}
 
 	@Test
 	void aHoldEndsWithTheLeaseByAnyClock() {
-		Duration hold = this.book.answer(this.map, report(A, List.of(), List.of()), millis(1020), 0)
+		Duration hold = this.book.answerHeartbeat(this.map, report(A, List.of(), List.of()), millis(1020), 0)
 			.orElseThrow()
 			.hold();
-		assertThat(TIMING.atMost(hold.toNanos())).isAtMost(millis(1020));
+		assertThat(TIMING.plusDrift(hold.toNanos())).isAtMost(millis(1020));
 	}
 
 	@Test
 	void aRequestWaitsUntilTheServerHasItsGrant() {
 		beat(this.map, List.of(), List.of(), 0);
 		int key = this.own.span().from();
-		assertThat(this.book.usable(key, this.own, holder(A).life(), millis(1))).isFalse();
-		assertThat(this.book.usable(key, this.own, holder(A).life(), millis(10))).isTrue();
-		assertThat(this.book.usable(key, this.own, holder(A).life(), TIMING.hold().toNanos())).isFalse();
+		assertThat(this.book.usable(key, this.own, holder(A).incarnation(), millis(1))).isFalse();
+		assertThat(this.book.usable(key, this.own, holder(A).incarnation(), millis(10))).isTrue();
+		assertThat(this.book.usable(key, this.own, holder(A).incarnation(), TIMING.hold().toNanos())).isFalse();
 	}
 
 	@Test
 	void aServerThatStartedAgainIsNotTakenForTheOneThatHeldTheKeys() {
 		beat(this.map, List.of(), List.of(), 0);
-		BackendLife again = new BackendLife(holder(A).life().id(), 2);
+		BackendIncarnation again = new BackendIncarnation(holder(A).incarnation().id(), 2);
 		assertThat(this.book.usable(this.own.span().from(), this.own, again, millis(10))).isFalse();
 	}
 
@@ -77,7 +77,8 @@
 		beat(this.map, List.of(), List.of(), 0);
 		GrantAnswer answer = beat(leaving(), List.of(), List.of(), millis(900)).orElseThrow();
 		assertThat(answer.grants().stream().map(KeyGrant::span).toList()).doesNotContain(this.own.span());
-		assertThat(this.book.usable(this.own.span().from(), leavingHolding(), holder(A).life(), millis(901))).isFalse();
+		assertThat(this.book.usable(this.own.span().from(), leavingHolding(), holder(A).incarnation(), millis(901)))
+			.isFalse();
 	}
 
 	/**
@@ -89,11 +90,11 @@
 	void keysThatAreToLeaveAreUsedUntilTheirServerIsToldSo() {
 		int key = this.own.span().from();
 		beat(this.map, List.of(), List.of(), 0);
-		assertThat(this.book.usable(key, leavingHolding(), holder(A).life(), millis(800))).isTrue();
-		this.book.answer(leaving(), report(A, List.of(), List.of()), 0, millis(850));
-		assertThat(this.book.usable(key, leavingHolding(), holder(A).life(), millis(860))).isTrue();
+		assertThat(this.book.usable(key, leavingHolding(), holder(A).incarnation(), millis(800))).isTrue();
+		this.book.answerHeartbeat(leaving(), report(A, List.of(), List.of()), 0, millis(850));
+		assertThat(this.book.usable(key, leavingHolding(), holder(A).incarnation(), millis(860))).isTrue();
 		beat(leaving(), List.of(), List.of(), millis(900));
-		assertThat(this.book.usable(key, leavingHolding(), holder(A).life(), millis(901))).isFalse();
+		assertThat(this.book.usable(key, leavingHolding(), holder(A).incarnation(), millis(901))).isFalse();
 	}
 
 	/**
@@ -116,7 +117,7 @@
 		beat(this.map, List.of(), List.of(), 0);
 		long hold = TIMING.hold().toNanos();
 		assertThat(this.book.released(leavingHolding(), hold + millis(10))).isEmpty();
-		assertThat(this.book.released(leavingHolding(), TIMING.atMost(hold))).hasValue("");
+		assertThat(this.book.released(leavingHolding(), TIMING.plusDrift(hold))).hasValue("");
 	}
 
 	/**
@@ -127,7 +128,7 @@
 	@Test
 	void aNewProcessWaitsForWhatItsPredecessorMayHaveGranted() {
 		assertThat(this.book.released(leavingHolding(), millis(500))).isEmpty();
-		assertThat(this.book.released(leavingHolding(), TIMING.atMost(TIMING.hold().toNanos()))).hasValue("");
+		assertThat(this.book.released(leavingHolding(), TIMING.plusDrift(TIMING.hold().toNanos()))).hasValue("");
 	}
 
 	/**
@@ -139,11 +140,11 @@
 	void partsOfASpanAreGrantedAsTheWholeWas() {
 		beat(this.map, List.of(), List.of(), 0);
 		KeySpan left = new KeySpan(this.own.span().from(), this.own.span().from() + 9);
-		KeyMap cut = this.map.carved(Map.of(left, B));
+		KeyMap cut = this.map.withPlannedMoves(Map.of(left, B));
 		int staying = left.to() + 1;
-		assertThat(this.book.usable(staying, cut.holding(staying), holder(A).life(), millis(100))).isTrue();
+		assertThat(this.book.usable(staying, cut.holding(staying), holder(A).incarnation(), millis(100))).isTrue();
 		beat(cut, List.of(), List.of(), millis(900));
-		assertThat(this.book.usable(staying, cut.holding(staying), holder(A).life(), millis(901))).isTrue();
+		assertThat(this.book.usable(staying, cut.holding(staying), holder(A).incarnation(), millis(901))).isTrue();
 		assertThat(this.book.released(cut.holding(left.from()), millis(901))).isEmpty();
 	}
 
--- a/core/src/test/java/org/brasspier/core/keys/KeyFixtures.java
+++ b/core/src/test/java/org/brasspier/core/keys/KeyFixtures.java
@@ -23,7 +23,7 @@
 	}
 
 	static KeyHolder holder(InstanceId instance) {
-		return new KeyHolder(instance, new BackendLife("server-" + instance, 1));
+		return new KeyHolder(instance, new BackendIncarnation("server-" + instance, 1));
 	}
 
 	static List<KeyHolder> holders(InstanceId... instances) {
@@ -35,7 +35,7 @@
 	}
 
 	static HoldReport report(InstanceId instance, List<HeldKeys> holds, List<ReleasedKeys> freed) {
-		return new HoldReport(holder(instance).life(), holds, freed);
+		return new HoldReport(holder(instance).incarnation(), holds, freed);
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/keys/KeyMapTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/KeyMapTests.java
@@ -13,10 +13,10 @@
 
 class KeyMapTests extends KeyFixtures {
 
-	private final KeyMap map = KeyMap.first(holders(A, B, C));
+	private final KeyMap map = KeyMap.initial(holders(A, B, C));
 
 	private static int keysOf(KeyMap map, KeyHolder holder) {
-		return map.of(holder.instance()).stream().mapToInt((held) -> held.span().size()).sum();
+		return map.heldBy(holder.instance()).stream().mapToInt((held) -> held.span().size()).sum();
 	}
 
 	@Test
@@ -34,79 +34,82 @@
 	@Test
 	void whatMovesGetsAFenceThatWasNeverGivenOut() {
 		long next = this.map.nextFence();
-		KeyMap moved = this.map.moved((held) -> held.owner().equals(A), (held) -> holder(B), (held) -> "");
-		assertThat(moved.of(A)).isEmpty();
-		assertThat(moved.of(B).stream().filter((held) -> held.fence().value() == next).count())
-			.isEqualTo(this.map.of(A).size());
+		KeyMap moved = this.map.reassigned((held) -> held.owner().equals(A), (held) -> holder(B), (held) -> "");
+		assertThat(moved.heldBy(A)).isEmpty();
+		assertThat(moved.heldBy(B).stream().filter((held) -> held.fence().value() == next).count())
+			.isEqualTo(this.map.heldBy(A).size());
 		assertThat(moved.nextFence()).isGreaterThan(next);
 	}
 
 	@Test
 	void carvingLeavesTheRestWhereItIs() {
 		KeySpan part = new KeySpan(100, 199);
-		KeyMap carved = this.map.carved(Map.of(part, B));
-		assertThat(carved.holding(150).next()).hasValue(B);
-		assertThat(carved.holding(99).next()).isEmpty();
-		assertThat(carved.holding(200).next()).isEmpty();
+		KeyMap carved = this.map.withPlannedMoves(Map.of(part, B));
+		assertThat(carved.holding(150).nextHolder()).hasValue(B);
+		assertThat(carved.holding(99).nextHolder()).isEmpty();
+		assertThat(carved.holding(200).nextHolder()).isEmpty();
 		assertThat(carved.holding(200).fence()).isEqualTo(this.map.holding(200).fence());
 	}
 
 	@Test
 	void joiningUndoesACutThatIsNoLongerNeeded() {
-		KeyMap carved = this.map.carved(Map.of(new KeySpan(100, 199), B));
-		KeyMap back = carved.wanted((held) -> held.next().isPresent() ? Optional.of(held.owner()) : Optional.empty());
-		assertThat(back.joined().holdings()).isEqualTo(this.map.holdings());
+		KeyMap carved = this.map.withPlannedMoves(Map.of(new KeySpan(100, 199), B));
+		KeyMap back = carved
+			.withNextHolders((held) -> held.nextHolder().isPresent() ? Optional.of(held.owner()) : Optional.empty());
+		assertThat(back.merged().holdings()).isEqualTo(this.map.holdings());
 	}
 
 	@Test
 	void theKeysOfALostOwnerAreDealtEvenly() {
-		KeyMap after = KeyPlanner.withoutLost(this.map, Set.of(A), holders(B, C)).orElseThrow();
-		assertThat(after.of(A)).isEmpty();
+		KeyMap after = KeyPlanner.reassignLost(this.map, Set.of(A), holders(B, C)).orElseThrow();
+		assertThat(after.heldBy(A)).isEmpty();
 		assertThat(Math.abs(keysOf(after, holder(B)) - keysOf(after, holder(C)))).isAtMost(5000);
 	}
 
 	@Test
 	void aNewLifeOfAServerGetsItsKeysUnderANewFence() {
-		KeyHolder again = new KeyHolder(A, new BackendLife(holder(A).life().id(), 2));
-		KeyMap after = KeyPlanner.withLife(this.map, again).orElseThrow();
-		assertThat(after.of(A).stream().allMatch((held) -> held.life().equals(again.life()))).isTrue();
-		assertThat(after.of(A).get(0).fence().value()).isAtLeast(this.map.nextFence());
-		assertThat(KeyPlanner.withLife(after, again)).isEmpty();
+		KeyHolder again = new KeyHolder(A, new BackendIncarnation(holder(A).incarnation().id(), 2));
+		KeyMap after = KeyPlanner.reassignToIncarnation(this.map, again).orElseThrow();
+		assertThat(after.heldBy(A).stream().allMatch((held) -> held.incarnation().equals(again.incarnation())))
+			.isTrue();
+		assertThat(after.heldBy(A).get(0).fence().value()).isAtLeast(this.map.nextFence());
+		assertThat(KeyPlanner.reassignToIncarnation(after, again)).isEmpty();
 	}
 
 	@Test
 	void anInstanceThatLeavesGivesAllItHasToOthers() {
-		KeyMap after = KeyPlanner.withoutLeaving(this.map, Set.of(A), holders(B, C)).orElseThrow();
-		assertThat(after.of(A).stream().allMatch((held) -> held.next().isPresent())).isTrue();
-		assertThat(after.of(B).stream().anyMatch((held) -> held.next().isPresent())).isFalse();
+		KeyMap after = KeyPlanner.reassignLeaving(this.map, Set.of(A), holders(B, C)).orElseThrow();
+		assertThat(after.heldBy(A).stream().allMatch((held) -> held.nextHolder().isPresent())).isTrue();
+		assertThat(after.heldBy(B).stream().anyMatch((held) -> held.nextHolder().isPresent())).isFalse();
 	}
 
 	@Test
 	void keysThatWereToGoToSomebodyWhoIsLostGoElsewhere() {
-		KeyMap towardsA = this.map.wanted((held) -> held.owner().equals(B) ? Optional.of(A) : Optional.empty());
-		KeyMap after = KeyPlanner.withoutLeaving(towardsA, Set.of(), holders(B, C)).orElseThrow();
-		assertThat(after.of(B).stream().anyMatch((held) -> held.next().equals(Optional.of(A)))).isFalse();
+		KeyMap towardsA = this.map
+			.withNextHolders((held) -> held.owner().equals(B) ? Optional.of(A) : Optional.empty());
+		KeyMap after = KeyPlanner.reassignLeaving(towardsA, Set.of(), holders(B, C)).orElseThrow();
+		assertThat(after.heldBy(B).stream().anyMatch((held) -> held.nextHolder().equals(Optional.of(A)))).isFalse();
 	}
 
 	@Test
 	void aNewcomerIsGivenAnEvenPart() {
-		KeyMap two = KeyMap.first(holders(A, B));
-		KeyMap after = KeyPlanner.evened(two, holders(A, B, C)).orElseThrow();
+		KeyMap two = KeyMap.initial(holders(A, B));
+		KeyMap after = KeyPlanner.fillEmptyHolders(two, holders(A, B, C)).orElseThrow();
 		int coming = after.holdings()
 			.stream()
-			.filter((held) -> held.next().equals(Optional.of(C)))
+			.filter((held) -> held.nextHolder().equals(Optional.of(C)))
 			.mapToInt((held) -> held.span().size())
 			.sum();
 		assertThat(coming).isAtLeast(15_000);
-		assertThat(KeyPlanner.evened(after, holders(A, B, C))).isEmpty();
+		assertThat(KeyPlanner.fillEmptyHolders(after, holders(A, B, C))).isEmpty();
 	}
 
 	@Test
 	void aMapConcernsTheOwnersOfWhatItChangesAndThoseThatAreToHaveIt() {
-		KeyMap moving = this.map.carved(Map.of(this.map.of(A).get(0).span(), B));
-		assertThat(this.map.concerned(Optional.empty())).containsExactly(A, B, C);
-		assertThat(this.map.concerned(Optional.of(this.map))).isEmpty();
-		assertThat(moving.concerned(Optional.of(this.map))).containsExactly(A, B);
+		KeyMap moving = this.map.withPlannedMoves(Map.of(this.map.heldBy(A).get(0).span(), B));
+		assertThat(this.map.affectedInstances(Optional.empty())).containsExactly(A, B, C);
+		assertThat(this.map.affectedInstances(Optional.of(this.map))).isEmpty();
+		assertThat(moving.affectedInstances(Optional.of(this.map))).containsExactly(A, B);
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/keys/KeyBalanceLoadTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/KeyRebalancerLoadTests.java
@@ -17,7 +17,7 @@
  * Servers of unequal speed under skewed demand that turns hot in one place, second by
  * second: what a server can't run is refused and comes back twice.
  */
-class KeyBalanceLoadTests extends KeyFixtures {
+class KeyRebalancerLoadTests extends KeyFixtures {
 
 	private static final List<InstanceId> ALL = List.of(new InstanceId("a"), new InstanceId("b"), new InstanceId("c"),
 			new InstanceId("d"), new InstanceId("e"), new InstanceId("f"));
@@ -28,7 +28,7 @@
 
 	private final Random random = new Random(7);
 
-	private KeyMap map = KeyMap.first(ALL.stream().map(KeyFixtures::holder).toList());
+	private KeyMap map = KeyMap.initial(ALL.stream().map(KeyFixtures::holder).toList());
 
 	private final Map<InstanceId, KeyMeter> meters = new HashMap<>();
 
@@ -60,7 +60,7 @@
 		for (int coded : coming) {
 			int key = coded / (RETURNS + 1);
 			InstanceId owner = this.map.holding(key).owner();
-			meter(owner).asked(key);
+			meter(owner).recordRequest(key);
 			if (served.merge(owner, 1, Integer::sum) <= CAPACITY[ALL.indexOf(owner)]) {
 				continue;
 			}
@@ -70,7 +70,7 @@
 		}
 		this.returning = next;
 		this.now += millis(1000);
-		ALL.forEach((instance) -> meter(instance).tick(this.now));
+		ALL.forEach((instance) -> meter(instance).updateRates(this.now));
 		return served.entrySet()
 			.stream()
 			.mapToDouble((entry) -> entry.getValue() / CAPACITY[ALL.indexOf(entry.getKey())])
@@ -81,12 +81,14 @@
 	private void balance() {
 		List<HolderLoad> loads = ALL.stream()
 			.map((instance) -> new HolderLoad(instance, CAPACITY[ALL.indexOf(instance)],
-					meter(instance).pieces(this.map.of(instance).stream().map(KeyHolding::span).toList())))
+					meter(instance).split(this.map.heldBy(instance).stream().map(KeyHolding::span).toList())))
 			.toList();
-		Optional<KeyMap> planned = KeyBalance.plan(this.map, loads);
-		planned.ifPresent((moves) -> this.map = moves
-			.moved((held) -> held.next().isPresent(), (held) -> holder(held.next().orElseThrow()), (held) -> "warm")
-			.joined());
+		Optional<KeyMap> planned = KeyRebalancer.plan(this.map, loads);
+		planned.ifPresent(
+				(moves) -> this.map = moves
+					.reassigned((held) -> held.nextHolder().isPresent(),
+							(held) -> holder(held.nextHolder().orElseThrow()), (held) -> "warm")
+					.merged());
 	}
 
 	/**
--- a/core/src/test/java/org/brasspier/core/keys/KeyBalanceTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/KeyRebalancerTests.java
@@ -16,7 +16,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class KeyBalanceTests extends KeyFixtures {
+class KeyRebalancerTests extends KeyFixtures {
 
 	private static final InstanceId D = new InstanceId("d");
 
@@ -25,7 +25,7 @@
 	/** Servers of one service differ in speed by a factor of three. */
 	private static final Map<InstanceId, Double> CAPACITY = Map.of(A, 93.0, B, 187.0, C, 187.0, D, 280.0);
 
-	private KeyMap map = KeyMap.first(holders(A, B, C, D));
+	private KeyMap map = KeyMap.initial(holders(A, B, C, D));
 
 	private final Map<InstanceId, KeyMeter> meters = new HashMap<>();
 
@@ -34,9 +34,9 @@
 	private void second(int[] keys) {
 		this.now += millis(1000);
 		for (int key : keys) {
-			meter(this.map.holding(key).owner()).asked(key);
+			meter(this.map.holding(key).owner()).recordRequest(key);
 		}
-		ALL.forEach((instance) -> meter(instance).tick(this.now));
+		ALL.forEach((instance) -> meter(instance).updateRates(this.now));
 	}
 
 	private KeyMeter meter(InstanceId instance) {
@@ -46,14 +46,15 @@
 	private List<HolderLoad> loads() {
 		return ALL.stream()
 			.map((instance) -> new HolderLoad(instance, CAPACITY.get(instance),
-					meter(instance).pieces(this.map.of(instance).stream().map(KeyHolding::span).toList())))
+					meter(instance).split(this.map.heldBy(instance).stream().map(KeyHolding::span).toList())))
 			.toList();
 	}
 
 	private void carryOut(KeyMap planned) {
 		this.map = planned
-			.moved((held) -> held.next().isPresent(), (held) -> holder(held.next().orElseThrow()), (held) -> "warm")
-			.joined();
+			.reassigned((held) -> held.nextHolder().isPresent(), (held) -> holder(held.nextHolder().orElseThrow()),
+					(held) -> "warm")
+			.merged();
 	}
 
 	private double worstShare(int[] keys) {
@@ -86,7 +87,7 @@
 		for (int round = 0; round < 8; round++) {
 			second(skewed(random, first, 375));
 			second(skewed(random, first, 375));
-			KeyBalance.plan(this.map, loads()).ifPresent(this::carryOut);
+			KeyRebalancer.plan(this.map, loads()).ifPresent(this::carryOut);
 		}
 		assertThat(worstShare(keys)).isLessThan(0.8);
 	}
@@ -97,19 +98,19 @@
 		double total = CAPACITY.values().stream().mapToDouble(Double::doubleValue).sum();
 		for (int second = 0; second < 10; second++) {
 			int[] keys = ALL.stream().flatMapToInt((instance) -> {
-				List<KeyHolding> own = this.map.of(instance);
+				List<KeyHolding> own = this.map.heldBy(instance);
 				return random.ints((long) (375 * CAPACITY.get(instance) / total), 0, own.size())
 					.map((i) -> own.get(i).span().from() + random.nextInt(own.get(i).span().size()));
 			}).toArray();
 			second(keys);
 		}
-		assertThat(KeyBalance.plan(this.map, loads())).isEmpty();
+		assertThat(KeyRebalancer.plan(this.map, loads())).isEmpty();
 	}
 
 	@Test
 	void idleServersAreLeftAlone() {
 		second(skewed(new Random(1), 0, 40));
-		assertThat(KeyBalance.plan(this.map, loads())).isEmpty();
+		assertThat(KeyRebalancer.plan(this.map, loads())).isEmpty();
 	}
 
 	/**
@@ -123,11 +124,11 @@
 			int[] keys = ALL.stream()
 				.flatMapToInt((instance) -> IntStream
 					.range(0, (int) (CAPACITY.get(instance) * (instance.equals(A) ? 2.5 : 1.1)))
-					.map((i) -> this.map.of(instance).get(i % 16).span().from() + i / 16))
+					.map((i) -> this.map.heldBy(instance).get(i % 16).span().from() + i / 16))
 				.toArray();
 			second(keys);
 		}
-		assertThat(KeyBalance.plan(this.map, loads())).isEmpty();
+		assertThat(KeyRebalancer.plan(this.map, loads())).isEmpty();
 	}
 
 	/**
@@ -138,11 +139,11 @@
 	void aSingleKeyThatIsTooBusyForAnyServerIsNotHandedAround() {
 		int[] keys = Stream.generate(() -> 40_000).limit(400).mapToInt(Integer::intValue).toArray();
 		InstanceId fastest = D;
-		this.map = this.map.moved((held) -> held.span().contains(40_000), (held) -> holder(fastest), (held) -> "");
+		this.map = this.map.reassigned((held) -> held.span().contains(40_000), (held) -> holder(fastest), (held) -> "");
 		second(keys);
 		second(keys);
-		Optional<KeyMap> planned = KeyBalance.plan(this.map, loads());
-		assertThat(planned.map((map) -> map.holding(40_000).next().orElse(fastest))).isAnyOf(Optional.empty(),
+		Optional<KeyMap> planned = KeyRebalancer.plan(this.map, loads());
+		assertThat(planned.map((map) -> map.holding(40_000).nextHolder().orElse(fastest))).isAnyOf(Optional.empty(),
 				Optional.of(fastest));
 	}
 
@@ -150,7 +151,7 @@
 	void aSurgeIsSeenWithinTwoSeconds() {
 		second(skewed(new Random(1), 0, 20));
 		second(skewed(new Random(2), 0, 400));
-		assertThat(KeyBalance.plan(this.map, loads())).isPresent();
+		assertThat(KeyRebalancer.plan(this.map, loads())).isPresent();
 	}
 
 	@Test
@@ -158,9 +159,10 @@
 		Random random = new Random(3);
 		for (int round = 0; round < 60; round++) {
 			second(skewed(random, round * 3000, 400));
-			KeyBalance.plan(this.map, loads()).ifPresent(this::carryOut);
+			KeyRebalancer.plan(this.map, loads()).ifPresent(this::carryOut);
 		}
-		assertThat(ALL.stream().mapToInt((instance) -> this.map.of(instance).size()).max().orElseThrow()).isAtMost(110);
+		assertThat(ALL.stream().mapToInt((instance) -> this.map.heldBy(instance).size()).max().orElseThrow())
+			.isAtMost(110);
 	}
 
 	/**
@@ -168,27 +170,28 @@
 	 */
 	@Test
 	void aMapThatFillsItsRowIsCutNoFurther() {
-		int spans = KeyMap.MOST_SPANS;
+		int spans = KeyMap.MAX_SPANS;
 		List<KeyHolding> holdings = IntStream.range(0, spans).mapToObj((i) -> {
 			KeySpan span = new KeySpan((KeySpan.LAST_KEY + 1) * i / spans,
 					(KeySpan.LAST_KEY + 1) * (i + 1) / spans - 1);
 			KeyHolder holder = holder((i % 2 == 0) ? A : B);
-			return new KeyHolding(span, holder.instance(), holder.life(), new Fence(1 + i), "", Optional.empty());
+			return new KeyHolding(span, holder.instance(), holder.incarnation(), new Fence(1 + i), "",
+					Optional.empty());
 		}).toList();
 		KeyMap full = new KeyMap(holdings, spans + 1L);
 		KeyLoad hot = new KeyLoad(new KeySpan(0, 3), 90);
 		List<HolderLoad> loads = List.of(new HolderLoad(A, 100, List.of(hot, new KeyLoad(new KeySpan(4, 9), 20))),
 				new HolderLoad(D, 100, List.of()));
-		assertThat(KeyBalance.plan(this.map, loads)).isNotEqualTo(Optional.empty());
-		assertThat(KeyBalance.plan(full, loads)).isEqualTo(Optional.empty());
+		assertThat(KeyRebalancer.plan(this.map, loads)).isNotEqualTo(Optional.empty());
+		assertThat(KeyRebalancer.plan(full, loads)).isEqualTo(Optional.empty());
 	}
 
 	@Test
 	void aServiceOfManyHoldersBeginsWithFewSpansEach() {
 		List<InstanceId> many = IntStream.range(0, 42).mapToObj((i) -> new InstanceId("holder-" + i)).toList();
-		assertThat(KeyMap.first(holders(many.toArray(InstanceId[]::new))).holdings().size())
-			.isAtMost(KeyMap.FIRST_SPANS);
-		assertThat(KeyMap.first(holders(A, B, C, D)).holdings()).hasSize(4 * KeyMap.SPANS_EACH);
+		assertThat(KeyMap.initial(holders(many.toArray(InstanceId[]::new))).holdings().size())
+			.isAtMost(KeyMap.INITIAL_SPANS);
+		assertThat(KeyMap.initial(holders(A, B, C, D)).holdings()).hasSize(4 * KeyMap.SPANS_PER_HOLDER);
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/keys/LeaseModel.java
+++ b/core/src/test/java/org/brasspier/core/keys/LeaseModel.java
@@ -180,9 +180,9 @@
 
 		private final OwnLease lease = new OwnLease(TIMING);
 
-		private final PromiseBook promises = new PromiseBook(TIMING);
+		private final PromiseTracker promises = new PromiseTracker(TIMING);
 
-		private final LeaseWatch watch;
+		private final LeaseMonitor watch;
 
 		private final Map<Deputy, Long> heard = new HashMap<>();
 
@@ -198,7 +198,7 @@
 
 		Process(InstanceId instance, long number) {
 			this.deputy = new Deputy(instance, number);
-			this.watch = new LeaseWatch(TIMING, this.deputy, this.promises);
+			this.watch = new LeaseMonitor(TIMING, this.deputy, this.promises);
 		}
 
 	}
@@ -288,7 +288,7 @@
 				others().forEach((other) -> ask(own, other, local));
 			}
 			boolean replace = own.lease.deputy().filter((named) -> !fresh(own, named, local)).isPresent();
-			if (!own.renewing && (replace || local - own.renewed >= TIMING.renewEvery().toNanos())) {
+			if (!own.renewing && (replace || local - own.renewed >= TIMING.renewalInterval().toNanos())) {
 				renew(own, local);
 			}
 			if (!own.taking) {
@@ -301,10 +301,10 @@
 		}
 
 		private void looked(Process own, Map<InstanceId, LeaseRow> rows) {
-			own.watch.look(rows, clock());
+			own.watch.onRowsRead(rows, clock());
 			long version = Optional.ofNullable(rows.get(this.id)).map(LeaseRow::version).orElse(0L);
 			if (!own.rowKnown || version > own.lease.rowVersion()) {
-				own.lease.overtaken(version);
+				own.lease.onRowChanged(version);
 				own.rowKnown = true;
 			}
 		}
@@ -315,9 +315,9 @@
 				Process promising = other.process;
 				boolean promised = promising.promises.promise(this.id, version, other.clock());
 				carry(other, this, () -> answer(own, () -> {
-					own.lease.heard(promising.deputy, clock());
+					own.lease.onProcessSeen(promising.deputy, clock());
 					if (promised) {
-						own.lease.promised(promising.deputy, local);
+						own.lease.onPromise(promising.deputy, local);
 						own.heard.put(promising.deputy, local);
 					}
 				}));
@@ -328,15 +328,15 @@
 			if (own.lease.remainingNanos(local) == 0) {
 				return;
 			}
-			own.lease.giveUp(local);
+			own.lease.relinquish(local);
 			LeaseModel.this.instances.stream()
 				.filter((other) -> own.lease.deputy().filter(other.process.deputy::equals).isPresent())
-				.forEach((deputy) -> carry(this, deputy, () -> deputy.process.promises.released(this.id)));
+				.forEach((deputy) -> carry(this, deputy, () -> deputy.process.promises.release(this.id)));
 		}
 
 		private boolean fresh(Process own, Deputy deputy, long local) {
 			Long latest = own.heard.get(deputy);
-			return latest != null && local - latest < FRESH && own.lease.promisedNanos(deputy, local) > 0;
+			return latest != null && local - latest < FRESH && own.lease.promiseRemainingNanos(deputy, local) > 0;
 		}
 
 		private void renew(Process own, long local) {
@@ -345,23 +345,23 @@
 			Optional<Deputy> named = own.lease.deputy()
 				.filter((deputy) -> fresh(own, deputy, local))
 				.or(() -> own.heard.keySet().stream().filter((deputy) -> fresh(own, deputy, local)).findFirst());
-			own.lease.renewing(named);
+			own.lease.onRenewalStarted(named);
 			commit(this, this.id, own.lease.rowVersion(), LeaseRow.of(0, named), (reply) -> {
 				own.renewing = false;
 				if (reply.heard() && reply.version() > 0) {
-					own.lease.renewed(local, reply.version(), named);
+					own.lease.onRenewed(local, reply.version(), named);
 				}
 				else if (reply.heard()) {
-					own.lease.overtaken(own.lease.rowVersion());
+					own.lease.onRowChanged(own.lease.rowVersion());
 					own.rowKnown = false;
 				}
 			});
 		}
 
 		private void take(Process own, Instance other, long local) {
-			own.watch.ended(other.id, local).filter((version) -> !rowTaken(other)).ifPresent((version) -> {
+			own.watch.endedRowVersion(other.id, local).filter((version) -> !rowTaken(other)).ifPresent((version) -> {
 				own.taking = true;
-				own.promises.attempting(other.id, version);
+				own.promises.recordTakeoverAttempt(other.id, version);
 				commit(this, other.id, version, new LeaseRow(0, Optional.of(this.id), Optional.empty()),
 						(reply) -> own.taking = false);
 			});
--- a/core/src/test/java/org/brasspier/core/keys/LeaseTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/LeaseTests.java
@@ -15,14 +15,14 @@
 
 	private static final Deputy SELF = new Deputy(C, 17);
 
-	private final PromiseBook promises = new PromiseBook(TIMING);
+	private final PromiseTracker promises = new PromiseTracker(TIMING);
 
 	private final OwnLease lease = new OwnLease(TIMING);
 
-	private final LeaseWatch watch = new LeaseWatch(TIMING, SELF, this.promises);
+	private final LeaseMonitor watch = new LeaseMonitor(TIMING, SELF, this.promises);
 
 	private void look(Map<InstanceId, LeaseRow> rows, long now) {
-		this.watch.look(rows, now);
+		this.watch.onRowsRead(rows, now);
 	}
 
 	private static LeaseRow row(long version) {
@@ -40,7 +40,7 @@
 
 	@Test
 	void aLeaseCountsFromWhenItsRenewalWasSent() {
-		this.lease.renewed(millis(100), 7, Optional.empty());
+		this.lease.onRenewed(millis(100), 7, Optional.empty());
 		assertThat(this.lease.remainingNanos(millis(100))).isEqualTo(LEASE);
 		assertThat(this.lease.remainingNanos(millis(100) + LEASE)).isEqualTo(0);
 	}
@@ -51,8 +51,8 @@
 	 */
 	@Test
 	void aLeaseThatWasTakenAwayIsNotHeldThoughTimeIsLeft() {
-		this.lease.renewed(0, 7, Optional.empty());
-		this.lease.overtaken(9);
+		this.lease.onRenewed(0, 7, Optional.empty());
+		this.lease.onRowChanged(9);
 		assertThat(this.lease.remainingNanos(millis(1))).isEqualTo(0);
 		assertThat(this.lease.rowVersion()).isEqualTo(9);
 	}
@@ -60,8 +60,8 @@
 	@Test
 	void aLeaseThatIsRenewedIsNeverTakenForEnded() {
 		LongStream.range(0, 30).forEach((at) -> look(Map.of(A, row(at / 2)), millis(at * 1000)));
-		assertThat(this.watch.ended(A, millis(30_000))).isEmpty();
-		assertThat(this.watch.renewing(A, true, millis(30_000))).isTrue();
+		assertThat(this.watch.endedRowVersion(A, millis(30_000))).isEmpty();
+		assertThat(this.watch.isRenewing(A, true, millis(30_000))).isTrue();
 	}
 
 	/**
@@ -72,15 +72,15 @@
 	@Test
 	void aLeaseHasNotEndedBecauseNobodyLooked() {
 		lookEachSecond(5, 0, 3000);
-		assertThat(this.watch.ended(A, millis(15_000))).isEmpty();
+		assertThat(this.watch.endedRowVersion(A, millis(15_000))).isEmpty();
 	}
 
 	@Test
 	void aLeaseHasEndedOnceItsRowStoodStillForLongerThanItLastsByAnyClock() {
 		lookEachSecond(5, 0, 10_000);
-		assertThat(this.watch.ended(A, LEASE)).isEmpty();
+		assertThat(this.watch.endedRowVersion(A, LEASE)).isEmpty();
 		lookEachSecond(5, 11_000, 11_000);
-		assertThat(this.watch.ended(A, millis(11_000))).hasValue(5L);
+		assertThat(this.watch.endedRowVersion(A, millis(11_000))).hasValue(5L);
 	}
 
 	/**
@@ -91,10 +91,10 @@
 	void nobodyIsTakenForLostAsTheStoreReturns() {
 		lookEachSecond(5, 0, 3000);
 		look(Map.of(A, row(5L)), millis(33_000));
-		assertThat(this.watch.ended(A, millis(33_100))).isEmpty();
+		assertThat(this.watch.endedRowVersion(A, millis(33_100))).isEmpty();
 		look(Map.of(A, row(6L)), millis(34_000));
 		look(Map.of(A, row(6L)), millis(36_500));
-		assertThat(this.watch.ended(A, millis(36_500))).isEmpty();
+		assertThat(this.watch.endedRowVersion(A, millis(36_500))).isEmpty();
 	}
 
 	/**
@@ -105,12 +105,12 @@
 	@Test
 	void anInstanceWhoseLeaseWasTakenIsNotTakenForOneThatRenewed() {
 		lookEachSecond(5, 0, 11_000);
-		assertThat(this.watch.ended(A, millis(11_000))).hasValue(5L);
+		assertThat(this.watch.endedRowVersion(A, millis(11_000))).hasValue(5L);
 		look(Map.of(A, taken(6L)), millis(12_000));
-		assertThat(this.watch.renewing(A, true, millis(12_000))).isFalse();
-		assertThat(this.watch.ended(A, millis(12_000))).hasValue(6L);
+		assertThat(this.watch.isRenewing(A, true, millis(12_000))).isFalse();
+		assertThat(this.watch.endedRowVersion(A, millis(12_000))).hasValue(6L);
 		look(Map.of(A, row(7L)), millis(13_000));
-		assertThat(this.watch.renewing(A, true, millis(13_000))).isTrue();
+		assertThat(this.watch.isRenewing(A, true, millis(13_000))).isTrue();
 	}
 
 	/**
@@ -122,17 +122,17 @@
 		lookEachSecond(5, 0, 11_000);
 		look(Map.of(A, taken(6L), B, row(3L)), millis(12_000));
 		look(Map.of(A, taken(6L), B, row(3L)), millis(20_000));
-		assertThat(this.watch.renewing(B, true, millis(20_000))).isTrue();
-		assertThat(this.watch.renewing(A, true, millis(20_000))).isFalse();
+		assertThat(this.watch.isRenewing(B, true, millis(20_000))).isTrue();
+		assertThat(this.watch.isRenewing(A, true, millis(20_000))).isFalse();
 	}
 
 	@Test
 	void anInstanceWithoutALeaseIsLostOnlyAfterTheFirstLooks() {
 		look(Map.of(), 0);
-		assertThat(this.watch.ended(B, millis(1000))).isEmpty();
+		assertThat(this.watch.endedRowVersion(B, millis(1000))).isEmpty();
 		look(Map.of(), millis(2000));
 		look(Map.of(), millis(4000));
-		assertThat(this.watch.ended(B, millis(4000))).hasValue(0L);
+		assertThat(this.watch.endedRowVersion(B, millis(4000))).hasValue(0L);
 	}
 
 	/**
@@ -142,17 +142,17 @@
 	@Test
 	void anInstanceThatCannotRenewIsGivenNothingLongBeforeItsLeaseEnds() {
 		lookEachSecond(5, 0, 4000);
-		assertThat(this.watch.renewing(A, true, millis(4000))).isTrue();
+		assertThat(this.watch.isRenewing(A, true, millis(4000))).isTrue();
 		lookEachSecond(5, 5000, 5000);
-		assertThat(this.watch.renewing(A, true, millis(5000))).isFalse();
-		assertThat(this.watch.ended(A, millis(5000))).isEmpty();
+		assertThat(this.watch.isRenewing(A, true, millis(5000))).isFalse();
+		assertThat(this.watch.endedRowVersion(A, millis(5000))).isEmpty();
 	}
 
 	@Test
 	void nobodyIsTakenForTurnedAwayAsTheStoreReturns() {
 		lookEachSecond(5, 0, 2000);
 		look(Map.of(A, row(5)), millis(12_000));
-		assertThat(this.watch.renewing(A, true, millis(12_100))).isTrue();
+		assertThat(this.watch.isRenewing(A, true, millis(12_100))).isTrue();
 	}
 
 	/**
@@ -164,7 +164,7 @@
 	void whoIsNotHeardIsGivenNothingAsTheStoreReturns() {
 		lookEachSecond(5, 0, 2000);
 		look(Map.of(A, row(5)), millis(12_000));
-		assertThat(this.watch.renewing(A, false, millis(12_100))).isFalse();
+		assertThat(this.watch.isRenewing(A, false, millis(12_100))).isFalse();
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/keys/LeaseTimingTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/LeaseTimingTests.java
@@ -14,7 +14,7 @@
 	 */
 	@Test
 	void noHoldIsLongerThanThePlatformAllows() {
-		LeaseTiming bounded = LeaseTiming.DEFAULT.holdingAtMost(Duration.ofSeconds(3));
+		LeaseTiming bounded = LeaseTiming.DEFAULT.withMaxHold(Duration.ofSeconds(3));
 		assertThat(bounded.hold()).isEqualTo(Duration.ofSeconds(3));
 		assertThat(bounded.promise()).isEqualTo(Duration.ofSeconds(3));
 		assertThat(bounded.lease()).isEqualTo(LeaseTiming.DEFAULT.lease());
@@ -22,7 +22,7 @@
 
 	@Test
 	void aLongerBoundChangesNothing() {
-		assertThat(LeaseTiming.DEFAULT.holdingAtMost(Duration.ofSeconds(10))).isEqualTo(LeaseTiming.DEFAULT);
+		assertThat(LeaseTiming.DEFAULT.withMaxHold(Duration.ofSeconds(10))).isEqualTo(LeaseTiming.DEFAULT);
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/mesh/FeedModel.java
+++ b/core/src/test/java/org/brasspier/core/mesh/FeedModel.java
@@ -89,7 +89,7 @@
 
 	// The first moment from a time on at which nobody is behind; empty if there is none
 	// until the end.
-	Optional<Long> allKnowFrom(long from, long end) {
+	Optional<Long> firstTimeAllCurrent(long from, long end) {
 		for (long moment = from; moment <= end; moment += 10) {
 			runUntil(moment);
 			if (daemonsBehind() == 0) {
@@ -114,7 +114,7 @@
 
 		private final int position;
 
-		private final FeedPace pace = new FeedPace();
+		private final FeedTiming pace = new FeedTiming();
 
 		private long known;
 
@@ -163,14 +163,14 @@
 			this.waiting = false;
 			boolean news = this.known < model.version;
 			learn(model.version);
-			this.pace.answered(news);
+			this.pace.onAnswer(news);
 			model.at(model.now + (news ? GATHER_MILLIS : 0), this::ask);
 		}
 
 		private void giveUp(long number) {
 			if (number == this.call && this.waiting) {
 				this.waiting = false;
-				Duration pause = this.pace.failed(Duration.ofMillis(FeedModel.this.now - this.askedAt));
+				Duration pause = this.pace.onFailure(Duration.ofMillis(FeedModel.this.now - this.askedAt));
 				FeedModel.this.at(FeedModel.this.now + pause.toMillis(), this::ask);
 			}
 		}
--- a/core/src/test/java/org/brasspier/core/mesh/FeedModelTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/FeedModelTests.java
@@ -24,7 +24,7 @@
 	private static void inForceInTime(FeedModel model, long calmFrom, long changedAt, String what) {
 		model.runUntil(changedAt);
 		long deadline = Math.max(calmFrom + STABLE_MILLIS, changedAt + IN_FORCE_MILLIS);
-		assertWithMessage(what).that(model.allKnowFrom(changedAt, deadline).isPresent()).isTrue();
+		assertWithMessage(what).that(model.firstTimeAllCurrent(changedAt, deadline).isPresent()).isTrue();
 	}
 
 	/**
--- a/core/src/test/java/org/brasspier/core/mesh/AbsentInstancesTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/InstanceBackoffTests.java
@@ -7,11 +7,11 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class AbsentInstancesTests {
+class InstanceBackoffTests {
 
 	private static final InstanceId LOST = new InstanceId("lost");
 
-	private final AbsentInstances absences = new AbsentInstances();
+	private final InstanceBackoff absences = new InstanceBackoff();
 
 	// A machine is taken away for good and its address goes to another service. Its entry
 	// stays, and every daemon goes on sending it a share of the requests, for minutes.
@@ -19,9 +19,9 @@
 	void anInstanceThatStaysAwayIsTriedEverMoreSeldom() {
 		int tries = 0;
 		for (int millis = 0; millis < 20_000; millis += 10) {
-			if (!this.absences.avoided(LOST, nanos(millis))) {
+			if (!this.absences.shouldAvoid(LOST, nanos(millis))) {
 				tries++;
-				this.absences.absent(LOST, nanos(millis));
+				this.absences.recordFailure(LOST, nanos(millis));
 			}
 		}
 		assertThat(tries).isAtMost(14);
@@ -31,14 +31,14 @@
 	@Test
 	void anInstanceThatIsBackIsTriedWithinTwoSecondsAndThenAsBefore() {
 		for (int i = 0; i < 10; i++) {
-			this.absences.absent(LOST, nanos(0));
+			this.absences.recordFailure(LOST, nanos(0));
 		}
-		assertThat(this.absences.avoided(LOST, nanos(1_999))).isTrue();
-		assertThat(this.absences.avoided(LOST, nanos(2_000))).isFalse();
-		this.absences.present(LOST);
-		assertThat(this.absences.avoided(LOST, nanos(0))).isFalse();
-		this.absences.absent(LOST, nanos(3_000));
-		assertThat(this.absences.avoided(LOST, nanos(3_200))).isFalse();
+		assertThat(this.absences.shouldAvoid(LOST, nanos(1_999))).isTrue();
+		assertThat(this.absences.shouldAvoid(LOST, nanos(2_000))).isFalse();
+		this.absences.recordSuccess(LOST);
+		assertThat(this.absences.shouldAvoid(LOST, nanos(0))).isFalse();
+		this.absences.recordFailure(LOST, nanos(3_000));
+		assertThat(this.absences.shouldAvoid(LOST, nanos(3_200))).isFalse();
 	}
 
 	private static long nanos(int millis) {
--- a/core/src/test/java/org/brasspier/core/mesh/LinkDelayTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/LinkDelayTests.java
@@ -24,7 +24,7 @@
 		came(10, 12);
 		long held = came(1_000, 3_001);
 		assertThat(held).isEqualTo(2_001);
-		assertThat(LinkDelay.givenUp(Duration.ofMillis(held).toNanos())).isTrue();
+		assertThat(LinkDelay.exceedsTimeout(Duration.ofMillis(held).toNanos())).isTrue();
 	}
 
 	// The receiver was busy as the connection came in, so it began to count 300 ms late.
@@ -38,7 +38,7 @@
 
 	private long came(long sentMillis, long receivedMillis) {
 		return Duration
-			.ofNanos(this.delay.heldUpNanos(Duration.ofMillis(sentMillis).toNanos(),
+			.ofNanos(this.delay.delayNanos(Duration.ofMillis(sentMillis).toNanos(),
 					Duration.ofMillis(receivedMillis).toNanos()))
 			.toMillis();
 	}
--- a/core/src/test/java/org/brasspier/core/mesh/LoopLagTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/LoopLagTests.java
@@ -16,9 +16,9 @@
 
 	@Test
 	void aLoopThatKeepsUpTakesRequestsAtTheirWord() {
-		this.lag.ticked(millis(100), millis(101));
+		this.lag.onTick(millis(100), millis(101));
 		assertThat(this.lag.remainingMillis(500, millis(105))).isAtLeast(498);
-		assertThat(this.lag.shedding(millis(105))).isFalse();
+		assertThat(this.lag.shouldShed(millis(105))).isFalse();
 	}
 
 	/**
@@ -28,15 +28,15 @@
 	 */
 	@Test
 	void aRequestThatWaitedUnreadHasLessTimeThanItSays() {
-		this.lag.ticked(millis(100), millis(900));
+		this.lag.onTick(millis(100), millis(900));
 		assertThat(this.lag.remainingMillis(130, millis(910))).isEqualTo(0);
-		assertThat(this.lag.shedding(millis(910))).isTrue();
+		assertThat(this.lag.shouldShed(millis(910))).isTrue();
 	}
 
 	@Test
 	void aTickThatIsOverdueCountsBeforeItComes() {
-		this.lag.ticked(millis(100), millis(100));
-		assertThat(this.lag.shedding(millis(400))).isTrue();
+		this.lag.onTick(millis(100), millis(100));
+		assertThat(this.lag.shouldShed(millis(400))).isTrue();
 	}
 
 	/**
@@ -47,16 +47,16 @@
 	 */
 	@Test
 	void aTickThatIsOverdueBySecondsCountsInFull() {
-		this.lag.ticked(millis(100), millis(100));
-		assertThat(this.lag.shedding(millis(2700))).isTrue();
+		this.lag.onTick(millis(100), millis(100));
+		assertThat(this.lag.shouldShed(millis(2700))).isTrue();
 		assertThat(this.lag.remainingMillis(500, millis(2700))).isEqualTo(0);
 	}
 
 	@Test
 	void aTimerThatBeginsAgainSaysNothingOfItsRest() {
-		this.lag.ticked(millis(100), millis(300));
-		this.lag.ticked(millis(5000), millis(5000));
-		assertThat(this.lag.shedding(millis(5000))).isFalse();
+		this.lag.onTick(millis(100), millis(300));
+		this.lag.onTick(millis(5000), millis(5000));
+		assertThat(this.lag.shouldShed(millis(5000))).isFalse();
 		assertThat(this.lag.remainingMillis(500, millis(5000))).isEqualTo(500);
 	}
 
--- a/core/src/test/java/org/brasspier/core/mesh/ReaderChoiceTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/ReaderChoiceTests.java
@@ -34,9 +34,9 @@
 	void aDaemonFollowsTheReaderOfItsOwnFailureDomain() {
 		TWELVE.stream()
 			.map((self) -> ReaderChoice.of(self, TWELVE))
-			.filter((choice) -> !choice.reads())
+			.filter((choice) -> !choice.isReader())
 			.forEach((choice) -> assertThat(choice.followed()).hasSize(1));
-		Candidate self = TWELVE.stream().filter((each) -> !ReaderChoice.of(each, TWELVE).reads()).findFirst().get();
+		Candidate self = TWELVE.stream().filter((each) -> !ReaderChoice.of(each, TWELVE).isReader()).findFirst().get();
 		InstanceId followed = ReaderChoice.of(self, TWELVE).followed().get(0);
 		assertThat(candidate(followed).domain()).isEqualTo(self.domain());
 	}
@@ -46,10 +46,13 @@
 	 */
 	@Test
 	void eachReaderFollowsTwoOthers() {
-		TWELVE.stream().map((self) -> ReaderChoice.of(self, TWELVE)).filter(ReaderChoice::reads).forEach((choice) -> {
-			assertThat(choice.followed()).hasSize(2);
-			assertThat(choice.followed()).doesNotContain(choice.readers().get(choice.position()));
-		});
+		TWELVE.stream()
+			.map((self) -> ReaderChoice.of(self, TWELVE))
+			.filter(ReaderChoice::isReader)
+			.forEach((choice) -> {
+				assertThat(choice.followed()).hasSize(2);
+				assertThat(choice.followed()).doesNotContain(choice.readers().get(choice.position()));
+			});
 	}
 
 	/**
@@ -80,13 +83,13 @@
 	@Test
 	void whoKnowsNobodyReadsAlone() {
 		ReaderChoice choice = ReaderChoice.of(TWELVE.get(0), List.of());
-		assertThat(choice.reads()).isTrue();
+		assertThat(choice.isReader()).isTrue();
 		assertThat(choice.followed()).isEmpty();
 	}
 
 	@Test
 	void aReaderThatCannotBeReachedIsReplacedByTheNextOfItsFailureDomain() {
-		Candidate self = TWELVE.stream().filter((each) -> !ReaderChoice.of(each, TWELVE).reads()).findFirst().get();
+		Candidate self = TWELVE.stream().filter((each) -> !ReaderChoice.of(each, TWELVE).isReader()).findFirst().get();
 		InstanceId lost = ReaderChoice.of(self, TWELVE).followed().get(0);
 		List<Candidate> reachable = TWELVE.stream().filter((each) -> !each.instance().equals(lost)).toList();
 		ReaderChoice next = ReaderChoice.of(self, reachable);
--- a/core/src/test/java/org/brasspier/core/mesh/ResendRulesTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/RequestRetryPolicyTests.java
@@ -13,7 +13,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class ResendRulesTests {
+class RequestRetryPolicyTests {
 
 	private static final SendOutcome LOST = new SendOutcome.Unknown(
 			Failure.of(ErrorKind.OUTCOME_UNKNOWN, "the connection broke"));
@@ -25,15 +25,15 @@
 
 	private static final SendOutcome FAILED = new SendOutcome.Answered(new Answer(500, List.of(), new byte[0]));
 
-	private final ResendBudget budget = new ResendBudget(0.1, 2);
+	private final ServiceRetryBudget budget = new ServiceRetryBudget(0.1, 2);
 
 	private static RouteRule route(boolean idempotent) {
 		return new RouteRule("r", "h", "/", idempotent, Duration.ofMillis(500), Duration.ofMillis(200), 1,
 				List.of(new WeightedService(new ServiceName("s"), 1)), 2);
 	}
 
-	private ResendRules rules(boolean idempotent) {
-		return new ResendRules(route(idempotent), this.budget);
+	private RequestRetryPolicy rules(boolean idempotent) {
+		return new RequestRetryPolicy(route(idempotent), this.budget);
 	}
 
 	/**
@@ -42,51 +42,51 @@
 	 */
 	@Test
 	void whatMayNotRunTwiceIsNeverSentAgainIfItMayHaveRun() {
-		assertThat(rules(false).again(LOST, true)).isFalse();
-		assertThat(rules(false).again(FAILED, true)).isFalse();
-		assertThat(rules(false).again(DECLINED, true)).isTrue();
+		assertThat(rules(false).shouldRetry(LOST, true)).isFalse();
+		assertThat(rules(false).shouldRetry(FAILED, true)).isFalse();
+		assertThat(rules(false).shouldRetry(DECLINED, true)).isTrue();
 	}
 
 	@Test
 	void aLookupIsSentOnceMoreAndNotMoreOftenThanItsRouteAllows() {
-		ResendRules rules = rules(true);
-		assertThat(rules.again(LOST, true)).isTrue();
-		assertThat(rules.again(LOST, true)).isFalse();
+		RequestRetryPolicy rules = rules(true);
+		assertThat(rules.shouldRetry(LOST, true)).isTrue();
+		assertThat(rules.shouldRetry(LOST, true)).isFalse();
 	}
 
 	// Guards against daemons that start together, each with the whole slack of the
 	// deployment since it knows nobody yet.
 	@Test
 	void aBudgetThatMoreDaemonsShareIsCutAtOnce() {
-		ResendBudget shared = new ResendBudget(0.1, 20);
-		shared.mostSaved(2);
-		assertThat(IntStream.range(0, 20).filter((i) -> shared.spend()).count()).isEqualTo(2);
+		ServiceRetryBudget shared = new ServiceRetryBudget(0.1, 20);
+		shared.setMostSaved(2);
+		assertThat(IntStream.range(0, 20).filter((i) -> shared.trySpend()).count()).isEqualTo(2);
 	}
 
 	// Guards against a search for a free slot that is taken for refusals and given up.
 	@Test
 	void serversWithoutAFreeSlotDoNotCountAsRefusals() {
 		SendOutcome noFreeSlot = new SendOutcome.NotRun(Failure.of(ErrorKind.NO_FREE_SLOT, "none"), false);
-		ResendRules rules = rules(false);
-		assertThat(rules.again(noFreeSlot, true)).isTrue();
-		assertThat(rules.again(noFreeSlot, true)).isTrue();
-		assertThat(rules.again(TURNED_AWAY, true)).isTrue();
-		assertThat(rules.again(TURNED_AWAY, true)).isFalse();
+		RequestRetryPolicy rules = rules(false);
+		assertThat(rules.shouldRetry(noFreeSlot, true)).isTrue();
+		assertThat(rules.shouldRetry(noFreeSlot, true)).isTrue();
+		assertThat(rules.shouldRetry(TURNED_AWAY, true)).isTrue();
+		assertThat(rules.shouldRetry(TURNED_AWAY, true)).isFalse();
 	}
 
 	@Test
 	void whatComesTooLateIsNotSentAgain() {
-		assertThat(rules(true).again(LOST, false)).isFalse();
-		assertThat(rules(true).again(TURNED_AWAY, false)).isFalse();
+		assertThat(rules(true).shouldRetry(LOST, false)).isFalse();
+		assertThat(rules(true).shouldRetry(TURNED_AWAY, false)).isFalse();
 	}
 
 	@Test
 	void whatAGateTurnsAwayCostsNoBudgetButIsTriedTwiceAtMost() {
-		ResendRules rules = rules(false);
-		assertThat(rules.again(TURNED_AWAY, true)).isTrue();
-		assertThat(rules.again(TURNED_AWAY, true)).isFalse();
-		assertThat(this.budget.spend()).isTrue();
-		assertThat(this.budget.spend()).isTrue();
+		RequestRetryPolicy rules = rules(false);
+		assertThat(rules.shouldRetry(TURNED_AWAY, true)).isTrue();
+		assertThat(rules.shouldRetry(TURNED_AWAY, true)).isFalse();
+		assertThat(this.budget.trySpend()).isTrue();
+		assertThat(this.budget.trySpend()).isTrue();
 	}
 
 	/**
@@ -96,9 +96,9 @@
 	@Test
 	void whatFindsNoServerIsTriedAtThreeMore() {
 		SendOutcome absent = new SendOutcome.NotRun(Failure.of(ErrorKind.NO_BACKEND, "gone"), false);
-		ResendRules rules = rules(false);
-		assertThat(IntStream.range(0, 3).allMatch((i) -> rules.again(absent, true))).isTrue();
-		assertThat(rules.again(absent, true)).isFalse();
+		RequestRetryPolicy rules = rules(false);
+		assertThat(IntStream.range(0, 3).allMatch((i) -> rules.shouldRetry(absent, true))).isTrue();
+		assertThat(rules.shouldRetry(absent, true)).isFalse();
 		assertThat(rules.mayHaveRun()).isFalse();
 	}
 
@@ -108,7 +108,7 @@
 	 */
 	@Test
 	void repeatsEndWithTheBudget() {
-		long repeats = IntStream.range(0, 100).filter((i) -> rules(true).again(LOST, true)).count();
+		long repeats = IntStream.range(0, 100).filter((i) -> rules(true).shouldRetry(LOST, true)).count();
 		assertThat(repeats).isEqualTo(2);
 	}
 
@@ -121,27 +121,27 @@
 	@Test
 	void repeatsOfLookupsAndOfTheirCallsTogetherStayWithinTheBoundOfTheServiceCalled() {
 		Random chance = new Random(241386997);
-		ResendBudget lookups = new ResendBudget(0.12, 3);
-		ResendBudget calls = new ResendBudget(0.12, 3);
+		ServiceRetryBudget lookups = new ServiceRetryBudget(0.12, 3);
+		ServiceRetryBudget calls = new ServiceRetryBudget(0.12, 3);
 		int requests = 10_000;
 		int first = 0;
 		int repeats = 0;
 		for (int i = 0; i < requests; i++) {
-			lookups.fresh();
-			ResendRules lookup = new ResendRules(route(true), lookups);
+			lookups.recordRequest();
+			RequestRetryPolicy lookup = new RequestRetryPolicy(route(true), lookups);
 			boolean rerun = false;
 			boolean again = true;
 			while (again) {
-				calls.fresh();
+				calls.recordRequest();
 				first += rerun ? 0 : 1;
 				repeats += rerun ? 1 : 0;
-				ResendRules call = new ResendRules(route(true), calls);
+				RequestRetryPolicy call = new RequestRetryPolicy(route(true), calls);
 				boolean declined = chance.nextInt(100) < 55;
-				if (declined && call.again(DECLINED, true)) {
+				if (declined && call.shouldRetry(DECLINED, true)) {
 					repeats++;
 					declined = chance.nextInt(100) < 55;
 				}
-				again = declined && lookup.again(FAILED, true);
+				again = declined && lookup.shouldRetry(FAILED, true);
 				rerun = true;
 			}
 		}
@@ -151,9 +151,9 @@
 
 	@Test
 	void onceASendMayHaveRunThatIsKnownForGood() {
-		ResendRules rules = rules(true);
-		rules.again(LOST, true);
-		rules.again(TURNED_AWAY, true);
+		RequestRetryPolicy rules = rules(true);
+		rules.shouldRetry(LOST, true);
+		rules.shouldRetry(TURNED_AWAY, true);
 		assertThat(rules.mayHaveRun()).isTrue();
 	}
 
--- a/core/src/test/java/org/brasspier/core/mesh/RoutingConfigTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/RoutingConfigTests.java
@@ -56,15 +56,15 @@
 
 	@Test
 	void aQueueHoldsNothingForLongerThanItsRoutesTargetAllows() {
-		assertThat(config(route("r", "/a/", 1)).admission(HULLS).of(RequestClass.LOOKUP).longestWait())
+		assertThat(config(route("r", "/a/", 1)).admissionSettings(HULLS).of(RequestClass.LOOKUP).maxWait())
 			.isEqualTo(Duration.ofMillis(200));
 	}
 
 	@Test
 	void aPauseIsWhatIsExpectedAndElseWhatTheCallerCanWait() {
-		assertThat(RetryPause.of(Duration.ofSeconds(5), Duration.ofMillis(300))).isEqualTo(Duration.ofSeconds(5));
-		assertThat(RetryPause.of(Duration.ofMillis(50), Duration.ofMillis(300))).isEqualTo(Duration.ofMillis(50));
-		assertThat(RetryPause.of(Duration.ZERO, Duration.ofMillis(300))).isEqualTo(Duration.ofMillis(90));
+		assertThat(RetryAfter.of(Duration.ofSeconds(5), Duration.ofMillis(300))).isEqualTo(Duration.ofSeconds(5));
+		assertThat(RetryAfter.of(Duration.ofMillis(50), Duration.ofMillis(300))).isEqualTo(Duration.ofMillis(50));
+		assertThat(RetryAfter.of(Duration.ZERO, Duration.ofMillis(300))).isEqualTo(Duration.ofMillis(90));
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/mesh/RowExchangeTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/RowExchangeTests.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-import org.brasspier.core.mesh.RowExchange.Step;
+import org.brasspier.core.mesh.RowExchange.Action;
 import org.junit.jupiter.api.Test;
 
 import static com.google.common.truth.Truth.assertThat;
@@ -21,9 +21,9 @@
 
 	@Test
 	void feedsThatDifferForAMomentAreLeftAlone() {
-		assertThat(this.exchange.noticed(NEW, OLD, 0)).isEqualTo(Step.NOTHING);
-		assertThat(this.exchange.noticed(NEW, NEW, millis(20))).isEqualTo(Step.NOTHING);
-		assertThat(this.exchange.noticed(NEW, OLD, millis(500))).isEqualTo(Step.NOTHING);
+		assertThat(this.exchange.compare(NEW, OLD, 0)).isEqualTo(Action.NOTHING);
+		assertThat(this.exchange.compare(NEW, NEW, millis(20))).isEqualTo(Action.NOTHING);
+		assertThat(this.exchange.compare(NEW, OLD, millis(500))).isEqualTo(Action.NOTHING);
 	}
 
 	/**
@@ -32,16 +32,16 @@
 	 */
 	@Test
 	void aDaemonThatStaysBehindIsTold() {
-		this.exchange.noticed(NEW, OLD, 0);
-		assertThat(this.exchange.noticed(NEW, OLD, millis(400))).isEqualTo(new Step(true, false));
-		assertThat(this.exchange.noticed(NEW, OLD, millis(900))).isEqualTo(Step.NOTHING);
-		assertThat(this.exchange.noticed(NEW, OLD, millis(1400))).isEqualTo(new Step(true, false));
+		this.exchange.compare(NEW, OLD, 0);
+		assertThat(this.exchange.compare(NEW, OLD, millis(400))).isEqualTo(new Action(true, false));
+		assertThat(this.exchange.compare(NEW, OLD, millis(900))).isEqualTo(Action.NOTHING);
+		assertThat(this.exchange.compare(NEW, OLD, millis(1400))).isEqualTo(new Action(true, false));
 	}
 
 	@Test
 	void aDaemonThatIsBehindItselfAsks() {
-		this.exchange.noticed(OLD, NEW, 0);
-		assertThat(this.exchange.noticed(OLD, NEW, millis(400))).isEqualTo(new Step(false, true));
+		this.exchange.compare(OLD, NEW, 0);
+		assertThat(this.exchange.compare(OLD, NEW, millis(400))).isEqualTo(new Action(false, true));
 	}
 
 	/**
@@ -50,7 +50,7 @@
 	 */
 	@Test
 	void aDaemonThatKnowsNothingIsToldAtOnce() {
-		assertThat(this.exchange.noticed(NEW, new KnownRows(0, 0), 0)).isEqualTo(new Step(true, false));
+		assertThat(this.exchange.compare(NEW, new KnownRows(0, 0), 0)).isEqualTo(new Action(true, false));
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/mesh/RowRequestsTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/RowRequestThrottleTests.java
@@ -7,9 +7,9 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class RowRequestsTests {
+class RowRequestThrottleTests {
 
-	private final RowRequests requests = new RowRequests();
+	private final RowRequestThrottle requests = new RowRequestThrottle();
 
 	private static long millis(long count) {
 		return Duration.ofMillis(count).toNanos();
@@ -21,7 +21,7 @@
 	 */
 	@Test
 	void ofManyWhoKnowMoreOneIsAsked() {
-		long asked = IntStream.range(0, 73).filter((peer) -> this.requests.mayAsk(millis(peer))).count();
+		long asked = IntStream.range(0, 73).filter((peer) -> this.requests.tryRequest(millis(peer))).count();
 		assertThat(asked).isEqualTo(1);
 	}
 
@@ -30,16 +30,16 @@
 	 */
 	@Test
 	void anotherOneIsAskedWhereNoAnswerComes() {
-		this.requests.mayAsk(0);
-		assertThat(this.requests.mayAsk(millis(999))).isFalse();
-		assertThat(this.requests.mayAsk(millis(1000))).isTrue();
+		this.requests.tryRequest(0);
+		assertThat(this.requests.tryRequest(millis(999))).isFalse();
+		assertThat(this.requests.tryRequest(millis(1000))).isTrue();
 	}
 
 	@Test
 	void whoWasAnsweredMayAskAtOnce() {
-		this.requests.mayAsk(0);
-		this.requests.answered();
-		assertThat(this.requests.mayAsk(millis(1))).isTrue();
+		this.requests.tryRequest(0);
+		this.requests.onRowsReceived();
+		assertThat(this.requests.tryRequest(millis(1))).isTrue();
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/mesh/StoreReadersModel.java
+++ b/core/src/test/java/org/brasspier/core/mesh/StoreReadersModel.java
@@ -44,7 +44,7 @@
 
 	private static final long OVERTAKEN_MILLIS = 600;
 
-	private static final long FOLLOWS_MILLIS = FollowedReaders.ASK_EVERY.toMillis() * 4;
+	private static final long FOLLOWS_MILLIS = FollowedReaders.POLL_INTERVAL.toMillis() * 4;
 
 	private final List<Daemon> daemons = new ArrayList<>();
 
@@ -155,7 +155,7 @@
 
 		private final ReaderChoice.Candidate self;
 
-		private final FeedPace pace = new FeedPace();
+		private final FeedTiming pace = new FeedTiming();
 
 		private final FollowedReaders followed;
 
@@ -220,9 +220,9 @@
 			model.in(wait + MARGIN_MILLIS, () -> failed(number, wait + MARGIN_MILLIS));
 		}
 
-		private long wait(FeedPace feed) {
+		private long wait(FeedTiming feed) {
 			List<Daemon> all = StoreReadersModel.this.daemons;
-			return (this.choice.reads() ? feed.nextWait(this.choice.position(), this.choice.readers().size())
+			return (this.choice.isReader() ? feed.nextWait(this.choice.position(), this.choice.readers().size())
 					: feed.nextWait(all.indexOf(this), all.size()))
 				.toMillis();
 		}
@@ -240,8 +240,8 @@
 			}
 			this.waiting = false;
 			boolean news = this.known < StoreReadersModel.this.version;
-			boolean doubted = this.pace.doubted();
-			this.pace.answered(news);
+			boolean doubted = this.pace.isSuspect();
+			this.pace.onAnswer(news);
 			this.read = true;
 			this.known = StoreReadersModel.this.version;
 			if (news || doubted) {
@@ -259,14 +259,14 @@
 		private void failed(long number, long took) {
 			if (number == this.call && this.waiting && !this.stopped) {
 				this.waiting = false;
-				Duration pause = this.pace.failed(Duration.ofMillis(took));
+				Duration pause = this.pace.onFailure(Duration.ofMillis(took));
 				passOn();
 				StoreReadersModel.this.in(pause.toMillis(), () -> askAgain(number));
 			}
 		}
 
 		private void doubt() {
-			if (this.pace.doubt() && this.waiting) {
+			if (this.pace.markSuspect() && this.waiting) {
 				passOn();
 				ask();
 			}
@@ -280,7 +280,7 @@
 		}
 
 		private boolean current() {
-			return !this.resting && this.read && !this.pace.doubted();
+			return !this.resting && this.read && !this.pace.isSuspect();
 		}
 
 		private void passOn() {
@@ -329,7 +329,7 @@
 				});
 			}
 			learn(told);
-			boolean noLonger = this.followed.heard(reader, current, nanos(StoreReadersModel.this.now));
+			boolean noLonger = this.followed.onReport(reader, current, nanos(StoreReadersModel.this.now));
 			if (noLonger && !this.resting && on(Guard.DOUBTS_WITH_OTHERS)) {
 				doubt();
 			}
@@ -342,16 +342,16 @@
 			StoreReadersModel model = StoreReadersModel.this;
 			this.choice = ReaderChoice.of(this.self, candidates());
 			List<InstanceId> follow = new ArrayList<>(this.choice.followed());
-			if (!on(Guard.READERS_FOLLOW) && this.choice.reads()) {
+			if (!on(Guard.READERS_FOLLOW) && this.choice.isReader()) {
 				follow.clear();
 			}
 			model.daemons.stream()
 				.filter((other) -> follow.contains(other.self.instance()))
 				.filter((other) -> model.now - this.asked.getOrDefault(other.self.instance(),
-						Long.MIN_VALUE / 2) >= FollowedReaders.ASK_EVERY.toMillis())
+						Long.MIN_VALUE / 2) >= FollowedReaders.POLL_INTERVAL.toMillis())
 				.forEach(this::follow);
-			boolean covered = this.followed.covered(follow, nanos(model.now)) || !on(Guard.FOLLOWS_ITSELF);
-			boolean rest = !this.choice.reads() && !followed() && covered && this.read;
+			boolean covered = this.followed.receivesUpdates(follow, nanos(model.now)) || !on(Guard.FOLLOWS_ITSELF);
+			boolean rest = !this.choice.isReader() && !followed() && covered && this.read;
 			if (rest && !this.resting) {
 				this.waiting = false;
 				this.call++;
@@ -359,7 +359,7 @@
 			boolean resumed = this.resting && !rest;
 			this.resting = rest;
 			if (resumed) {
-				this.pace.doubt();
+				this.pace.markSuspect();
 				ask();
 			}
 			model.in(STEP_MILLIS, this::step);
@@ -390,7 +390,7 @@
 			model.in(LOST_MILLIS, () -> {
 				if (reader.stopped) {
 					this.unreachable.add(instance);
-					this.followed.lost(instance);
+					this.followed.onUnreachable(instance);
 					probe(reader);
 				}
 			});
--- a/core/src/test/java/org/brasspier/core/request/CrashHistoryTests.java
+++ b/core/src/test/java/org/brasspier/core/request/CrashHistoryTests.java
@@ -18,47 +18,47 @@
 		// A request crashed the first owner's server. Its range, and the mark with it,
 		// went to the second owner, whose server it crashed too. The third must refuse.
 		CrashHistory first = new CrashHistory();
-		first.crashed(77, POINT);
+		first.recordCrash(77, POINT);
 		CrashHistory second = new CrashHistory();
-		second.merge(first.goingWith(RANGE));
-		assertThat(second.crashed(77, POINT)).isEqualTo(CrashHistory.MAX_CRASHES);
+		second.merge(first.marksFor(RANGE));
+		assertThat(second.recordCrash(77, POINT)).isEqualTo(CrashHistory.MAX_CRASHES);
 		CrashHistory third = new CrashHistory();
-		third.merge(second.goingWith(RANGE));
-		third.merge(first.goingWith(RANGE));
-		assertThat(third.count(77)).isEqualTo(CrashHistory.MAX_CRASHES);
+		third.merge(second.marksFor(RANGE));
+		third.merge(first.marksFor(RANGE));
+		assertThat(third.crashCount(77)).isEqualTo(CrashHistory.MAX_CRASHES);
 	}
 
 	@Test
 	void marksOfOtherRangesStay() {
 		CrashHistory marks = new CrashHistory();
-		marks.crashed(77, POINT);
-		assertThat(marks.goingWith(new KeyRange(10, 20))).isEmpty();
+		marks.recordCrash(77, POINT);
+		assertThat(marks.marksFor(new KeyRange(10, 20))).isEmpty();
 	}
 
 	@Test
 	void aRequestThatEndsWellIsNoLongerSuspect() {
 		CrashHistory marks = new CrashHistory();
-		marks.crashed(77, POINT);
-		marks.endedWell(77);
-		assertThat(marks.count(77)).isEqualTo(0);
+		marks.recordCrash(77, POINT);
+		marks.recordSuccess(77);
+		assertThat(marks.crashCount(77)).isEqualTo(0);
 	}
 
 	@Test
 	void theHighestCountsTravelAndAreForgottenLast() {
 		CrashHistory marks = new CrashHistory();
-		marks.crashed(500, POINT);
-		marks.crashed(500, POINT);
+		marks.recordCrash(500, POINT);
+		marks.recordCrash(500, POINT);
 		for (int i = 0; i < 100; i++) {
-			marks.crashed(i, POINT);
+			marks.recordCrash(i, POINT);
 		}
-		assertThat(marks.goingWith(RANGE)).hasSize(CrashMark.MAX_PER_RANGE);
-		assertThat(marks.goingWith(RANGE)).contains(new CrashMark(500, 2));
+		assertThat(marks.marksFor(RANGE)).hasSize(CrashMark.MAX_PER_RANGE);
+		assertThat(marks.marksFor(RANGE)).contains(new CrashMark(500, 2));
 		for (int i = 1000; i < 2000; i++) {
-			marks.crashed(i, POINT);
+			marks.recordCrash(i, POINT);
 		}
-		assertThat(marks.count(500)).isEqualTo(2);
-		assertThat(marks.count(1000)).isEqualTo(0);
-		assertThat(marks.count(1999)).isEqualTo(1);
+		assertThat(marks.crashCount(500)).isEqualTo(2);
+		assertThat(marks.crashCount(1000)).isEqualTo(0);
+		assertThat(marks.crashCount(1999)).isEqualTo(1);
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/request/RequestLedgerDifferentialTests.java
+++ b/core/src/test/java/org/brasspier/core/request/RequestLedgerDifferentialTests.java
@@ -78,11 +78,12 @@
 		}
 		Posting posting = this.running.remove(this.random.nextInt(this.running.size()));
 		if (this.random.nextInt(10) == 0) {
-			this.owner.notRun(posting);
+			this.owner.recordNotRun(posting);
 			this.everRan.remove(posting.id().value());
 		}
 		else {
-			this.owner.ended(posting, Either.right(new Answer(200, List.of(), new byte[this.random.nextInt(200)])));
+			this.owner.recordOutcome(posting,
+					Either.right(new Answer(200, List.of(), new byte[this.random.nextInt(200)])));
 		}
 	}
 
@@ -91,16 +92,16 @@
 		String id = "id-" + ((resend) ? Math.max(0, step - this.random.nextInt(400)) : step);
 		boolean known = this.firstTicket.containsKey(id);
 		Optional<Ticket> ticket = this.firstTicket.computeIfAbsent(id,
-				(key) -> Optional.of(this.owner.issue(SERVICE, new Fence(this.fence), this.now)));
+				(key) -> Optional.of(this.owner.issueTicket(SERVICE, new Fence(this.fence), this.now)));
 		Posting posting = new Posting(SERVICE, new Fence(this.fence), new RequestId(id), 1);
-		Admission admission = this.owner.admit(posting, ticket, !known, this.now);
-		if (admission instanceof Admission.Run) {
+		LedgerDecision admission = this.owner.admit(posting, ticket, !known, this.now);
+		if (admission instanceof LedgerDecision.Run) {
 			assertThat(this.everRan.add(id)).isTrue();
 			this.running.add(posting);
 			this.ran++;
 			this.ranAtOnceWithAFreshTicket += (known) ? 0 : 1;
 		}
-		else if (admission instanceof Admission.Ended || admission instanceof Admission.Join) {
+		else if (admission instanceof LedgerDecision.Completed || admission instanceof LedgerDecision.Join) {
 			assertThat(this.everRan).contains(id);
 		}
 	}
--- a/core/src/test/java/org/brasspier/core/request/RequestLedgerTests.java
+++ b/core/src/test/java/org/brasspier/core/request/RequestLedgerTests.java
@@ -33,18 +33,18 @@
 		// again, first while it still runs, then afterwards. It must run once, and both
 		// resends must end with the answer of that run.
 		Optional<Ticket> ticket = ticket(1);
-		assertThat(this.ledger.admit(posting("a"), ticket, false, 2)).isInstanceOf(Admission.Run.class);
-		assertThat(this.ledger.admit(posting("a"), ticket, false, 3)).isInstanceOf(Admission.Join.class);
+		assertThat(this.ledger.admit(posting("a"), ticket, false, 2)).isInstanceOf(LedgerDecision.Run.class);
+		assertThat(this.ledger.admit(posting("a"), ticket, false, 3)).isInstanceOf(LedgerDecision.Join.class);
 		Either<Failure, Answer> end = Either.right(new Answer(201, List.of(), new byte[4]));
-		this.ledger.ended(posting("a"), end);
-		assertThat(this.ledger.admit(posting("a"), ticket, false, 4)).isEqualTo(new Admission.Ended(end));
+		this.ledger.recordOutcome(posting("a"), end);
+		assertThat(this.ledger.admit(posting("a"), ticket, false, 4)).isEqualTo(new LedgerDecision.Completed(end));
 	}
 
 	@Test
 	void aPostingThatCertainlyDidNotRunMayRunLater() {
 		this.ledger.admit(posting("a"), ticket(1), false, 2);
-		this.ledger.notRun(posting("a"));
-		assertThat(this.ledger.admit(posting("a"), ticket(1), false, 3)).isInstanceOf(Admission.Run.class);
+		this.ledger.recordNotRun(posting("a"));
+		assertThat(this.ledger.admit(posting("a"), ticket(1), false, 3)).isInstanceOf(LedgerDecision.Run.class);
 	}
 
 	@Test
@@ -75,42 +75,42 @@
 		// must not run again, while a new ticket is good.
 		Optional<Ticket> early = ticket(1);
 		List.of("a", "b", "c", "d").forEach((id) -> {
-			assertThat(this.ledger.admit(posting(id), early, false, 2)).isInstanceOf(Admission.Run.class);
-			this.ledger.ended(posting(id), Either.left(Failure.of(ErrorKind.OUTCOME_UNKNOWN, "lost")));
+			assertThat(this.ledger.admit(posting(id), early, false, 2)).isInstanceOf(LedgerDecision.Run.class);
+			this.ledger.recordOutcome(posting(id), Either.left(Failure.of(ErrorKind.OUTCOME_UNKNOWN, "lost")));
 		});
 		assertThat(this.ledger.size()).isEqualTo(3);
 		assertThat(refusal(this.ledger.admit(posting("a"), early, false, 3))).isEqualTo(ErrorKind.POSSIBLY_RAN_BEFORE);
-		assertThat(this.ledger.admit(posting("e"), ticket(3), false, 3)).isInstanceOf(Admission.Run.class);
+		assertThat(this.ledger.admit(posting("e"), ticket(3), false, 3)).isInstanceOf(LedgerDecision.Run.class);
 	}
 
 	@Test
 	void whatIsInProgressIsNeverForgotten() {
 		List.of("a", "b", "c").forEach((id) -> this.ledger.admit(posting(id), ticket(1), false, 2));
 		assertThat(refusal(this.ledger.admit(posting("d"), ticket(1), false, 3))).isEqualTo(ErrorKind.OVERLOADED);
-		assertThat(this.ledger.admit(posting("a"), ticket(1), false, 900_000)).isInstanceOf(Admission.Join.class);
+		assertThat(this.ledger.admit(posting("a"), ticket(1), false, 900_000)).isInstanceOf(LedgerDecision.Join.class);
 	}
 
 	@Test
 	void anAnswerThatIsNoLongerKeptStillDoesNotRunAgain() {
 		for (String id : List.of("a", "b")) {
 			this.ledger.admit(posting(id), ticket(1), false, 2);
-			this.ledger.ended(posting(id), Either.right(new Answer(200, List.of(), new byte[80])));
+			this.ledger.recordOutcome(posting(id), Either.right(new Answer(200, List.of(), new byte[80])));
 		}
 		assertThat(refusal(this.ledger.admit(posting("a"), ticket(1), false, 3)))
 			.isEqualTo(ErrorKind.POSSIBLY_RAN_BEFORE);
-		assertThat(this.ledger.admit(posting("b"), ticket(1), false, 3)).isInstanceOf(Admission.Ended.class);
+		assertThat(this.ledger.admit(posting("b"), ticket(1), false, 3)).isInstanceOf(LedgerDecision.Completed.class);
 	}
 
 	private Optional<Ticket> ticket(long nowMillis) {
-		return Optional.of(this.ledger.issue(HULLBOOK, FENCE, nowMillis));
+		return Optional.of(this.ledger.issueTicket(HULLBOOK, FENCE, nowMillis));
 	}
 
 	private static Posting posting(String id) {
 		return new Posting(HULLBOOK, FENCE, new RequestId(id), 1);
 	}
 
-	private static ErrorKind refusal(Admission admission) {
-		return ((Admission.Refused) admission).failure().kind();
+	private static ErrorKind refusal(LedgerDecision admission) {
+		return ((LedgerDecision.Refused) admission).failure().kind();
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/retry/ConnectionAllowanceTests.java
+++ b/core/src/test/java/org/brasspier/core/retry/LostConnectionRetriesTests.java
@@ -6,7 +6,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class ConnectionAllowanceTests {
+class LostConnectionRetriesTests {
 
 	private static final Duration GIVEN_UP_AFTER = Duration.ofMillis(400);
 
@@ -14,7 +14,7 @@
 	// connection than the retry budget has saved up.
 	@Test
 	void aConnectionThatWorkedForLongPaysForAllThatWaitsOnIt() {
-		assertThat(ConnectionAllowance.covers(Duration.ofSeconds(5), GIVEN_UP_AFTER)).isTrue();
+		assertThat(LostConnectionRetries.exemptFromBudget(Duration.ofSeconds(5), GIVEN_UP_AFTER)).isTrue();
 	}
 
 	// Guards against a retry storm at a peer that stalls for a moment each second.
@@ -22,28 +22,28 @@
 	void aPeerThatStallsEachSecondGetsAtMostATenthMoreRequests() {
 		int connections = 1000;
 		Duration used = Duration.ofMillis(600);
-		assertThat(ConnectionAllowance.covers(used, GIVEN_UP_AFTER)).isFalse();
-		RetryBudget budget = RetryBudget.usual();
+		assertThat(LostConnectionRetries.exemptFromBudget(used, GIVEN_UP_AFTER)).isFalse();
+		RetryBudget budget = RetryBudget.withDefaults();
 		long fresh = 0;
 		long resent = 0;
 		for (int i = 0; i < connections; i++) {
 			for (int request = 0; request < 100; request++) {
 				fresh++;
-				budget.fresh();
+				budget.recordRequest();
 			}
 			for (int waiting = 0; waiting < 40; waiting++) {
-				resent += budget.spend() ? 1 : 0;
+				resent += budget.trySpend() ? 1 : 0;
 			}
 		}
-		assertThat(resent).isAtMost(fresh / 10 + RetryBudget.USUAL_MOST_SAVED);
+		assertThat(resent).isAtMost(fresh / 10 + RetryBudget.DEFAULT_MOST_SAVED);
 	}
 
 	// The same, where it stalls just as seldom as its connections must last.
 	@Test
 	void whatWaitsIsAtMostATenthOfWhatTheConnectionCarried() {
 		Duration shortest = GIVEN_UP_AFTER.multipliedBy(10);
-		assertThat(ConnectionAllowance.covers(shortest, GIVEN_UP_AFTER)).isTrue();
-		assertThat(ConnectionAllowance.covers(shortest.minusMillis(1), GIVEN_UP_AFTER)).isFalse();
+		assertThat(LostConnectionRetries.exemptFromBudget(shortest, GIVEN_UP_AFTER)).isTrue();
+		assertThat(LostConnectionRetries.exemptFromBudget(shortest.minusMillis(1), GIVEN_UP_AFTER)).isFalse();
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendWatch.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendWatch.java
@@ -85,9 +85,9 @@
 	public Promise<Boolean> answersNow() {
 		return this.calls.health().map((health) -> {
 			switch (health) {
-				case ANSWERED -> this.liveness.heard();
-				case SILENT -> this.liveness.silent();
-				case REFUSED -> this.liveness.refused();
+				case ANSWERED -> this.liveness.onAnswer();
+				case SILENT -> this.liveness.onProbeTimeout();
+				case REFUSED -> this.liveness.onConnectionRefused();
 			}
 			tell();
 			return health == BackendCalls.Health.ANSWERED;
@@ -101,7 +101,7 @@
 	public void announced(BackendAnnouncement latest) {
 		this.announcement = Optional.of(latest);
 		this.calls.address(latest.address());
-		this.liveness.announced(System.nanoTime());
+		this.liveness.onAnnouncement(System.nanoTime());
 		tell();
 	}
 
@@ -109,7 +109,7 @@
 	 * An order was answered, which shows life.
 	 */
 	public void heard() {
-		this.liveness.heard();
+		this.liveness.onAnswer();
 	}
 
 	/**
@@ -118,7 +118,7 @@
 	 * @return false if it may only be frozen
 	 */
 	public boolean gone() {
-		return this.liveness.gone();
+		return this.liveness.isGone();
 	}
 
 	/**
@@ -135,7 +135,7 @@
 	 */
 	public Optional<BackendState> state() {
 		return this.announcement
-			.map((known) -> this.liveness.alive(System.nanoTime()) ? known.state() : BackendState.LOST);
+			.map((known) -> this.liveness.isAlive(System.nanoTime()) ? known.state() : BackendState.LOST);
 	}
 
 	/**
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/GrantRenewal.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/GrantRenewal.java
@@ -128,7 +128,7 @@
 	 */
 	public void renew(BackendAnnouncement server, long nowNanos) {
 		OwnershipSnapshot snapshot = this.ownership.get();
-		Set<HeldRange> wanted = (snapshot.leaseValid(nowNanos)) ? wantedNow(server, snapshot) : Set.of();
+		Set<HeldRange> wanted = (snapshot.isLeaseValid(nowNanos)) ? wantedNow(server, snapshot) : Set.of();
 		boolean due = nowNanos - this.sentAtNanos >= RENEW_NANOS && !wanted.isEmpty();
 		if (this.sending || (wanted.equals(this.sent) && !due)) {
 			return;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/caller/AnswerWriter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/caller/AnswerWriter.java
@@ -90,7 +90,7 @@
 	// earlier send may have. Only its owner's memory can, and that speaks in other kinds.
 	private static Ran ran(CallerRequest request, ErrorKind kind) {
 		boolean resend = request.requestClass() == RequestClass.POSTING && request.identity().ticket().isPresent()
-				&& !request.identity().firstSend();
+				&& !request.identity().firstAttempt();
 		return (resend && turnedAway(kind)) ? Ran.UNKNOWN : kind.ran();
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/caller/CallerPort.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/caller/CallerPort.java
@@ -215,7 +215,7 @@
 	private Optional<String> owner(CallerRequest request) {
 		OwnershipSnapshot snapshot = this.ownership.get();
 		return snapshot.routes()
-			.find(request.service(), request.hash())
+			.find(request.service(), request.keyHash())
 			.map(Assignment::owner)
 			.flatMap(snapshot.addresses()::find)
 			.map((address) -> address.host() + ":" + address.callerPort());
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendCrashes.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendCrashes.java
@@ -7,11 +7,11 @@
 
 import io.activej.reactor.nio.NioReactor;
 import org.brasspier.core.InstanceId;
-import org.brasspier.core.crash.CrashNotes;
+import org.brasspier.core.crash.CrashDetector;
 import org.brasspier.core.crash.CrashReport;
+import org.brasspier.core.crash.CrashState;
 import org.brasspier.core.crash.CrashSuspects;
-import org.brasspier.core.crash.CrashWatch;
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.keys.BackendIncarnation;
 import org.brasspier.daemon.internal.http.BackendPool;
 import org.brasspier.daemon.mesh.MeshRequest;
 import org.brasspier.daemon.mesh.MetadataStore;
@@ -42,14 +42,14 @@
 
 	private final MeshLog log;
 
-	private final CrashWatch watch = new CrashWatch();
+	private final CrashDetector watch = new CrashDetector();
 
 	private final CrashSuspects suspects = new CrashSuspects();
 
 	// By the id of the request, its fingerprint.
 	private final Map<String, Long> runningSuspects = new HashMap<>();
 
-	private Optional<BackendLife> life = Optional.empty();
+	private Optional<BackendIncarnation> life = Optional.empty();
 
 	private boolean looking;
 
@@ -65,12 +65,12 @@
 		this.hops = hops;
 		this.writer = new OwnRowWriter(StoredRows.CRASHES_PREFIX + self.value(), directory, store, health);
 		this.log = log;
-		registration.listen(this::lifeChanged);
-		directory.whenCrashesTold(this::told);
+		registration.addListener(this::lifeChanged);
+		directory.addCrashListener(this::onCrashState);
 	}
 
 	void start() {
-		this.reactor.delayBackground(OwnRowWriter.LOOK_EVERY, () -> {
+		this.reactor.delayBackground(OwnRowWriter.CHECK_INTERVAL, () -> {
 			if (this.untold) {
 				tellOthers();
 			}
@@ -84,8 +84,8 @@
 	 * @param request the request
 	 * @return true if servers have crashed under it
 	 */
-	boolean keepsAway(MeshRequest request) {
-		return !this.suspects.isEmpty() && this.suspects.keepsAway(request.fingerprint(), System.nanoTime());
+	boolean isBlocked(MeshRequest request) {
+		return !this.suspects.isEmpty() && this.suspects.isBlocked(request.fingerprint(), System.nanoTime());
 	}
 
 	/**
@@ -99,7 +99,7 @@
 			return false;
 		}
 		long fingerprint = request.fingerprint();
-		return this.suspects.suspects(fingerprint)
+		return this.suspects.isSuspect(fingerprint)
 				&& this.runningSuspects.values().stream().anyMatch((other) -> other != fingerprint);
 	}
 
@@ -107,8 +107,8 @@
 	 * Takes that the server is given a request.
 	 * @param request the request
 	 */
-	void begun(MeshRequest request) {
-		if (!this.suspects.isEmpty() && this.suspects.suspects(request.fingerprint())) {
+	void onRequestStarted(MeshRequest request) {
+		if (!this.suspects.isEmpty() && this.suspects.isSuspect(request.fingerprint())) {
 			this.runningSuspects.put(request.id(), request.fingerprint());
 		}
 	}
@@ -117,7 +117,7 @@
 	 * Takes that the server is done with a request, one way or another.
 	 * @param request the request
 	 */
-	void over(MeshRequest request) {
+	void onRequestEnded(MeshRequest request) {
 		this.runningSuspects.remove(request.id());
 	}
 
@@ -126,8 +126,8 @@
 	 * @param of the server's life
 	 * @param request the request
 	 */
-	void broke(BackendLife of, MeshRequest request) {
-		this.watch.broke(of, request.fingerprint(), System.nanoTime());
+	void onConnectionLost(BackendIncarnation of, MeshRequest request) {
+		this.watch.onConnectionLost(of, request.fingerprint(), System.nanoTime());
 		if (!this.looking) {
 			this.looking = true;
 			this.reactor.delay(LOOK_AFTER, () -> look(of));
@@ -135,16 +135,16 @@
 	}
 
 	// A connection that opens is kept for the next order.
-	private void look(BackendLife of) {
-		if (!this.watch.doubtful()) {
+	private void look(BackendIncarnation of) {
+		if (!this.watch.hasUnexplainedLosses()) {
 			this.looking = false;
 			return;
 		}
 		this.pool.open().whenResult((listens) -> {
 			this.looking = false;
-			this.registration.tried(listens);
+			this.registration.onConnectionAttempt(listens);
 			if (!listens) {
-				closed(of);
+				onPortClosed(of);
 			}
 		});
 	}
@@ -153,24 +153,24 @@
 	 * Takes that nothing listens at the server's address.
 	 * @param of the life that had it
 	 */
-	void closed(BackendLife of) {
-		this.watch.ended(of, System.nanoTime()).ifPresent(this::crashed);
+	void onPortClosed(BackendIncarnation of) {
+		this.watch.onServerEnded(of, System.nanoTime()).ifPresent(this::crashed);
 	}
 
 	private void lifeChanged() {
-		Optional<BackendLife> now = this.registration.life();
+		Optional<BackendIncarnation> now = this.registration.incarnation();
 		if (!now.equals(this.life)) {
-			this.life.ifPresent(this::closed);
+			this.life.ifPresent(this::onPortClosed);
 			this.life = now;
 		}
 	}
 
 	private void crashed(CrashReport report) {
 		long now = System.nanoTime();
-		CrashNotes before = this.suspects.notes(this.self);
-		this.suspects.told(this.self, before.with(report), now);
-		this.log.record(MeshEvent.BACKEND_CRASHED, "life", report.life(), "running",
-				report.requests().stream().map(Long::toHexString).toList(), "kept_away", this.suspects.keptAway());
+		CrashState before = this.suspects.stateOf(this.self);
+		this.suspects.merge(this.self, before.withReport(report), now);
+		this.log.record(MeshEvent.BACKEND_CRASHED, "life", report.incarnation(), "running",
+				report.requests().stream().map(Long::toHexString).toList(), "kept_away", this.suspects.blockedCount());
 		tellOthers();
 	}
 
@@ -180,9 +180,10 @@
 	 * @param request the request
 	 * @param sentNanos when it was sent
 	 */
-	void answered(BackendLife by, MeshRequest request, long sentNanos) {
-		this.watch.answered(by, sentNanos);
-		if (!this.suspects.isEmpty() && this.suspects.endedWell(this.self, request.fingerprint(), System.nanoTime())) {
+	void onAnswer(BackendIncarnation by, MeshRequest request, long sentNanos) {
+		this.watch.onAnswer(by, sentNanos);
+		if (!this.suspects.isEmpty()
+				&& this.suspects.recordSuccess(this.self, request.fingerprint(), System.nanoTime())) {
 			// Many mostly end within a short while, and are told together.
 			this.untold = true;
 		}
@@ -190,10 +191,10 @@
 
 	private void tellOthers() {
 		this.untold = false;
-		HopMessage.CrashesTold told = new HopMessage.CrashesTold(this.self, this.suspects.notes(this.self));
+		HopMessage.CrashUpdate told = new HopMessage.CrashUpdate(this.self, this.suspects.stateOf(this.self));
 		this.directory.reachable()
 			.filter((member) -> !member.instance().equals(this.self))
-			.forEach((member) -> this.hops.tellCurrentBuild(member, told));
+			.forEach((member) -> this.hops.sendToCurrentBuild(member, told));
 		write();
 	}
 
@@ -202,17 +203,17 @@
 	 * @param from the instance
 	 * @param notes what it tells
 	 */
-	void told(InstanceId from, CrashNotes notes) {
-		if (this.suspects.told(from, notes, System.nanoTime())) {
+	void onCrashState(InstanceId from, CrashState notes) {
+		if (this.suspects.merge(from, notes, System.nanoTime())) {
 			this.log.record(MeshEvent.CRASHES_TOLD, "from", from, "reports", notes.reports().size(), "cleared",
-					notes.cleared().size(), "kept_away", this.suspects.keptAway());
+					notes.cleared().size(), "kept_away", this.suspects.blockedCount());
 		}
 	}
 
 	private void write() {
-		CrashNotes own = this.suspects.notes(this.self);
-		if (this.writer.ready() && !own.equals(this.directory.crashNotes(this.self))) {
-			this.writer.write(this.directory.crashNotesVersion(this.self), StoredRows.crashes(own), this::write);
+		CrashState own = this.suspects.stateOf(this.self);
+		if (this.writer.canWrite() && !own.equals(this.directory.crashState(this.self))) {
+			this.writer.write(this.directory.crashStateVersion(this.self), StoredRows.crashes(own), this::write);
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendGate.java
@@ -23,8 +23,8 @@
 import org.brasspier.core.admission.PendingRequest;
 import org.brasspier.core.admission.RefusedRequest;
 import org.brasspier.core.admission.RunOutcome;
-import org.brasspier.core.keys.BackendLife;
-import org.brasspier.core.mesh.BackendTrack.BackendPhase;
+import org.brasspier.core.keys.BackendIncarnation;
+import org.brasspier.core.mesh.BackendTracker.BackendPhase;
 import org.brasspier.core.mesh.LinkDelay;
 import org.brasspier.core.mesh.RoutingConfig;
 import org.brasspier.core.mesh.SendOutcome;
@@ -32,8 +32,8 @@
 import org.brasspier.daemon.internal.http.BackendPool;
 import org.brasspier.daemon.internal.http.BackendReply;
 import org.brasspier.daemon.internal.request.Cancellation;
-import org.brasspier.daemon.mesh.BackendOrder;
 import org.brasspier.daemon.mesh.BackendProtocol;
+import org.brasspier.daemon.mesh.BackendRequest;
 import org.brasspier.daemon.mesh.MeshSettings;
 
 /**
@@ -95,7 +95,7 @@
 
 	private long rulesOfVersion = -1;
 
-	private Optional<BackendLife> life = Optional.empty();
+	private Optional<BackendIncarnation> life = Optional.empty();
 
 	private boolean expiring;
 
@@ -113,12 +113,12 @@
 		this.keys = keys;
 		this.crashes = crashes;
 		this.log = log;
-		registration.listen(this::backendChanged);
+		registration.addListener(this::backendChanged);
 	}
 
 	private void backendChanged() {
-		if (!this.registration.life().equals(this.life)) {
-			this.life = this.registration.life();
+		if (!this.registration.incarnation().equals(this.life)) {
+			this.life = this.registration.incarnation();
 			this.pool.forget();
 		}
 		this.rulesOfVersion = -1;
@@ -133,8 +133,8 @@
 		int connections = inForce.service(this.settings.backend().service())
 			.map((rule) -> rule.maxConnections())
 			.orElse(this.registration.slots());
-		this.admission.limits(new AdmissionLimits(this.registration.slots(), connections));
-		this.admission.rules(inForce.admission(this.settings.backend().service()), Map.of());
+		this.admission.updateLimits(new AdmissionLimits(this.registration.slots(), connections));
+		this.admission.updateRules(inForce.admissionSettings(this.settings.backend().service()), Map.of());
 	}
 
 	/**
@@ -146,7 +146,7 @@
 	 */
 	Promise<SendOutcome> run(HopRequest ask, long heldUpNanos, Cancellation cancellation) {
 		long now = System.nanoTime();
-		ask.request().key().ifPresent(this.keys::asked);
+		ask.request().key().ifPresent(this.keys::recordRequest);
 		Optional<Failure> closed = closed(ask, heldUpNanos, now);
 		if (closed.isPresent()) {
 			return Promise.of(turnedAway(ask, closed.get()));
@@ -159,7 +159,7 @@
 		long number = this.nextNumber++;
 		PendingRequest pending = new PendingRequest(number, ask.requestClass(), CALLER, order.deadlineNanos,
 				ask.overdue());
-		Optional<Duration> wait = ask.mayWait() ? Optional.empty() : this.admission.waitFor(pending, now);
+		Optional<Duration> wait = ask.mayQueue() ? Optional.empty() : this.admission.expectedQueueWait(pending, now);
 		if (wait.isPresent()) {
 			return Promise.of(turnedAway(ask, new Failure(ErrorKind.NO_FREE_SLOT, "no slot is free", wait.get())));
 		}
@@ -187,7 +187,7 @@
 		if (this.stopping) {
 			return noBackend("the daemon beside the backend server is stopping");
 		}
-		if (LinkDelay.givenUp(heldUpNanos)) {
+		if (LinkDelay.exceedsTimeout(heldUpNanos)) {
 			return Optional.of(Failure.of(ErrorKind.DEADLINE_PASSED, "it was held up for %d ms between the daemons"
 				.formatted(Duration.ofNanos(heldUpNanos).toMillis())));
 		}
@@ -196,8 +196,8 @@
 
 	// Why a request under which servers may have crashed may not be handed over now.
 	private Optional<Failure> suspect(HopRequest ask) {
-		if (this.crashes.keepsAway(ask.request())) {
-			return Optional.of(keptAway());
+		if (this.crashes.isBlocked(ask.request())) {
+			return Optional.of(blockedFailure());
 		}
 		return this.crashes.mustWait(ask.request())
 				? Optional
@@ -206,12 +206,12 @@
 	}
 
 	// Nobody knows when it may be tried again, so no pause is told.
-	static Failure keptAway() {
+	static Failure blockedFailure() {
 		return Failure.of(ErrorKind.CRASHED_BACKENDS, "backend servers have crashed under this request");
 	}
 
 	private Optional<Failure> unservable(HopRequest ask, long now) {
-		if (!this.config.get().known()) {
+		if (!this.config.get().isKnown()) {
 			// Whether the service is divided by key is not known either, and a server
 			// that was given a request for keys it doesn't hold would decline it.
 			return Optional.of(new Failure(ErrorKind.NO_CONFIGURATION, "no configuration is known yet", RETRY_SOON));
@@ -220,7 +220,7 @@
 			return noBackend("this instance's backend server is of service " + this.settings.backend().service());
 		}
 		boolean byKey = ask.request().key().isPresent()
-				&& this.config.get().service(ask.service()).filter((rule) -> rule.byKey()).isPresent();
+				&& this.config.get().service(ask.service()).filter((rule) -> rule.sharded()).isPresent();
 		if (!this.registration.ready() && !(byKey && mayFinish(now))) {
 			return noBackend("the backend server is " + this.registration.phase());
 		}
@@ -237,14 +237,15 @@
 		boolean leaving = this.registration.phase() == BackendPhase.DRAINING
 				|| this.registration.phase() == BackendPhase.DEPARTED;
 		Duration longest = this.settings.bounds().drain().minus(DRAIN_MARGIN);
-		return leaving && this.registration.leavingFor(now).filter((since) -> since.compareTo(longest) < 0).isPresent();
+		return leaving
+				&& this.registration.drainingFor(now).filter((since) -> since.compareTo(longest) < 0).isPresent();
 	}
 
 	// Keys come with the next heartbeat. When one that leaves is held by its next holder,
 	// and when an overdue heartbeat comes, nobody knows, and no pause is told.
 	private Duration untilHeld(int key, long now) {
 		Duration next = this.registration.untilNextHeartbeat(now);
-		return (next.isZero() || this.keys.leaving(key)) ? Duration.ZERO : next.plus(GRANT_MARGIN);
+		return (next.isZero() || this.keys.isMoving(key)) ? Duration.ZERO : next.plus(GRANT_MARGIN);
 	}
 
 	// Nobody knows for how long, so no pause is told.
@@ -263,7 +264,7 @@
 		Waiting queued = new Waiting(order, new SettablePromise<>());
 		this.waiting.put(number, queued);
 		order.cancellation.whenCancelled(() -> {
-			if (this.admission.cancelled(number)) {
+			if (this.admission.cancelWaiting(number)) {
 				refuse(new RefusedRequest(number, Failure.of(ErrorKind.DEADLINE_PASSED, "the caller is gone")));
 			}
 		});
@@ -274,20 +275,20 @@
 	private Promise<SendOutcome> start(long number, Order order) {
 		long now = System.nanoTime();
 		Optional<Failure> closed = suspect(order.ask).or(() -> unservable(order.ask, now));
-		if (closed.isPresent() || this.registration.life().isEmpty() || order.cancellation.cancelled()) {
-			finished(number, RunOutcome.NOT_BEGUN);
+		if (closed.isPresent() || this.registration.incarnation().isEmpty() || order.cancellation.cancelled()) {
+			finished(number, RunOutcome.NOT_STARTED);
 			Failure why = closed.orElseGet(() -> Failure.of(ErrorKind.DEADLINE_PASSED, "nobody waits for it"));
 			return Promise.of(turnedAway(order.ask, why));
 		}
-		return send(number, order, this.registration.life().get(), now);
+		return send(number, order, this.registration.incarnation().get(), now);
 	}
 
-	private Promise<SendOutcome> send(long number, Order order, BackendLife to, long now) {
+	private Promise<SendOutcome> send(long number, Order order, BackendIncarnation to, long now) {
 		int remaining = (int) Math.max(1, (order.deadlineNanos - now) / NANOS_PER_MILLI);
-		BackendOrder written = new BackendOrder(order.ask.request(), order.ask.caller(), to, remaining);
-		this.crashes.begun(order.ask.request());
-		BackendPool.BackendRun run = this.pool.run(this.protocol.order(written), order.ask.idempotent(),
-				(answer) -> this.protocol.verdict(written, answer) != BackendProtocol.Verdict.OTHER_ORDER,
+		BackendRequest written = new BackendRequest(order.ask.request(), order.ask.caller(), to, remaining);
+		this.crashes.onRequestStarted(order.ask.request());
+		BackendPool.BackendRun run = this.pool.run(this.protocol.request(written), order.ask.idempotent(),
+				(answer) -> this.protocol.verdict(written, answer) != BackendProtocol.Verdict.OTHER_REQUEST,
 				() -> mayBeSent(order, to));
 		ScheduledRunnable timeout = this.reactor.delay(remaining + 1L, run::giveUp);
 		// A posting that runs is left to end: its caller's leaving doesn't undo it, and
@@ -297,22 +298,23 @@
 		}
 		return run.reply().map((reply) -> {
 			timeout.cancel();
-			this.crashes.over(order.ask.request());
+			this.crashes.onRequestEnded(order.ask.request());
 			noteCrash(written, now, reply);
 			return ended(number, written, order, reply);
 		});
 	}
 
-	private void noteCrash(BackendOrder written, long sentNanos, BackendReply reply) {
+	private void noteCrash(BackendRequest written, long sentNanos, BackendReply reply) {
 		switch (reply) {
 			case BackendReply.Whole(Answer answer) -> {
 				if (this.protocol.verdict(written, answer) != BackendProtocol.Verdict.NOT_RUN) {
-					this.crashes.answered(written.life(), written.request(), sentNanos);
+					this.crashes.onAnswer(written.incarnation(), written.request(), sentNanos);
 				}
 			}
-			case BackendReply.Broken ignored -> this.crashes.broke(written.life(), written.request());
-			case BackendReply.Garbled ignored -> this.crashes.broke(written.life(), written.request());
-			case BackendReply.Closed ignored -> this.crashes.closed(written.life());
+			case BackendReply.Broken ignored -> this.crashes.onConnectionLost(written.incarnation(), written.request());
+			case BackendReply.Garbled ignored ->
+				this.crashes.onConnectionLost(written.incarnation(), written.request());
+			case BackendReply.Closed ignored -> this.crashes.onPortClosed(written.incarnation());
 			case BackendReply.NotSent ignored -> {
 				// It says nothing of the server.
 			}
@@ -323,22 +325,23 @@
 	}
 
 	// A connection may take as long to open as a leaving server may still be given work.
-	private boolean mayBeSent(Order order, BackendLife to) {
-		return this.registration.life().equals(Optional.of(to)) && unservable(order.ask, System.nanoTime()).isEmpty();
+	private boolean mayBeSent(Order order, BackendIncarnation to) {
+		return this.registration.incarnation().equals(Optional.of(to))
+				&& unservable(order.ask, System.nanoTime()).isEmpty();
 	}
 
-	private SendOutcome ended(long number, BackendOrder written, Order order, BackendReply reply) {
+	private SendOutcome ended(long number, BackendRequest written, Order order, BackendReply reply) {
 		SendOutcome outcome = outcome(written, order, reply);
-		this.registration.tried(!(reply instanceof BackendReply.Closed));
+		this.registration.onConnectionAttempt(!(reply instanceof BackendReply.Closed));
 		finished(number, runOutcome(outcome, reply));
 		if (!(outcome instanceof SendOutcome.Answered)) {
-			this.log.record(MeshEvent.ORDER_FAILED, "request", order.ask.request().id(), "life", written.life(),
+			this.log.record(MeshEvent.ORDER_FAILED, "request", order.ask.request().id(), "life", written.incarnation(),
 					"reply", reply, "outcome", outcome.getClass().getSimpleName());
 		}
 		return outcome;
 	}
 
-	private SendOutcome outcome(BackendOrder written, Order order, BackendReply reply) {
+	private SendOutcome outcome(BackendRequest written, Order order, BackendReply reply) {
 		return switch (reply) {
 			case BackendReply.Whole(Answer answer) ->
 				(this.protocol.verdict(written, answer) == BackendProtocol.Verdict.NOT_RUN)
@@ -366,9 +369,9 @@
 			// Slots are counted exactly here, so a server that declines is at fault and
 			// not full. Taken for full, a server that declined half of all requests at
 			// random was given ever fewer, and a half of what it could run went unserved.
-			case SendOutcome.NotRun ignored -> RunOutcome.NOT_BEGUN;
+			case SendOutcome.NotRun ignored -> RunOutcome.NOT_STARTED;
 			case SendOutcome.Unknown ignored ->
-				(reply instanceof BackendReply.GivenUp) ? RunOutcome.BROKEN : RunOutcome.NOT_BEGUN;
+				(reply instanceof BackendReply.GivenUp) ? RunOutcome.INTERRUPTED : RunOutcome.NOT_STARTED;
 		};
 	}
 
@@ -381,7 +384,7 @@
 		for (long number : next.run()) {
 			Waiting queued = this.waiting.remove(number);
 			if (queued == null) {
-				finished(number, RunOutcome.NOT_BEGUN);
+				finished(number, RunOutcome.NOT_STARTED);
 			}
 			else {
 				start(number, queued.order).whenResult(queued.outcome::trySet);
@@ -404,7 +407,7 @@
 		this.expiring = true;
 		this.reactor.delay(LOOK_AGAIN, () -> {
 			this.expiring = false;
-			carryOut(this.admission.expired(System.nanoTime()));
+			carryOut(this.admission.advance(System.nanoTime()));
 			if (this.admission.waiting() > 0) {
 				expireSoon();
 			}
@@ -413,8 +416,8 @@
 
 	// How many lookups a second all slots together can run, from how long one took
 	// lately.
-	double capacity() {
-		long runNanos = Math.max(NANOS_PER_MILLI, this.admission.usualRunNanos(RequestClass.LOOKUP));
+	double lookupsPerSecond() {
+		long runNanos = Math.max(NANOS_PER_MILLI, this.admission.meanRunNanos(RequestClass.LOOKUP));
 		return this.registration.slots() * NANOS_PER_SECOND / runNanos;
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendRegistration.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendRegistration.java
@@ -8,10 +8,10 @@
 import io.vavr.control.Either;
 import org.brasspier.core.ErrorKind;
 import org.brasspier.core.Failure;
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.keys.BackendIncarnation;
 import org.brasspier.core.keys.GrantAnswer;
-import org.brasspier.core.mesh.BackendTrack;
-import org.brasspier.core.mesh.BackendTrack.BackendPhase;
+import org.brasspier.core.mesh.BackendTracker;
+import org.brasspier.core.mesh.BackendTracker.BackendPhase;
 import org.brasspier.daemon.mesh.BackendMessage;
 import org.brasspier.daemon.mesh.Heartbeat;
 import org.brasspier.daemon.mesh.MeshSettings;
@@ -26,11 +26,11 @@
 
 	private final MeshLog log;
 
-	private final BackendTrack track = new BackendTrack();
+	private final BackendTracker track = new BackendTracker();
 
 	private final List<Runnable> listeners = new ArrayList<>();
 
-	private Grants grants = (beat, now) -> Optional.empty();
+	private GrantSource grants = (beat, now) -> Optional.empty();
 
 	private int slots = 1;
 
@@ -45,19 +45,19 @@
 		this.log = log;
 	}
 
-	void grantsFrom(Grants source) {
+	void setGrantSource(GrantSource source) {
 		this.grants = source;
 	}
 
 	// Called after each change of life, phase or slots.
-	void listen(Runnable listener) {
+	void addListener(Runnable listener) {
 		this.listeners.add(listener);
 	}
 
-	Either<Failure, Optional<GrantAnswer>> take(BackendMessage message) {
+	Either<Failure, Optional<GrantAnswer>> receive(BackendMessage message) {
 		long now = System.nanoTime();
 		return switch (message) {
-			case BackendMessage.Beat(Heartbeat beat) -> beat(beat, now);
+			case BackendMessage.HeartbeatMessage(Heartbeat beat) -> beat(beat, now);
 			case BackendMessage.Departure(String id) -> departed(id, now);
 		};
 	}
@@ -66,25 +66,25 @@
 		if (!beat.service().equals(this.backend.service()) || !beat.address().equals(this.backend.address())) {
 			String why = "it names service %s at %s, beside this daemon is %s at %s".formatted(beat.service(),
 					beat.address(), this.backend.service(), this.backend.address());
-			this.log.record(MeshEvent.BACKEND_MESSAGE_IGNORED, "life", beat.holds().life(), "reason", why);
+			this.log.record(MeshEvent.BACKEND_MESSAGE_IGNORED, "life", beat.holds().incarnation(), "reason", why);
 			return Either.left(Failure.of(ErrorKind.BAD_REQUEST, why));
 		}
 		State before = state();
-		if (!this.track.beat(beat.holds().life(), beat.sequence(), beat.draining(), now)) {
-			this.log.record(MeshEvent.BACKEND_MESSAGE_IGNORED, "life", beat.holds().life(), "sequence", beat.sequence(),
-					"reason", "it is late");
+		if (!this.track.onHeartbeat(beat.holds().incarnation(), beat.sequence(), beat.draining(), now)) {
+			this.log.record(MeshEvent.BACKEND_MESSAGE_IGNORED, "life", beat.holds().incarnation(), "sequence",
+					beat.sequence(), "reason", "it is late");
 			return Either.right(Optional.empty());
 		}
 		this.slots = beat.slots();
 		this.heardNanos = now;
-		this.coldUntilNanos = now + beat.coldFor().toNanos();
+		this.coldUntilNanos = now + beat.coldStartRemaining().toNanos();
 		changed(before, now);
 		return Either.right(this.grants.answer(beat, now));
 	}
 
 	private Either<Failure, Optional<GrantAnswer>> departed(String id, long now) {
 		State before = state();
-		if (!this.track.departed(id)) {
+		if (!this.track.onDeparture(id)) {
 			this.log.record(MeshEvent.BACKEND_MESSAGE_IGNORED, "life", id, "reason", "another life goes on");
 		}
 		changed(before, now);
@@ -95,9 +95,9 @@
 	 * Takes that an earlier process of this instance has acknowledged a server's leaving.
 	 * @param life the server's life
 	 */
-	void left(BackendLife life) {
+	void restoreDeparture(BackendIncarnation life) {
 		State before = state();
-		this.track.left(life);
+		this.track.restoreDeparture(life);
 		changed(before, System.nanoTime());
 	}
 
@@ -115,11 +115,11 @@
 	}
 
 	private State state() {
-		return new State(this.track.life(), this.track.phase(), this.slots);
+		return new State(this.track.incarnation(), this.track.phase(), this.slots);
 	}
 
-	Optional<BackendLife> life() {
-		return this.track.life();
+	Optional<BackendIncarnation> incarnation() {
+		return this.track.incarnation();
 	}
 
 	BackendPhase phase() {
@@ -141,7 +141,7 @@
 	 * @return the time; zero if it is overdue, so that nobody knows
 	 */
 	Duration untilNextHeartbeat(long now) {
-		long left = this.heardNanos + this.backend.heartbeatEvery().toNanos() - now;
+		long left = this.heardNanos + this.backend.heartbeatInterval().toNanos() - now;
 		return Duration.ofNanos(Math.max(0, left));
 	}
 
@@ -150,27 +150,27 @@
 	}
 
 	// Takes that a connection to the server was tried.
-	void tried(boolean open) {
-		this.track.tried(open, System.nanoTime());
+	void onConnectionAttempt(boolean open) {
+		this.track.onConnectionAttempt(open, System.nanoTime());
 	}
 
-	boolean dead() {
-		return this.track.dead(System.nanoTime());
+	boolean isDead() {
+		return this.track.isDead(System.nanoTime());
 	}
 
 	// As far as this process knows: one that found the server leaving can't tell.
-	Optional<Duration> leavingFor(long now) {
+	Optional<Duration> drainingFor(long now) {
 		return this.track.seenReady() ? Optional.of(Duration.ofNanos(now - this.leavingSinceNanos)) : Optional.empty();
 	}
 
-	long silentNanos(long now) {
+	long nanosSinceHeartbeat(long now) {
 		return this.track.silentNanos(now);
 	}
 
 	/**
 	 * Says what a backend server is to hold.
 	 */
-	interface Grants {
+	interface GrantSource {
 
 		/**
 		 * Answers a heartbeat.
@@ -182,7 +182,7 @@
 
 	}
 
-	private record State(Optional<BackendLife> life, BackendPhase phase, int slots) {
+	private record State(Optional<BackendIncarnation> life, BackendPhase phase, int slots) {
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/ConfigHolder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/ConfigHolder.java
@@ -37,11 +37,11 @@
 		return this.inForce;
 	}
 
-	void take(MetadataStore.Rows rows, Origin origin) {
+	void apply(MetadataStore.Rows rows, Origin origin) {
 		rows.rows()
 			.stream()
 			.filter((each) -> each.key().equals(this.source.key()) && each.version() > rowVersion())
-			.forEach((each) -> each.value().ifPresent((value) -> take(each, value, origin)));
+			.forEach((each) -> each.value().ifPresent((value) -> apply(each, value, origin)));
 	}
 
 	long millisInForce() {
@@ -57,7 +57,7 @@
 		return this.row.map(MetadataStore.Row::version).orElse(0L);
 	}
 
-	private void take(MetadataStore.Row from, byte[] value, Origin origin) {
+	private void apply(MetadataStore.Row from, byte[] value, Origin origin) {
 		Either<Failure, RoutingConfig> read = this.source.read(value);
 		if (read.isLeft()) {
 			this.log.record(MeshEvent.CONFIG_UNREADABLE, "in_force", this.inForce.version(), "reason",
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/ControlPorts.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/ControlPorts.java
@@ -52,7 +52,7 @@
 		});
 	}
 
-	void metrics(MeshSettings.Listen listen, java.util.function.Supplier<String> text) throws IOException {
+	void metrics(MeshSettings.ListenAddresses listen, java.util.function.Supplier<String> text) throws IOException {
 		if (listen.metrics().isPresent()) {
 			listen(listen.metrics().get(), (request) -> HttpResponse.ok200().withPlainText(text.get()).toPromise());
 		}
@@ -72,7 +72,7 @@
 		if (message.isLeft()) {
 			return refuse(message.getLeft());
 		}
-		Either<Failure, Optional<GrantAnswer>> taken = registration.take(message.get());
+		Either<Failure, Optional<GrantAnswer>> taken = registration.receive(message.get());
 		if (taken.isLeft()) {
 			return refuse(taken.getLeft());
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Deputies.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/DeputySelector.java
@@ -18,7 +18,7 @@
  * Asks other instances of the service for promises, and says which of them this
  * instance's lease should name as deputy. Belongs to the thread of requests.
  */
-final class Deputies {
+final class DeputySelector {
 
 	/**
 	 * How often the deputy is asked. A lease has at most this and a round trip less than
@@ -54,7 +54,7 @@
 
 	private long askedNanos;
 
-	Deputies(MeshSettings settings, Directory directory, HopClient hops, OwnLease lease, LongSupplier clock) {
+	DeputySelector(MeshSettings settings, Directory directory, HopClient hops, OwnLease lease, LongSupplier clock) {
 		this.self = settings.instance();
 		this.settings = settings;
 		this.directory = directory;
@@ -70,7 +70,7 @@
 		}
 		this.askedNanos = now;
 		Optional<InstanceId> named = this.lease.deputy().map(Deputy::instance);
-		boolean enough = named.filter((instance) -> fit(instance, now)).isPresent();
+		boolean enough = named.filter((instance) -> isEligible(instance, now)).isPresent();
 		List<Member> candidates = candidates();
 		candidates.stream()
 			.filter((member) -> enough && named.get().equals(member.instance()))
@@ -98,14 +98,14 @@
 	}
 
 	private void ask(Member member, long askedAt) {
-		this.hops.askPromise(member, this.self, this.lease.rowVersion())
+		this.hops.requestPromise(member, this.self, this.lease.rowVersion())
 			.whenResult((answer) -> answer.ifPresent((said) -> {
 				Deputy deputy = new Deputy(member.instance(), said.process());
-				this.lease.heard(deputy, this.clock.getAsLong());
+				this.lease.onProcessSeen(deputy, this.clock.getAsLong());
 				if (said.promised()) {
-					this.lease.promised(deputy, askedAt);
+					this.lease.onPromise(deputy, askedAt);
 				}
-				if (said.promised() && said.able()) {
+				if (said.promised() && said.canTakeOver()) {
 					this.heard.put(member.instance(), new Heard(deputy, askedAt));
 				}
 				else {
@@ -115,18 +115,19 @@
 	}
 
 	// Tells the deputy that nothing is granted here any more.
-	void release() {
+	void releasePromise() {
 		this.lease.deputy()
 			.map(Deputy::instance)
 			.flatMap(this.directory::member)
-			.ifPresent((member) -> this.hops.tell(member, new HopMessage.PromiseReleased(this.self)));
+			.ifPresent((member) -> this.hops.sendOneWay(member, new HopMessage.PromiseRelease(this.self)));
 	}
 
 	// Whether an instance has promised lately and says that it can take keys.
-	boolean fit(InstanceId instance, long now) {
+	boolean isEligible(InstanceId instance, long now) {
 		Heard latest = this.heard.get(instance);
 		return latest != null && now - latest.askedNanos < FRESH_NANOS
-				&& this.lease.promisedNanos(latest.deputy, now) > 0 && !this.hops.avoided(instance, System.nanoTime());
+				&& this.lease.promiseRemainingNanos(latest.deputy, now) > 0
+				&& !this.hops.shouldAvoid(instance, System.nanoTime());
 	}
 
 	/**
@@ -134,27 +135,27 @@
 	 * @param now the time
 	 * @return empty if nobody answers
 	 */
-	Optional<Deputy> choice(long now) {
+	Optional<Deputy> select(long now) {
 		Optional<Deputy> named = this.lease.deputy();
 		if (named.isPresent() && stillFit(named.get(), now)) {
 			return named;
 		}
 		return candidates().stream()
 			.map(Member::instance)
-			.filter((instance) -> fit(instance, now))
+			.filter((instance) -> isEligible(instance, now))
 			.map(this.heard::get)
 			.flatMap((latest) -> Optional.ofNullable(latest).map(Heard::deputy).stream())
 			.findFirst();
 	}
 
 	// Whether the one that is named should be replaced at once.
-	boolean changeWanted(long now) {
+	boolean replacementNeeded(long now) {
 		return this.lease.deputy().filter((named) -> !stillFit(named, now)).isPresent();
 	}
 
 	private boolean stillFit(Deputy named, long now) {
 		Heard latest = this.heard.get(named.instance());
-		return fit(named.instance(), now) && latest != null && latest.deputy.equals(named);
+		return isEligible(named.instance(), now) && latest != null && latest.deputy.equals(named);
 	}
 
 	private record Heard(Deputy deputy, long askedNanos) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Directory.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Directory.java
@@ -15,7 +15,7 @@
 import org.brasspier.core.Failure;
 import org.brasspier.core.InstanceId;
 import org.brasspier.core.ServiceName;
-import org.brasspier.core.crash.CrashNotes;
+import org.brasspier.core.crash.CrashState;
 import org.brasspier.core.keys.KeyMap;
 import org.brasspier.daemon.mesh.MetadataStore;
 
@@ -32,7 +32,7 @@
 
 	private final Map<ServiceName, Entry<KeyMap>> keys = new HashMap<>();
 
-	private final Map<InstanceId, Entry<CrashNotes>> crashes = new HashMap<>();
+	private final Map<InstanceId, Entry<CrashState>> crashes = new HashMap<>();
 
 	private final Map<ServiceName, List<Member>> serving = new HashMap<>();
 
@@ -52,7 +52,7 @@
 	private Consumer<MetadataStore.Row> written = (row) -> {
 	};
 
-	private BiConsumer<InstanceId, CrashNotes> crashesTold = (instance, notes) -> {
+	private BiConsumer<InstanceId, CrashState> crashesTold = (instance, notes) -> {
 	};
 
 	private boolean known;
@@ -62,17 +62,17 @@
 	}
 
 	// Called after each change of who holds which keys.
-	void listen(Runnable listener) {
+	void addKeysListener(Runnable listener) {
 		this.listeners.add(listener);
 	}
 
 	// Called with what a row newly says of crashes.
-	void whenCrashesTold(BiConsumer<InstanceId, CrashNotes> listener) {
+	void addCrashListener(BiConsumer<InstanceId, CrashState> listener) {
 		this.crashesTold = listener;
 	}
 
 	// Called after this daemon has written a row.
-	void whenWritten(Consumer<MetadataStore.Row> listener) {
+	void addWriteListener(Consumer<MetadataStore.Row> listener) {
 		this.written = listener;
 	}
 
@@ -80,17 +80,17 @@
 	 * Takes a row over that this daemon has written.
 	 * @param row the row as it is now
 	 */
-	void written(MetadataStore.Row row) {
-		take(new MetadataStore.Rows(List.of(row), row.version()), false);
+	void onRowWritten(MetadataStore.Row row) {
+		apply(new MetadataStore.Rows(List.of(row), row.version()), false);
 		this.written.accept(row);
 	}
 
 	// Called after rows were taken over, wherever they came from.
-	void whenTaken(Runnable listener) {
+	void addRowsListener(Runnable listener) {
 		this.taken = listener;
 	}
 
-	void take(MetadataStore.Rows rows, boolean whole) {
+	void apply(MetadataStore.Rows rows, boolean whole) {
 		if (whole) {
 			List<String> there = rows.rows().stream().map(MetadataStore.Row::key).toList();
 			// A whole reading may have been overtaken by the feed, or be an old one that
@@ -101,12 +101,12 @@
 						&& !there.contains(StoredRows.MEMBER_PREFIX + member.getKey().value()));
 			membersChanged();
 		}
-		rows.rows().forEach(this::take);
+		rows.rows().forEach(this::apply);
 		this.known = true;
 		this.taken.run();
 	}
 
-	private void take(MetadataStore.Row row) {
+	private void apply(MetadataStore.Row row) {
 		if (row.key().startsWith(StoredRows.MEMBER_PREFIX)) {
 			takeMember(row, row.key().substring(StoredRows.MEMBER_PREFIX.length()));
 		}
@@ -137,7 +137,7 @@
 		this.members.put(member.instance(), new Entry<>(member, row));
 		membersChanged();
 		this.log.record(MeshEvent.MEMBER_CHANGED, "member", instance, "service", member.service(), "ready",
-				member.ready(), "life", member.life().map(String::valueOf).orElse(""), "version", row.version());
+				member.ready(), "life", member.incarnation().map(String::valueOf).orElse(""), "version", row.version());
 	}
 
 	private void takeKeys(MetadataStore.Row row, String service, byte[] value) {
@@ -156,10 +156,10 @@
 	}
 
 	private void takeCrashes(MetadataStore.Row row, InstanceId instance, byte[] value) {
-		if (crashNotesVersion(instance) >= row.version()) {
+		if (crashStateVersion(instance) >= row.version()) {
 			return;
 		}
-		Either<Failure, CrashNotes> read = StoredRows.crashes(value);
+		Either<Failure, CrashState> read = StoredRows.crashes(value);
 		if (read.isLeft()) {
 			this.log.record(MeshEvent.CRASHES_TOLD, "from", instance, "unreadable", read.getLeft().detail());
 			return;
@@ -170,16 +170,16 @@
 	}
 
 	// What the store has of an instance's crashes.
-	CrashNotes crashNotes(InstanceId instance) {
-		return Optional.ofNullable(this.crashes.get(instance)).map(Entry::value).orElse(CrashNotes.NONE);
+	CrashState crashState(InstanceId instance) {
+		return Optional.ofNullable(this.crashes.get(instance)).map(Entry::value).orElse(CrashState.EMPTY);
 	}
 
-	long crashNotesVersion(InstanceId instance) {
+	long crashStateVersion(InstanceId instance) {
 		return Optional.ofNullable(this.crashes.get(instance)).map(Entry::version).orElse(0L);
 	}
 
 	// The newest version among the rows that are known, asked for with each message.
-	long version() {
+	long newestVersion() {
 		return this.newestVersion;
 	}
 
@@ -201,7 +201,7 @@
 	}
 
 	// Whether the store was read at all since this process began.
-	boolean known() {
+	boolean isLoaded() {
 		return this.known;
 	}
 
@@ -252,7 +252,7 @@
 		this.reachable = this.members.values()
 			.stream()
 			.map(Entry::value)
-			.filter((member) -> !replaced(member.instance()))
+			.filter((member) -> !isReplaced(member.instance()))
 			.toList();
 	}
 
@@ -262,7 +262,7 @@
 	 * @param instance the instance
 	 * @return true if a later row names the same address
 	 */
-	boolean replaced(InstanceId instance) {
+	boolean isReplaced(InstanceId instance) {
 		index();
 		Entry<Member> own = this.members.get(instance);
 		return own != null && this.newestAt.getOrDefault(own.value().address(), 0L) > own.version();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Dispatcher.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Dispatcher.java
@@ -19,17 +19,17 @@
 import org.brasspier.core.choosing.BackendChooser;
 import org.brasspier.core.choosing.Candidate;
 import org.brasspier.core.choosing.Choice;
-import org.brasspier.core.choosing.SearchPace;
+import org.brasspier.core.choosing.SearchThrottle;
 import org.brasspier.core.choosing.SlotSearch;
 import org.brasspier.core.keys.KeyMap;
-import org.brasspier.core.mesh.AbsentInstances;
-import org.brasspier.core.mesh.OverdueRequests;
-import org.brasspier.core.mesh.ResendBudget;
-import org.brasspier.core.mesh.ResendRules;
-import org.brasspier.core.mesh.RetryPause;
+import org.brasspier.core.mesh.InstanceBackoff;
+import org.brasspier.core.mesh.OverdueRequestDetector;
+import org.brasspier.core.mesh.RequestRetryPolicy;
+import org.brasspier.core.mesh.RetryAfter;
 import org.brasspier.core.mesh.RouteRule;
 import org.brasspier.core.mesh.RoutingConfig;
 import org.brasspier.core.mesh.SendOutcome;
+import org.brasspier.core.mesh.ServiceRetryBudget;
 import org.brasspier.daemon.internal.request.Cancellation;
 import org.brasspier.daemon.mesh.MeshRequest;
 import org.brasspier.daemon.mesh.MeshSettings;
@@ -80,13 +80,13 @@
 
 	private final Map<ServiceName, BackendChooser> choosers = new HashMap<>();
 
-	private final Map<ServiceName, ResendBudget> budgets = new HashMap<>();
+	private final Map<ServiceName, ServiceRetryBudget> budgets = new HashMap<>();
 
-	private final Map<ServiceName, SearchPace> searchPaces = new HashMap<>();
+	private final Map<ServiceName, SearchThrottle> searchPaces = new HashMap<>();
 
-	private final AbsentInstances absences = new AbsentInstances();
+	private final InstanceBackoff absences = new InstanceBackoff();
 
-	private final OverdueRequests overdueRequests = new OverdueRequests();
+	private final OverdueRequestDetector overdueRequests = new OverdueRequestDetector();
 
 	private final SplittableRandom random = new SplittableRandom();
 
@@ -110,9 +110,9 @@
 	 */
 	Promise<SendOutcome> dispatch(MeshRequest request, RouteRule route, Cancellation cancellation) {
 		ServiceName service = service(route);
-		ResendBudget budget = this.budgets.computeIfAbsent(service, (key) -> budget());
-		budget.mostSaved(mostSaved());
-		budget.fresh();
+		ServiceRetryBudget budget = this.budgets.computeIfAbsent(service, (key) -> budget());
+		budget.setMostSaved(mostSaved());
+		budget.recordRequest();
 		return new Course(request, route, service, budget, cancellation).attempt();
 	}
 
@@ -137,15 +137,15 @@
 		return Math.max(1, (int) (this.settings.bounds().retries().slack() * BUDGET_SHARE / daemons));
 	}
 
-	private ResendBudget budget() {
-		return new ResendBudget(this.settings.bounds().retries().ratio() * BUDGET_SHARE, mostSaved());
+	private ServiceRetryBudget budget() {
+		return new ServiceRetryBudget(this.settings.bounds().retries().ratio() * BUDGET_SHARE, mostSaved());
 	}
 
 	private BackendChooser chooser(ServiceName service) {
 		int daemons = Math.max(1, this.directory.size());
 		BackendChooser chooser = this.choosers.computeIfAbsent(service,
 				(key) -> new BackendChooser(daemons, this.random.split()));
-		chooser.choosers(daemons);
+		chooser.daemonCount(daemons);
 		return chooser;
 	}
 
@@ -170,7 +170,7 @@
 
 		private final RequestClass requestClass;
 
-		private final ResendRules rules;
+		private final RequestRetryPolicy rules;
 
 		private final boolean overdue;
 
@@ -180,20 +180,20 @@
 
 		private final Set<InstanceId> tried = new HashSet<>();
 
-		private final SearchPace searchPace;
+		private final SearchThrottle searchPace;
 
 		private final SlotSearch search;
 
-		Course(MeshRequest request, RouteRule route, ServiceName service, ResendBudget budget,
+		Course(MeshRequest request, RouteRule route, ServiceName service, ServiceRetryBudget budget,
 				Cancellation cancellation) {
 			this.request = request;
 			this.route = route;
 			this.service = service;
 			this.requestClass = Dispatcher.this.config.get().requestClass(route, service);
-			this.rules = new ResendRules(route, budget);
-			this.searchPace = Dispatcher.this.searchPaces.computeIfAbsent(service, (key) -> new SearchPace());
-			this.search = new SlotSearch(byKey() || this.searchPace.searches());
-			this.overdue = Dispatcher.this.overdueRequests.overdue(route, request.remainingMillis());
+			this.rules = new RequestRetryPolicy(route, budget);
+			this.searchPace = Dispatcher.this.searchPaces.computeIfAbsent(service, (key) -> new SearchThrottle());
+			this.search = new SlotSearch(byKey() || this.searchPace.shouldSearch());
+			this.overdue = Dispatcher.this.overdueRequests.isOverdue(route, request.remainingMillis());
 			this.cancellation = cancellation;
 			long millis = Math.min(request.remainingMillis(), route.timeout().toMillis());
 			this.deadlineNanos = System.nanoTime() + millis * NANOS_PER_MILLI;
@@ -206,8 +206,8 @@
 				return Promise.of(new SendOutcome.NotRun(
 						Failure.of(ErrorKind.DEADLINE_PASSED, "the deadline passed before it was sent"), false));
 			}
-			if (Dispatcher.this.crashes.keepsAway(this.request)) {
-				return Promise.of(new SendOutcome.NotRun(BackendGate.keptAway(), false));
+			if (Dispatcher.this.crashes.isBlocked(this.request)) {
+				return Promise.of(new SendOutcome.NotRun(BackendGate.blockedFailure(), false));
 			}
 			if (byKey()) {
 				return holder(now).map((target) -> send(target, "KEY", remaining, now))
@@ -221,7 +221,7 @@
 
 		private boolean byKey() {
 			return this.request.key().isPresent()
-					&& Dispatcher.this.config.get().service(this.service).filter((rule) -> rule.byKey()).isPresent();
+					&& Dispatcher.this.config.get().service(this.service).filter((rule) -> rule.sharded()).isPresent();
 		}
 
 		private Optional<Member> holder(long now) {
@@ -237,7 +237,7 @@
 			if (candidates.isEmpty() || onlyOne || this.search.mayWait()) {
 				Optional<InstanceId> shortest = this.search.takeShortestWait();
 				if (shortest.isPresent()) {
-					chooser(this.service).chosen(shortest.get(), now);
+					chooser(this.service).onChosen(shortest.get(), now);
 					return shortest.map((instance) -> new Choice(instance, Choice.Reason.SHORTEST_WAIT));
 				}
 			}
@@ -251,8 +251,8 @@
 			List<Member> serving = Dispatcher.this.directory.serving(this.service);
 			List<Member> untried = serving.stream()
 				.filter((member) -> !this.tried.contains(member.instance()))
-				.filter((member) -> !Dispatcher.this.hops.avoided(member.instance(), now))
-				.filter((member) -> !Dispatcher.this.absences.avoided(member.instance(), now))
+				.filter((member) -> !Dispatcher.this.hops.shouldAvoid(member.instance(), now))
+				.filter((member) -> !Dispatcher.this.absences.shouldAvoid(member.instance(), now))
 				.toList();
 			return (untried.isEmpty() && this.tried.isEmpty()) ? serving : untried;
 		}
@@ -265,7 +265,7 @@
 		}
 
 		private SendOutcome nobody(int remaining) {
-			Duration pause = RetryPause.of(Duration.ZERO, Duration.ofMillis(remaining));
+			Duration pause = RetryAfter.of(Duration.ZERO, Duration.ofMillis(remaining));
 			return new SendOutcome.NotRun(new Failure(byKey() ? ErrorKind.NO_OWNER : ErrorKind.NO_BACKEND,
 					"no backend server of " + this.service + " can take it now", pause), false);
 		}
@@ -274,15 +274,15 @@
 			this.tried.add(target.instance());
 			Dispatcher.this.log.record(MeshEvent.REQUEST_SENT, "request", this.request.id(), "to", target.instance(),
 					"service", this.service, "reason", reason, "daemons",
-					byKey() ? 0 : chooser(this.service).choosers(), "left_ms", remaining);
+					byKey() ? 0 : chooser(this.service).daemonCount(), "left_ms", remaining);
 			HopRequest ask = new HopRequest(this.service, Dispatcher.this.settings.backend().service(),
 					this.requestClass, this.route.idempotent(), this.overdue, byKey() || this.search.mayWait(),
 					this.request)
-				.within(remaining);
+				.withRemainingMillis(remaining);
 			boolean here = target.instance().equals(Dispatcher.this.settings.instance());
 			Promise<SendOutcome> outcome = here ? Dispatcher.this.gate.run(ask, 0, this.cancellation)
 					: Dispatcher.this.hops.send(target, ask, this.cancellation);
-			return outcome.then((end) -> next(target, now, ask.mayWait(), end));
+			return outcome.then((end) -> next(target, now, ask.mayQueue(), end));
 		}
 
 		private Promise<SendOutcome> next(Member target, long sentNanos, boolean mightWait, SendOutcome end) {
@@ -290,7 +290,7 @@
 			long left = this.deadlineNanos - System.nanoTime();
 			boolean enoughTime = left > this.route.targetLatency().toNanos() / LEAST_TIME_DIVISOR
 					&& !this.cancellation.cancelled();
-			if (this.rules.again(end, enoughTime && another(target, end))) {
+			if (this.rules.shouldRetry(end, enoughTime && another(target, end))) {
 				Dispatcher.this.log.record(MeshEvent.REQUEST_RESENT, "request", this.request.id(), "after",
 						target.instance(), "outcome", describe(end), "left_ms", left / NANOS_PER_MILLI);
 				return attempt().map((later) -> better(end, later));
@@ -303,7 +303,7 @@
 		// must be left.
 		private boolean another(Member target, SendOutcome end) {
 			if (byKey()) {
-				boolean turnedAway = end instanceof SendOutcome.NotRun notRun && !notRun.reached();
+				boolean turnedAway = end instanceof SendOutcome.NotRun notRun && !notRun.reachedBackend();
 				return !turnedAway || holder(System.nanoTime()).filter((member) -> !member.equals(target)).isPresent();
 			}
 			return !untried(System.nanoTime()).isEmpty();
@@ -320,29 +320,29 @@
 			}
 			long now = System.nanoTime();
 			if (end instanceof SendOutcome.NotRun notRun && notRun.failure().kind() == ErrorKind.NO_BACKEND) {
-				Dispatcher.this.absences.absent(target.instance(), now);
+				Dispatcher.this.absences.recordFailure(target.instance(), now);
 			}
 			else {
-				Dispatcher.this.absences.present(target.instance());
+				Dispatcher.this.absences.recordSuccess(target.instance());
 			}
 			long took = now - sentNanos;
 			boolean failed = !(end instanceof SendOutcome.Answered answered)
 					|| answered.answer().status() >= ErrorKind.INTERNAL_ERROR.status();
 			if (this.cancellation.cancelled()) {
-				chooser(this.service).cancelled(target.instance());
+				chooser(this.service).onCancelled(target.instance());
 			}
 			else if (end instanceof SendOutcome.NotRun notRun && notRun.failure().kind() == ErrorKind.NO_FREE_SLOT) {
 				Duration wait = notRun.failure().retryAfter();
-				chooser(this.service).full(target.instance(), wait, now);
-				this.search.full(target.instance(), wait);
+				chooser(this.service).onFull(target.instance(), wait, now);
+				this.search.onFull(target.instance(), wait);
 				if (this.search.mayWait()) {
-					this.searchPace.foundNone();
+					this.searchPace.onNoSlotFound();
 				}
 			}
 			else {
-				chooser(this.service).ended(target.instance(), this.requestClass, took, failed);
+				chooser(this.service).onEnded(target.instance(), this.requestClass, took, failed);
 				if (!mightWait && reached(end)) {
-					this.searchPace.found();
+					this.searchPace.onSlotFound();
 				}
 			}
 		}
@@ -350,7 +350,7 @@
 		private static boolean reached(SendOutcome end) {
 			return switch (end) {
 				case SendOutcome.Answered ignored -> true;
-				case SendOutcome.NotRun notRun -> notRun.reached();
+				case SendOutcome.NotRun notRun -> notRun.reachedBackend();
 				case SendOutcome.Unknown ignored -> false;
 			};
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/GrantSender.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/GrantSender.java
@@ -6,10 +6,10 @@
 
 import io.activej.reactor.nio.NioReactor;
 import io.activej.reactor.schedule.ScheduledRunnable;
-import org.brasspier.core.keys.BackendLife;
-import org.brasspier.core.keys.GrantBook;
+import org.brasspier.core.keys.BackendIncarnation;
 import org.brasspier.core.keys.GrantCall;
-import org.brasspier.core.keys.GrantCalls;
+import org.brasspier.core.keys.GrantCallScheduler;
+import org.brasspier.core.keys.GrantTracker;
 import org.brasspier.core.keys.KeyHolding;
 import org.brasspier.core.keys.KeyMap;
 import org.brasspier.core.keys.KeySpan;
@@ -44,7 +44,7 @@
 
 	private final BackendRegistration registration;
 
-	private final GrantCalls calls;
+	private final GrantCallScheduler calls;
 
 	private final BackendPool grants;
 
@@ -55,12 +55,12 @@
 	private final Runnable ended;
 
 	GrantSender(NioReactor reactor, InetSocketAddress server, GrantProtocol protocol, BackendRegistration registration,
-			GrantBook book, LongSupplier clock, MeshLog log, Runnable ended) {
+			GrantTracker book, LongSupplier clock, MeshLog log, Runnable ended) {
 		this.reactor = reactor;
 		this.server = server;
 		this.protocol = protocol;
 		this.registration = registration;
-		this.calls = new GrantCalls(book);
+		this.calls = new GrantCallScheduler(book);
 		this.grants = new BackendPool(reactor, server, MAX_ANSWER_BYTES);
 		this.clock = clock;
 		this.log = log;
@@ -73,8 +73,8 @@
 	 * @param life the life of the backend server
 	 * @param leaseNanos how long this instance's lease goes on
 	 */
-	void step(KeyMap map, BackendLife life, long leaseNanos) {
-		this.calls.due(map, life, leaseNanos, this.clock.getAsLong()).forEach(this::send);
+	void sendDue(KeyMap map, BackendIncarnation life, long leaseNanos) {
+		this.calls.dueCalls(map, life, leaseNanos, this.clock.getAsLong()).forEach(this::send);
 	}
 
 	// Whether a holding needs a higher fence before its server accepts it.
@@ -83,8 +83,8 @@
 	}
 
 	// Whether nobody knows yet what came of a grant of some of these keys.
-	boolean granting(KeySpan span) {
-		return this.calls.granting(span);
+	boolean isGrantPending(KeySpan span) {
+		return this.calls.isGrantPending(span);
 	}
 
 	private void send(GrantCall call) {
@@ -114,7 +114,7 @@
 
 	private void take(GrantCall call, long sentNanos, BackendReply reply) {
 		long now = this.clock.getAsLong();
-		this.registration.tried(!(reply instanceof BackendReply.Closed));
+		this.registration.onConnectionAttempt(!(reply instanceof BackendReply.Closed));
 		switch (reply) {
 			case BackendReply.Whole(var answer) -> answered(call, sentNanos, this.protocol.reply(answer), now);
 			case BackendReply.NotSent ignored -> notSent(call, reply, now);
@@ -130,7 +130,7 @@
 			case GrantReply.Done(String handover) -> done(call, sentNanos, handover, now);
 			case GrantReply.Superseded ignored when call instanceof GrantCall.Grant grant -> {
 				logFailed(call, reply);
-				this.calls.superseded(grant, now);
+				this.calls.onSuperseded(grant, now);
 			}
 			case GrantReply.Superseded ignored -> unanswered(call, reply, now);
 			case GrantReply.Failed ignored -> unanswered(call, reply, now);
@@ -139,24 +139,24 @@
 
 	private void done(GrantCall call, long sentNanos, String handover, long now) {
 		switch (call) {
-			case GrantCall.Grant grant -> this.calls.granted(grant, sentNanos, now);
-			case GrantCall.Release release -> this.calls.released(release, handover);
+			case GrantCall.Grant grant -> this.calls.onGranted(grant, sentNanos, now);
+			case GrantCall.Release release -> this.calls.onReleased(release, handover);
 		}
 	}
 
 	private void notSent(GrantCall call, Object reply, long now) {
 		logFailed(call, reply);
-		this.calls.notSent(call, now);
+		this.calls.onNotSent(call, now);
 	}
 
 	private void unanswered(GrantCall call, Object reply, long now) {
 		logFailed(call, reply);
-		this.calls.unanswered(call, now);
+		this.calls.onUnanswered(call, now);
 	}
 
 	private void logFailed(GrantCall call, Object reply) {
 		this.log.record(MeshEvent.GRANT_FAILED, "call", call.getClass().getSimpleName(), "keys", call.span(), "fence",
-				call.fence(), "life", call.life(), "reply", reply);
+				call.fence(), "life", call.incarnation(), "reply", reply);
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopClient.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopClient.java
@@ -39,7 +39,7 @@
 	}
 
 	// Whether requests are better sent elsewhere just now.
-	boolean avoided(InstanceId instance, long now) {
+	boolean shouldAvoid(InstanceId instance, long now) {
 		Peer peer = this.peers.get(instance);
 		return peer != null && (peer.link.leaving() || unreachable(instance, now));
 	}
@@ -48,7 +48,7 @@
 	// now. A daemon that is leaving still serves what only it can.
 	boolean unreachable(InstanceId instance, long now) {
 		Peer peer = this.peers.get(instance);
-		return peer != null && (peer.lost || peer.link.suspect(now));
+		return peer != null && (peer.lost || peer.link.suspected(now));
 	}
 
 	Promise<SendOutcome> send(Member member, HopRequest ask, Cancellation cancellation) {
@@ -56,12 +56,12 @@
 		return peer.link.send(ask, cancellation).whenResult(() -> note(peer));
 	}
 
-	void tell(Member member, HopMessage message) {
-		peer(member).link.tell(message);
+	void sendOneWay(Member member, HopMessage message) {
+		peer(member).link.sendOneWay(message);
 	}
 
-	void tellCurrentBuild(Member member, HopMessage message) {
-		peer(member).link.tellCurrentBuild(message);
+	void sendToCurrentBuild(Member member, HopMessage message) {
+		peer(member).link.sendToCurrentBuild(message);
 	}
 
 	/**
@@ -71,9 +71,9 @@
 	 * @param rowVersion the version of its lease's row
 	 * @return its answer; empty if none came
 	 */
-	Promise<Optional<HopMessage.Promised>> askPromise(Member member, InstanceId holder, long rowVersion) {
+	Promise<Optional<HopMessage.PromiseResponse>> requestPromise(Member member, InstanceId holder, long rowVersion) {
 		Peer peer = peer(member);
-		return peer.link.askPromise(holder, rowVersion).whenResult(() -> note(peer));
+		return peer.link.requestPromise(holder, rowVersion).whenResult(() -> note(peer));
 	}
 
 	/**
@@ -82,9 +82,9 @@
 	 * @param oldest how old the answer may be
 	 * @return its answer; empty if none came
 	 */
-	Promise<Optional<HopMessage.LeasesTold>> askLeases(Member member, Duration oldest) {
+	Promise<Optional<HopMessage.LeasesResponse>> requestLeases(Member member, Duration oldest) {
 		Peer peer = peer(member);
-		return peer.link.askLeases(oldest).whenResult(() -> note(peer));
+		return peer.link.requestLeases(oldest).whenResult(() -> note(peer));
 	}
 
 	/**
@@ -94,8 +94,8 @@
 	 * @param receiver takes what it passes on
 	 * @return its first answer; empty if none came
 	 */
-	Promise<Optional<HopMessage.RowsPassed>> follow(Member member, HopMessage.RowsFollowed ask,
-			Consumer<HopMessage.RowsPassed> receiver) {
+	Promise<Optional<HopMessage.RowChanges>> follow(Member member, HopMessage.FollowRequest ask,
+			Consumer<HopMessage.RowChanges> receiver) {
 		Peer peer = peer(member);
 		return peer.link.follow(ask, receiver).whenResult(() -> note(peer));
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopCodec.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopCodec.java
@@ -11,9 +11,9 @@
 import org.brasspier.core.InstanceId;
 import org.brasspier.core.RequestClass;
 import org.brasspier.core.ServiceName;
-import org.brasspier.core.crash.CrashNotes;
 import org.brasspier.core.crash.CrashReport;
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.crash.CrashState;
+import org.brasspier.core.keys.BackendIncarnation;
 import org.brasspier.core.keys.HolderLoad;
 import org.brasspier.core.keys.KeyLoad;
 import org.brasspier.core.keys.KeySpan;
@@ -88,28 +88,28 @@
 	static byte[] encode(HopMessage message) {
 		FrameWriter frame = new FrameWriter();
 		switch (message) {
-			case HopMessage.Asked(long exchange, long sentNanos, HopRequest ask) ->
+			case HopMessage.ForwardedRequest(long exchange, long sentNanos, HopRequest ask) ->
 				ask(frame.number(ASKED).number(exchange).number(sentNanos), ask);
-			case HopMessage.Replied(long exchange, SendOutcome outcome) -> outcome(frame, exchange, outcome);
-			case HopMessage.Cancelled(long exchange) -> frame.number(CANCELLED).number(exchange);
-			case HopMessage.Load(HolderLoad load) -> load(frame.number(LOAD), load);
-			case HopMessage.PromiseAsked(long exchange, InstanceId holder, long rowVersion) ->
+			case HopMessage.ForwardedResponse(long exchange, SendOutcome outcome) -> outcome(frame, exchange, outcome);
+			case HopMessage.Cancel(long exchange) -> frame.number(CANCELLED).number(exchange);
+			case HopMessage.LoadReport(HolderLoad load) -> load(frame.number(LOAD), load);
+			case HopMessage.PromiseRequest(long exchange, InstanceId holder, long rowVersion) ->
 				frame.number(PROMISE_ASKED).number(exchange).text(holder.value()).number(rowVersion);
-			case HopMessage.Promised(long exchange, long process, boolean promised, boolean able) ->
+			case HopMessage.PromiseResponse(long exchange, long process, boolean promised, boolean able) ->
 				frame.number(PROMISED).number(exchange).number(process).flag(promised).flag(able);
-			case HopMessage.PromiseReleased(InstanceId holder) -> frame.number(PROMISE_RELEASED).text(holder.value());
-			case HopMessage.Known(KnownRows rows) -> known(frame.number(KNOWN), rows);
-			case HopMessage.RowsAsked(KnownRows rows) -> known(frame.number(ROWS_ASKED), rows);
-			case HopMessage.RowsTold told -> told(frame.number(ROWS_TOLD), told);
-			case HopMessage.RowsFollowed(KnownRows known, boolean reads) ->
+			case HopMessage.PromiseRelease(InstanceId holder) -> frame.number(PROMISE_RELEASED).text(holder.value());
+			case HopMessage.VersionsNotice(KnownRows rows) -> known(frame.number(KNOWN), rows);
+			case HopMessage.RowsRequest(KnownRows rows) -> known(frame.number(ROWS_ASKED), rows);
+			case HopMessage.RowsResponse told -> told(frame.number(ROWS_TOLD), told);
+			case HopMessage.FollowRequest(KnownRows known, boolean reads) ->
 				known(frame.number(ROWS_FOLLOWED), known).flag(reads);
-			case HopMessage.RowsPassed(KnownRows after, KnownRows upTo, boolean current, HopMessage.RowsTold rows) ->
+			case HopMessage.RowChanges(KnownRows after, KnownRows upTo, boolean current, HopMessage.RowsResponse rows) ->
 				told(known(known(frame.number(ROWS_PASSED), after), upTo).flag(current), rows);
-			case HopMessage.LeasesAsked(long exchange, int oldestMillis) ->
+			case HopMessage.LeasesRequest(long exchange, int oldestMillis) ->
 				frame.number(LEASES_ASKED).number(exchange).number(oldestMillis);
-			case HopMessage.LeasesTold(long exchange, var leases) ->
+			case HopMessage.LeasesResponse(long exchange, var leases) ->
 				rows(frame.number(LEASES_TOLD).number(exchange).flag(leases.isPresent()), leases.orElse(List.of()));
-			case HopMessage.CrashesTold(InstanceId from, CrashNotes notes) ->
+			case HopMessage.CrashUpdate(InstanceId from, CrashState notes) ->
 				crashes(frame.number(CRASHES_TOLD).text(from.value()), notes);
 			case HopMessage.Ping(boolean takesPieces) -> frame.number(PING).flag(takesPieces);
 			case HopMessage.Pong(boolean takesPieces) -> frame.number(PONG).flag(takesPieces);
@@ -142,7 +142,7 @@
 			.number(request.remainingMillis())
 			.number(request.key().orElse(NO_KEY));
 		headers(frame, request.headers());
-		frame.bytes(request.body()).flag(ask.mayWait());
+		frame.bytes(request.body()).flag(ask.mayQueue());
 	}
 
 	private static void headers(FrameWriter frame, List<HeaderField> headers) {
@@ -176,24 +176,24 @@
 
 	private static HopMessage decode(int type, FrameReader frame) throws WireException {
 		return switch (type) {
-			case ASKED -> new HopMessage.Asked(frame.number(), frame.number(), ask(frame));
-			case ANSWERED -> new HopMessage.Replied(frame.number(), answered(frame));
+			case ASKED -> new HopMessage.ForwardedRequest(frame.number(), frame.number(), ask(frame));
+			case ANSWERED -> new HopMessage.ForwardedResponse(frame.number(), answered(frame));
 			case NOT_RUN ->
-				new HopMessage.Replied(frame.number(), new SendOutcome.NotRun(failure(frame), frame.flag()));
-			case UNKNOWN -> new HopMessage.Replied(frame.number(), new SendOutcome.Unknown(failure(frame)));
-			case CANCELLED -> new HopMessage.Cancelled(frame.number());
-			case LOAD -> new HopMessage.Load(load(frame));
-			case PROMISE_ASKED -> new HopMessage.PromiseAsked(frame.number(), instance(frame), frame.number());
-			case PROMISED -> new HopMessage.Promised(frame.number(), frame.number(), frame.flag(), frame.flag());
-			case PROMISE_RELEASED -> new HopMessage.PromiseReleased(instance(frame));
-			case KNOWN -> new HopMessage.Known(known(frame));
-			case ROWS_ASKED -> new HopMessage.RowsAsked(known(frame));
+				new HopMessage.ForwardedResponse(frame.number(), new SendOutcome.NotRun(failure(frame), frame.flag()));
+			case UNKNOWN -> new HopMessage.ForwardedResponse(frame.number(), new SendOutcome.Unknown(failure(frame)));
+			case CANCELLED -> new HopMessage.Cancel(frame.number());
+			case LOAD -> new HopMessage.LoadReport(load(frame));
+			case PROMISE_ASKED -> new HopMessage.PromiseRequest(frame.number(), instance(frame), frame.number());
+			case PROMISED -> new HopMessage.PromiseResponse(frame.number(), frame.number(), frame.flag(), frame.flag());
+			case PROMISE_RELEASED -> new HopMessage.PromiseRelease(instance(frame));
+			case KNOWN -> new HopMessage.VersionsNotice(known(frame));
+			case ROWS_ASKED -> new HopMessage.RowsRequest(known(frame));
 			case ROWS_TOLD -> told(frame);
-			case ROWS_FOLLOWED -> new HopMessage.RowsFollowed(known(frame), frame.flag());
-			case ROWS_PASSED -> new HopMessage.RowsPassed(known(frame), known(frame), frame.flag(), told(frame));
-			case LEASES_ASKED -> new HopMessage.LeasesAsked(frame.number(), frame.small());
+			case ROWS_FOLLOWED -> new HopMessage.FollowRequest(known(frame), frame.flag());
+			case ROWS_PASSED -> new HopMessage.RowChanges(known(frame), known(frame), frame.flag(), told(frame));
+			case LEASES_ASKED -> new HopMessage.LeasesRequest(frame.number(), frame.small());
 			case LEASES_TOLD -> leasesTold(frame);
-			case CRASHES_TOLD -> new HopMessage.CrashesTold(instance(frame), crashes(frame));
+			case CRASHES_TOLD -> new HopMessage.CrashUpdate(instance(frame), crashes(frame));
 			case PING -> new HopMessage.Ping(takesPieces(frame));
 			case PONG -> new HopMessage.Pong(takesPieces(frame));
 			case LEAVING -> new HopMessage.Leaving();
@@ -215,12 +215,12 @@
 		return new KnownRows(frame.number(), frame.number());
 	}
 
-	private static FrameWriter told(FrameWriter frame, HopMessage.RowsTold told) {
+	private static FrameWriter told(FrameWriter frame, HopMessage.RowsResponse told) {
 		return rows(rows(frame, told.config()), told.mesh());
 	}
 
-	private static HopMessage.RowsTold told(FrameReader frame) throws WireException {
-		return new HopMessage.RowsTold(frame.list(HopCodec::row), frame.list(HopCodec::row));
+	private static HopMessage.RowsResponse told(FrameReader frame) throws WireException {
+		return new HopMessage.RowsResponse(frame.list(HopCodec::row), frame.list(HopCodec::row));
 	}
 
 	private static FrameWriter rows(FrameWriter frame, List<MetadataStore.Row> rows) {
@@ -232,11 +232,11 @@
 		return frame;
 	}
 
-	private static HopMessage.LeasesTold leasesTold(FrameReader frame) throws WireException {
+	private static HopMessage.LeasesResponse leasesTold(FrameReader frame) throws WireException {
 		long exchange = frame.number();
 		boolean answered = frame.flag();
 		List<MetadataStore.Row> rows = frame.list(HopCodec::row);
-		return new HopMessage.LeasesTold(exchange, answered ? Optional.of(rows) : Optional.empty());
+		return new HopMessage.LeasesResponse(exchange, answered ? Optional.of(rows) : Optional.empty());
 	}
 
 	private static MetadataStore.Row row(FrameReader frame) throws WireException {
@@ -256,10 +256,10 @@
 		}
 	}
 
-	private static void crashes(FrameWriter frame, CrashNotes notes) {
+	private static void crashes(FrameWriter frame, CrashState notes) {
 		frame.count(notes.reports().size());
 		notes.reports().forEach((report) -> {
-			frame.text(report.life().id()).number(report.life().bornMillis());
+			frame.text(report.incarnation().id()).number(report.incarnation().startedMillis());
 			numbers(frame, report.requests());
 		});
 		numbers(frame, notes.cleared());
@@ -270,11 +270,11 @@
 		numbers.forEach(frame::number);
 	}
 
-	private static CrashNotes crashes(FrameReader frame) throws WireException {
+	private static CrashState crashes(FrameReader frame) throws WireException {
 		try {
 			List<CrashReport> reports = frame
-				.list((each) -> new CrashReport(new BackendLife(each.text(), each.number()), numbers(each)));
-			return new CrashNotes(reports, numbers(frame));
+				.list((each) -> new CrashReport(new BackendIncarnation(each.text(), each.number()), numbers(each)));
+			return new CrashState(reports, numbers(frame));
 		}
 		catch (IllegalArgumentException ex) {
 			throw new WireException("what another daemon tells of crashes makes no sense", ex);
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopLink.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopLink.java
@@ -49,7 +49,7 @@
 	private static final MemSize SEND_BUFFER = MemSize.kilobytes(64);
 
 	/** Of connections between daemons, at both ends. */
-	static final SocketSettings SOCKETS = SocketSettings.builder()
+	static final SocketSettings SOCKET_SETTINGS = SocketSettings.builder()
 		.withTcpNoDelay(true)
 		.withSendBufferSize(SEND_BUFFER)
 		.build();
@@ -64,7 +64,7 @@
 	/**
 	 * Three pings and the pause that a processor share of a tenth of a second allows.
 	 */
-	private static final long SILENCE_NANOS = LinkDelay.GIVEN_UP_AFTER.toNanos();
+	private static final long SILENCE_NANOS = LinkDelay.SILENCE_TIMEOUT.toNanos();
 
 	/**
 	 * Silent for so long, a link gets nothing new: two pings went unanswered. A lost
@@ -89,15 +89,15 @@
 
 	private final Map<Long, SettablePromise<SendOutcome>> waiting = new HashMap<>();
 
-	private final Awaited<HopMessage.Promised> promises = new Awaited<>();
+	private final PendingAnswers<HopMessage.PromiseResponse> promises = new PendingAnswers<>();
 
-	private final Awaited<HopMessage.LeasesTold> leases = new Awaited<>();
+	private final PendingAnswers<HopMessage.LeasesResponse> leases = new PendingAnswers<>();
 
 	private final List<SettablePromise<Boolean>> probes = new ArrayList<>();
 
-	private final List<SettablePromise<Optional<HopMessage.RowsPassed>>> follows = new ArrayList<>();
+	private final List<SettablePromise<Optional<HopMessage.RowChanges>>> follows = new ArrayList<>();
 
-	private Consumer<HopMessage.RowsPassed> follower = (passed) -> {
+	private Consumer<HopMessage.RowChanges> follower = (passed) -> {
 	};
 
 	private Optional<PeerConnection> open = Optional.empty();
@@ -123,13 +123,13 @@
 	HopLink(NioReactor reactor, InetSocketAddress address, SharedRows rows) {
 		this.reactor = reactor;
 		this.rows = rows;
-		this.connection = TcpSocket.connect(reactor, address, CONNECT_TIMEOUT, SOCKETS).map((socket) -> {
+		this.connection = TcpSocket.connect(reactor, address, CONNECT_TIMEOUT, SOCKET_SETTINGS).map((socket) -> {
 			this.openedNanos = System.nanoTime();
 			PeerConnection opened = PeerConnection.unproven(socket, MAX_FRAME_BYTES, this::receive);
 			opened.closed().whenResult(this::lost);
 			this.open = Optional.of(opened);
 			HopSender opening = new HopSender(opened, HopCodec::encodeCompressed);
-			opening.expectWord();
+			opening.holdLargeMessages();
 			opening.send(new HopMessage.Ping());
 			this.sender = Optional.of(opening);
 			return opening;
@@ -148,7 +148,7 @@
 	}
 
 	// Whether something waits and nothing has come for a while.
-	boolean suspect(long now) {
+	boolean suspected(long now) {
 		return anybodyWaits() && silentNanos(now) >= SUSPECT_NANOS;
 	}
 
@@ -174,22 +174,22 @@
 				outcome.set(notSent(ErrorKind.DEADLINE_PASSED, "the deadline passed before it was sent"));
 			}
 			else {
-				send(ready, ask.within(left), cancellation, outcome);
+				send(ready, ask.withRemainingMillis(left), cancellation, outcome);
 			}
 		});
 		return outcome;
 	}
 
 	// Sends what needs no answer; lost if the other daemon can't be reached.
-	void tell(HopMessage message) {
+	void sendOneWay(HopMessage message) {
 		this.connection.whenResult((ready) -> ready.send(message));
 	}
 
 	// Sends what daemons of an earlier build can't read, to others only.
-	void tellCurrentBuild(HopMessage message) {
+	void sendToCurrentBuild(HopMessage message) {
 		this.currentBuild.whenResult((current) -> {
 			if (current) {
-				tell(message);
+				sendOneWay(message);
 			}
 		});
 	}
@@ -200,8 +200,8 @@
 	 * @param rowVersion the version of its lease's row
 	 * @return its answer; empty if none came
 	 */
-	Promise<Optional<HopMessage.Promised>> askPromise(InstanceId holder, long rowVersion) {
-		return ask(this.promises, (exchange) -> new HopMessage.PromiseAsked(exchange, holder, rowVersion));
+	Promise<Optional<HopMessage.PromiseResponse>> requestPromise(InstanceId holder, long rowVersion) {
+		return ask(this.promises, (exchange) -> new HopMessage.PromiseRequest(exchange, holder, rowVersion));
 	}
 
 	/**
@@ -209,17 +209,17 @@
 	 * @param oldest how old the answer may be
 	 * @return its answer; empty if none came
 	 */
-	Promise<Optional<HopMessage.LeasesTold>> askLeases(Duration oldest) {
-		return ask(this.leases, (exchange) -> new HopMessage.LeasesAsked(exchange, (int) oldest.toMillis()));
+	Promise<Optional<HopMessage.LeasesResponse>> requestLeases(Duration oldest) {
+		return ask(this.leases, (exchange) -> new HopMessage.LeasesRequest(exchange, (int) oldest.toMillis()));
 	}
 
-	private <T> Promise<Optional<T>> ask(Awaited<T> answers, LongFunction<HopMessage> question) {
+	private <T> Promise<Optional<T>> ask(PendingAnswers<T> answers, LongFunction<HopMessage> question) {
 		return this.connection.then((ready, ex) -> {
 			if (ex != null || this.closed) {
 				return Promise.of(Optional.empty());
 			}
 			long exchange = begin();
-			Promise<Optional<T>> answer = answers.begin(exchange);
+			Promise<Optional<T>> answer = answers.register(exchange);
 			ready.send(question.apply(exchange));
 			keepPinging();
 			return answer;
@@ -232,9 +232,9 @@
 	 * @param receiver takes what it passes on
 	 * @return its first answer; empty if none came
 	 */
-	Promise<Optional<HopMessage.RowsPassed>> follow(HopMessage.RowsFollowed ask,
-			Consumer<HopMessage.RowsPassed> receiver) {
-		SettablePromise<Optional<HopMessage.RowsPassed>> answer = new SettablePromise<>();
+	Promise<Optional<HopMessage.RowChanges>> follow(HopMessage.FollowRequest ask,
+			Consumer<HopMessage.RowChanges> receiver) {
+		SettablePromise<Optional<HopMessage.RowChanges>> answer = new SettablePromise<>();
 		this.connection.whenComplete((ready, ex) -> {
 			if (ex != null || this.closed) {
 				answer.set(Optional.empty());
@@ -251,13 +251,13 @@
 		return answer;
 	}
 
-	private void passed(HopMessage.RowsPassed passed) {
+	private void passed(HopMessage.RowChanges passed) {
 		this.follower.accept(passed);
 		endFollows(Optional.of(passed));
 	}
 
-	private void endFollows(Optional<HopMessage.RowsPassed> answer) {
-		List<SettablePromise<Optional<HopMessage.RowsPassed>>> ended = List.copyOf(this.follows);
+	private void endFollows(Optional<HopMessage.RowChanges> answer) {
+		List<SettablePromise<Optional<HopMessage.RowChanges>>> ended = List.copyOf(this.follows);
 		this.follows.clear();
 		ended.forEach((follow) -> follow.set(answer));
 	}
@@ -308,14 +308,14 @@
 			SettablePromise<SendOutcome> outcome) {
 		long exchange = begin();
 		this.waiting.put(exchange, outcome);
-		ready.send(new HopMessage.Asked(exchange, System.nanoTime() - this.openedNanos, ask));
+		ready.send(new HopMessage.ForwardedRequest(exchange, System.nanoTime() - this.openedNanos, ask));
 		ScheduledRunnable timeout = this.reactor.delay(ask.request().remainingMillis() + 1L,
 				() -> settle(exchange, new SendOutcome.Unknown(
 						Failure.of(ErrorKind.TIMED_OUT, "the deadline passed while another daemon had the request"))));
 		outcome.whenResult(timeout::cancel);
 		cancellation.whenCancelled(() -> {
 			if (this.waiting.containsKey(exchange)) {
-				ready.send(new HopMessage.Cancelled(exchange));
+				ready.send(new HopMessage.Cancel(exchange));
 			}
 		});
 		keepPinging();
@@ -356,41 +356,41 @@
 	private void receive(FrameReader frame) throws WireException {
 		endProbes(true);
 		switch (HopCodec.decode(frame)) {
-			case HopMessage.Replied(long exchange, SendOutcome outcome) -> settle(exchange, outcome);
-			case HopMessage.Promised promised -> this.promises.settle(promised.exchange(), promised);
-			case HopMessage.LeasesTold told -> this.leases.settle(told.exchange(), told);
-			case HopMessage.Known(KnownRows known) -> compare(known);
-			case HopMessage.RowsTold told -> this.rows.take(told);
-			case HopMessage.RowsPassed passed -> passed(passed);
+			case HopMessage.ForwardedResponse(long exchange, SendOutcome outcome) -> settle(exchange, outcome);
+			case HopMessage.PromiseResponse promised -> this.promises.complete(promised.exchange(), promised);
+			case HopMessage.LeasesResponse told -> this.leases.complete(told.exchange(), told);
+			case HopMessage.VersionsNotice(KnownRows known) -> compare(known);
+			case HopMessage.RowsResponse told -> this.rows.applyAndLog(told);
+			case HopMessage.RowChanges passed -> passed(passed);
 			case HopMessage.Leaving ignored -> this.leaving = true;
 			case HopMessage.Stopping ignored -> this.stopping = true;
 			case HopMessage.Pong(boolean takes) -> {
-				this.sender.ifPresent((ready) -> ready.peerTakesPieces(takes));
+				this.sender.ifPresent((ready) -> ready.peerAcceptsPieces(takes));
 				this.currentBuild.trySet(takes);
 			}
-			case HopMessage.Asked ignored -> throw wrongSide();
-			case HopMessage.Cancelled ignored -> throw wrongSide();
+			case HopMessage.ForwardedRequest ignored -> throw wrongSide();
+			case HopMessage.Cancel ignored -> throw wrongSide();
 			case HopMessage.Ping ignored -> throw wrongSide();
-			case HopMessage.CrashesTold ignored -> throw wrongSide();
-			case HopMessage.Load ignored -> throw wrongSide();
-			case HopMessage.RowsAsked(KnownRows known) -> tell(this.rows.lacking(known));
-			case HopMessage.RowsFollowed ignored -> throw wrongSide();
-			case HopMessage.LeasesAsked ignored -> throw wrongSide();
-			case HopMessage.PromiseAsked ignored -> throw wrongSide();
-			case HopMessage.PromiseReleased ignored -> throw wrongSide();
+			case HopMessage.CrashUpdate ignored -> throw wrongSide();
+			case HopMessage.LoadReport ignored -> throw wrongSide();
+			case HopMessage.RowsRequest(KnownRows known) -> sendOneWay(this.rows.missingRows(known));
+			case HopMessage.FollowRequest ignored -> throw wrongSide();
+			case HopMessage.LeasesRequest ignored -> throw wrongSide();
+			case HopMessage.PromiseRequest ignored -> throw wrongSide();
+			case HopMessage.PromiseRelease ignored -> throw wrongSide();
 		}
 	}
 
 	private void compare(KnownRows known) {
 		long now = System.nanoTime();
-		RowExchange.Step step = this.differences.noticed(this.rows.known(), known, now);
-		if (step.tell()) {
+		RowExchange.Action step = this.differences.compare(this.rows.knownVersions(), known, now);
+		if (step.send()) {
 			// It asks one of those who know more; a daemon of an earlier build can't ask.
-			boolean asks = this.sender.filter(HopSender::peerTakesPieces).isPresent();
-			tell(asks ? new HopMessage.Known(this.rows.known()) : this.rows.lacking(known));
+			boolean asks = this.sender.filter(HopSender::peerAcceptsPieces).isPresent();
+			sendOneWay(asks ? new HopMessage.VersionsNotice(this.rows.knownVersions()) : this.rows.missingRows(known));
 		}
-		if (step.ask() && this.rows.mayAsk(now)) {
-			tell(new HopMessage.RowsAsked(this.rows.known()));
+		if (step.request() && this.rows.tryRequestRows(now)) {
+			sendOneWay(new HopMessage.RowsRequest(this.rows.knownVersions()));
 		}
 	}
 
@@ -410,8 +410,8 @@
 		this.closed = true;
 		endProbes(false);
 		endFollows(Optional.empty());
-		this.promises.lost();
-		this.leases.lost();
+		this.promises.onConnectionLost();
+		this.leases.onConnectionLost();
 		SendOutcome outcome = new SendOutcome.Unknown(Failure.of(ErrorKind.OUTCOME_UNKNOWN,
 				"the connection to the other daemon broke: " + reason.getMessage()));
 		List<SettablePromise<SendOutcome>> all = List.copyOf(this.waiting.values());
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopMessage.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopMessage.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import org.brasspier.core.InstanceId;
-import org.brasspier.core.crash.CrashNotes;
+import org.brasspier.core.crash.CrashState;
 import org.brasspier.core.keys.HolderLoad;
 import org.brasspier.core.mesh.KnownRows;
 import org.brasspier.core.mesh.SendOutcome;
@@ -21,9 +21,9 @@
 	 * @param exchange the number under which it is answered
 	 * @param sentNanos when it was written, from the beginning of the connection at its
 	 * sender
-	 * @param ask the request
+	 * @param request the request
 	 */
-	record Asked(long exchange, long sentNanos, HopRequest ask) implements HopMessage {
+	record ForwardedRequest(long exchange, long sentNanos, HopRequest request) implements HopMessage {
 	}
 
 	/**
@@ -32,7 +32,7 @@
 	 * @param exchange the number
 	 * @param outcome the outcome
 	 */
-	record Replied(long exchange, SendOutcome outcome) implements HopMessage {
+	record ForwardedResponse(long exchange, SendOutcome outcome) implements HopMessage {
 	}
 
 	/**
@@ -40,7 +40,7 @@
 	 *
 	 * @param exchange the number
 	 */
-	record Cancelled(long exchange) implements HopMessage {
+	record Cancel(long exchange) implements HopMessage {
 	}
 
 	/**
@@ -48,7 +48,7 @@
 	 *
 	 * @param load the load
 	 */
-	record Load(HolderLoad load) implements HopMessage {
+	record LoadReport(HolderLoad load) implements HopMessage {
 	}
 
 	/**
@@ -58,7 +58,7 @@
 	 * @param holder the holder
 	 * @param rowVersion the version of its lease's row, as it knows it
 	 */
-	record PromiseAsked(long exchange, InstanceId holder, long rowVersion) implements HopMessage {
+	record PromiseRequest(long exchange, InstanceId holder, long rowVersion) implements HopMessage {
 	}
 
 	/**
@@ -67,9 +67,9 @@
 	 * @param exchange the number
 	 * @param process which process of the instance answers
 	 * @param promised whether it leaves them alone
-	 * @param able whether it could take them if its promise ended
+	 * @param canTakeOver whether it could take them if its promise ended
 	 */
-	record Promised(long exchange, long process, boolean promised, boolean able) implements HopMessage {
+	record PromiseResponse(long exchange, long process, boolean promised, boolean canTakeOver) implements HopMessage {
 	}
 
 	/**
@@ -77,23 +77,23 @@
 	 *
 	 * @param holder the holder
 	 */
-	record PromiseReleased(InstanceId holder) implements HopMessage {
+	record PromiseRelease(InstanceId holder) implements HopMessage {
 	}
 
 	/**
 	 * How much the sender knows of the store's rows.
 	 *
-	 * @param rows the newest versions
+	 * @param versions the newest versions
 	 */
-	record Known(KnownRows rows) implements HopMessage {
+	record VersionsNotice(KnownRows versions) implements HopMessage {
 	}
 
 	/**
 	 * The sender wants what it doesn't know.
 	 *
-	 * @param rows what it knows
+	 * @param versions what it knows
 	 */
-	record RowsAsked(KnownRows rows) implements HopMessage {
+	record RowsRequest(KnownRows versions) implements HopMessage {
 	}
 
 	/**
@@ -102,7 +102,7 @@
 	 * @param config the configuration's row, or none
 	 * @param mesh rows of instances and of maps of keys
 	 */
-	record RowsTold(List<MetadataStore.Row> config, List<MetadataStore.Row> mesh) implements HopMessage {
+	record RowsResponse(List<MetadataStore.Row> config, List<MetadataStore.Row> mesh) implements HopMessage {
 
 		/**
 		 * Whether there is nothing to tell.
@@ -118,9 +118,9 @@
 	 * The sender wants to be told what the store tells the receiver.
 	 *
 	 * @param known up to which versions it knows all changes
-	 * @param reads whether it follows the store as well
+	 * @param readsStore whether it follows the store as well
 	 */
-	record RowsFollowed(KnownRows known, boolean reads) implements HopMessage {
+	record FollowRequest(KnownRows known, boolean readsStore) implements HopMessage {
 	}
 
 	/**
@@ -128,17 +128,18 @@
 	 *
 	 * @param after the versions from which on all changes are here
 	 * @param upTo the versions up to which they are
-	 * @param current whether the store answers the sender
+	 * @param storeReachable whether the store answers the sender
 	 * @param rows the rows that have changed
 	 */
-	record RowsPassed(KnownRows after, KnownRows upTo, boolean current, RowsTold rows) implements HopMessage {
+	record RowChanges(KnownRows after, KnownRows upTo, boolean storeReachable,
+			RowsResponse rows) implements HopMessage {
 
 		/**
 		 * The same for a receiver that is to hear no more than whether the store answers.
 		 * @return a message that says nothing of any change
 		 */
-		RowsPassed withoutRows() {
-			return new RowsPassed(this.after, this.after, this.current, new RowsTold(List.of(), List.of()));
+		RowChanges withoutRows() {
+			return new RowChanges(this.after, this.after, this.storeReachable, new RowsResponse(List.of(), List.of()));
 		}
 
 	}
@@ -147,9 +148,9 @@
 	 * The sender wants to know what the store shows of the leases.
 	 *
 	 * @param exchange the number under which it is answered
-	 * @param oldestMillis how old the answer may be, in milliseconds
+	 * @param maxAgeMillis how old the answer may be, in milliseconds
 	 */
-	record LeasesAsked(long exchange, int oldestMillis) implements HopMessage {
+	record LeasesRequest(long exchange, int maxAgeMillis) implements HopMessage {
 	}
 
 	/**
@@ -158,7 +159,7 @@
 	 * @param exchange the number
 	 * @param rows the leases' rows; empty if the store did not answer
 	 */
-	record LeasesTold(long exchange, Optional<List<MetadataStore.Row>> rows) implements HopMessage {
+	record LeasesResponse(long exchange, Optional<List<MetadataStore.Row>> rows) implements HopMessage {
 	}
 
 	/**
@@ -167,16 +168,16 @@
 	 * @param from the instance
 	 * @param notes what it knows
 	 */
-	record CrashesTold(InstanceId from, CrashNotes notes) implements HopMessage {
+	record CrashUpdate(InstanceId from, CrashState notes) implements HopMessage {
 	}
 
 	/**
 	 * Asks whether the receiver still hears.
 	 *
-	 * @param takesPieces whether the sender takes large messages in pieces and compressed
-	 * ones; daemons of an earlier build don't
+	 * @param acceptsPieces whether the sender takes large messages in pieces and
+	 * compressed ones; daemons of an earlier build don't
 	 */
-	record Ping(boolean takesPieces) implements HopMessage {
+	record Ping(boolean acceptsPieces) implements HopMessage {
 
 		Ping() {
 			this(true);
@@ -187,10 +188,10 @@
 	/**
 	 * It does.
 	 *
-	 * @param takesPieces whether the sender takes large messages in pieces and compressed
-	 * ones; daemons of an earlier build don't
+	 * @param acceptsPieces whether the sender takes large messages in pieces and
+	 * compressed ones; daemons of an earlier build don't
 	 */
-	record Pong(boolean takesPieces) implements HopMessage {
+	record Pong(boolean acceptsPieces) implements HopMessage {
 
 		Pong() {
 			this(true);
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopRequest.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopRequest.java
@@ -12,15 +12,15 @@
  * @param requestClass how it is queued
  * @param idempotent whether it may run more than once
  * @param overdue whether it can't be answered within its target any more
- * @param mayWait whether it may wait for a slot; else it is turned away if none is free
+ * @param mayQueue whether it may wait for a slot; else it is turned away if none is free
  * @param request the request, with the time that is left
  */
 record HopRequest(ServiceName service, ServiceName caller, RequestClass requestClass, boolean idempotent,
-		boolean overdue, boolean mayWait, MeshRequest request) {
+		boolean overdue, boolean mayQueue, MeshRequest request) {
 
-	HopRequest within(int millis) {
-		return new HopRequest(this.service, this.caller, this.requestClass, this.idempotent, this.overdue, this.mayWait,
-				this.request.within(millis));
+	HopRequest withRemainingMillis(int millis) {
+		return new HopRequest(this.service, this.caller, this.requestClass, this.idempotent, this.overdue,
+				this.mayQueue, this.request.withRemainingMillis(millis));
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopSender.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopSender.java
@@ -30,7 +30,7 @@
 	/**
 	 * Holds large messages back until it is known how the other daemon takes them.
 	 */
-	void expectWord() {
+	void holdLargeMessages() {
 		this.connection.largeFrames(PeerConnection.LargeFrames.WAIT);
 	}
 
@@ -38,21 +38,21 @@
 	 * Takes that the other daemon has said how it takes large messages.
 	 * @param takes whether in pieces and compressed
 	 */
-	void peerTakesPieces(boolean takes) {
+	void peerAcceptsPieces(boolean takes) {
 		this.takesPieces = takes;
 		this.connection.largeFrames(takes ? PeerConnection.LargeFrames.IN_PIECES : PeerConnection.LargeFrames.WHOLE);
 	}
 
-	boolean peerTakesPieces() {
+	boolean peerAcceptsPieces() {
 		return this.takesPieces;
 	}
 
 	void send(HopMessage message) {
 		switch (message) {
-			case HopMessage.RowsTold rows when !rows.isEmpty() -> sendRows(rows);
-			case HopMessage.RowsPassed rows -> sendRows(rows);
+			case HopMessage.RowsResponse rows when !rows.isEmpty() -> sendRows(rows);
+			case HopMessage.RowChanges rows -> sendRows(rows);
 			// What is taken back must not overtake the large request that it takes back.
-			case HopMessage.Cancelled cancelled -> this.connection.sendInOrder(HopCodec.encode(cancelled));
+			case HopMessage.Cancel cancelled -> this.connection.sendInOrder(HopCodec.encode(cancelled));
 			default -> this.connection.send(HopCodec.encode(message));
 		}
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopServer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopServer.java
@@ -51,7 +51,7 @@
 
 	private final MeshLog log;
 
-	private final RowFrames rowFrames = new RowFrames();
+	private final RowFrameCache rowFrames = new RowFrameCache();
 
 	private final Set<Exchanges> connections = new HashSet<>();
 
@@ -63,7 +63,7 @@
 			RowFollowers followers, BackendCrashes crashes, MeshLog log) {
 		this.server = SimpleServer.builder(reactor, this::accept)
 			.withListenAddress(address)
-			.withSocketSettings(HopLink.SOCKETS)
+			.withSocketSettings(HopLink.SOCKET_SETTINGS)
 			.build();
 		this.gate = gate;
 		this.keys = keys;
@@ -129,7 +129,7 @@
 		// Whoever asked is gone, or can't be reached any more: nobody waits for answers.
 		private void closed(Exception reason) {
 			HopServer.this.connections.remove(this);
-			HopServer.this.followers.gone(this);
+			HopServer.this.followers.remove(this);
 			if (reason instanceof WireException && !PeerConnection.closedByPeer(reason) && !HopServer.this.leaving) {
 				HopServer.this.log.record(MeshEvent.BAD_PEER_INPUT, "reason", String.valueOf(reason.getMessage()));
 			}
@@ -142,7 +142,7 @@
 		}
 
 		@Override
-		public boolean busy() {
+		public boolean hasUnsentData() {
 			return this.sender.filter((ready) -> ready.unsentBytes() > 0).isPresent();
 		}
 
@@ -152,23 +152,23 @@
 
 		private void receive(FrameReader frame) throws WireException {
 			switch (HopCodec.decode(frame)) {
-				case HopMessage.Asked asked when frame.inPieces() -> runLarge(asked);
-				case HopMessage.Asked asked -> run(asked.exchange(), heldUpNanos(asked), asked.ask());
-				case HopMessage.Cancelled(long exchange) -> cancel(exchange);
+				case HopMessage.ForwardedRequest asked when frame.inPieces() -> runLarge(asked);
+				case HopMessage.ForwardedRequest asked -> run(asked.exchange(), heldUpNanos(asked), asked.request());
+				case HopMessage.Cancel(long exchange) -> cancel(exchange);
 				case HopMessage.Ping(boolean takesPieces) -> pinged(takesPieces);
-				case HopMessage.Load(var load) -> HopServer.this.keys.reported(load);
-				case HopMessage.PromiseAsked asked -> send(HopServer.this.keys.promise(asked));
-				case HopMessage.LeasesAsked asked -> HopServer.this.keys.leases(asked).whenResult(this::send);
-				case HopMessage.PromiseReleased(var holder) -> HopServer.this.keys.released(holder);
-				case HopMessage.RowsFollowed asked -> HopServer.this.followers.followed(this, asked, this);
-				case HopMessage.CrashesTold(var from, var notes) -> HopServer.this.crashes.told(from, notes);
-				case HopMessage.Replied ignored -> throw wrongSide();
-				case HopMessage.RowsAsked(KnownRows known) -> send(HopServer.this.rows.lacking(known));
-				case HopMessage.RowsTold told -> HopServer.this.rows.take(told);
-				case HopMessage.Known(KnownRows known) -> noticed(known);
-				case HopMessage.RowsPassed ignored -> throw wrongSide();
-				case HopMessage.LeasesTold ignored -> throw wrongSide();
-				case HopMessage.Promised ignored -> throw wrongSide();
+				case HopMessage.LoadReport(var load) -> HopServer.this.keys.onLoadReport(load);
+				case HopMessage.PromiseRequest asked -> send(HopServer.this.keys.promise(asked));
+				case HopMessage.LeasesRequest asked -> HopServer.this.keys.leaseRows(asked).whenResult(this::send);
+				case HopMessage.PromiseRelease(var holder) -> HopServer.this.keys.onPromiseReleased(holder);
+				case HopMessage.FollowRequest asked -> HopServer.this.followers.follow(this, asked, this);
+				case HopMessage.CrashUpdate(var from, var notes) -> HopServer.this.crashes.onCrashState(from, notes);
+				case HopMessage.ForwardedResponse ignored -> throw wrongSide();
+				case HopMessage.RowsRequest(KnownRows known) -> send(HopServer.this.rows.missingRows(known));
+				case HopMessage.RowsResponse told -> HopServer.this.rows.applyAndLog(told);
+				case HopMessage.VersionsNotice(KnownRows known) -> noticed(known);
+				case HopMessage.RowChanges ignored -> throw wrongSide();
+				case HopMessage.LeasesResponse ignored -> throw wrongSide();
+				case HopMessage.PromiseResponse ignored -> throw wrongSide();
 				case HopMessage.Pong ignored -> throw wrongSide();
 				case HopMessage.Leaving ignored -> throw wrongSide();
 				case HopMessage.Stopping ignored -> throw wrongSide();
@@ -177,16 +177,16 @@
 
 		private void pinged(boolean takesPieces) {
 			if (takesPieces) {
-				this.sender.ifPresent((ready) -> ready.peerTakesPieces(true));
+				this.sender.ifPresent((ready) -> ready.peerAcceptsPieces(true));
 			}
 			send(new HopMessage.Pong());
 		}
 
 		// Of all who say that they know more, one at a time is asked.
 		private void noticed(KnownRows known) {
-			KnownRows own = HopServer.this.rows.known();
-			if (known.aheadOf(own) && HopServer.this.rows.mayAsk(System.nanoTime())) {
-				send(new HopMessage.RowsAsked(own));
+			KnownRows own = HopServer.this.rows.knownVersions();
+			if (known.aheadOf(own) && HopServer.this.rows.tryRequestRows(System.nanoTime())) {
+				send(new HopMessage.RowsRequest(own));
 			}
 		}
 
@@ -194,16 +194,16 @@
 			return new WireException("a message came from the wrong side of the connection");
 		}
 
-		private long heldUpNanos(HopMessage.Asked asked) {
-			return this.delay.heldUpNanos(asked.sentNanos(), System.nanoTime() - this.openedNanos);
+		private long heldUpNanos(HopMessage.ForwardedRequest asked) {
+			return this.delay.delayNanos(asked.sentNanos(), System.nanoTime() - this.openedNanos);
 		}
 
 		// A large request is long on its way, and nobody has given it up: its sender
 		// waits for as long as anything comes.
-		private void runLarge(HopMessage.Asked asked) throws WireException {
+		private void runLarge(HopMessage.ForwardedRequest asked) throws WireException {
 			int onItsWayMillis = (int) (heldUpNanos(asked) / NANOS_PER_MILLI);
-			int remaining = Math.max(0, asked.ask().request().remainingMillis() - onItsWayMillis);
-			run(asked.exchange(), 0, asked.ask().within(remaining));
+			int remaining = Math.max(0, asked.request().request().remainingMillis() - onItsWayMillis);
+			run(asked.exchange(), 0, asked.request().withRemainingMillis(remaining));
 		}
 
 		private void run(long exchange, long heldUpNanos, HopRequest ask) throws WireException {
@@ -214,7 +214,7 @@
 			Promise<SendOutcome> outcome = HopServer.this.gate.run(ask, heldUpNanos, cancellation);
 			outcome.whenResult((end) -> {
 				this.running.remove(exchange);
-				send(new HopMessage.Replied(exchange, end));
+				send(new HopMessage.ForwardedResponse(exchange, end));
 				tellKnown();
 			});
 		}
@@ -223,7 +223,7 @@
 			long now = System.nanoTime();
 			if (now - this.toldNanos >= TELL_EVERY_NANOS) {
 				this.toldNanos = now;
-				send(new HopMessage.Known(HopServer.this.rows.known()));
+				send(new HopMessage.VersionsNotice(HopServer.this.rows.knownVersions()));
 			}
 		}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyMapWriter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyMapWriter.java
@@ -15,7 +15,7 @@
 import org.brasspier.daemon.mesh.MetadataStore;
 import org.brasspier.daemon.mesh.MetadataStore.Commit;
 import org.brasspier.daemon.mesh.MetadataStore.CommitResult;
-import org.brasspier.daemon.mesh.MetadataStore.Expected;
+import org.brasspier.daemon.mesh.MetadataStore.Precondition;
 import org.brasspier.daemon.mesh.MetadataStore.Put;
 
 /**
@@ -67,11 +67,11 @@
 	}
 
 	// Whether a change is on its way, so that no other may be planned.
-	boolean busy() {
+	boolean isWriting() {
 		return this.busy;
 	}
 
-	long sinceLatestNanos(long now) {
+	long nanosSinceLastWrite(long now) {
 		return now - this.latestNanos;
 	}
 
@@ -88,18 +88,18 @@
 	 * @param why what the log says
 	 */
 	void write(KeyMap planned, Map<InstanceId, Long> lost, String why) {
-		KeyMap map = planned.joined();
+		KeyMap map = planned.merged();
 		this.busy = true;
 		this.latestNanos = this.clock.getAsLong();
 		String key = StoredRows.KEYS_PREFIX + this.service.value();
-		List<Expected> expected = new ArrayList<>();
+		List<Precondition> expected = new ArrayList<>();
 		List<Put> puts = new ArrayList<>();
-		expected.add(new Expected(StoredRows.MESH, key, this.directory.keysVersion(this.service)));
+		expected.add(new Precondition(StoredRows.MESH, key, this.directory.keysVersion(this.service)));
 		byte[] value = StoredRows.keys(map, !this.directory.reachable().allMatch(Member::passesRows));
 		puts.add(new Put(StoredRows.MESH, key, value));
 		lost.forEach((instance, version) -> {
-			expected.add(new Expected(StoredRows.LEASES, instance.value(), version));
-			puts.add(LeaseRenewal.takenRow(instance, this.self));
+			expected.add(new Precondition(StoredRows.LEASES, instance.value(), version));
+			puts.add(LeaseRenewal.takeoverPut(instance, this.self));
 		});
 		this.store.commit(new Commit(expected, puts)).whenResult((result) -> {
 			this.busy = false;
@@ -113,10 +113,10 @@
 				Optional<KeyMap> before = this.directory.keys(this.service);
 				MetadataStore.Row row = new MetadataStore.Row(StoredRows.KEYS_PREFIX + this.service.value(),
 						Optional.of(written), version);
-				this.directory.written(row);
-				tell(map.concerned(before), row);
+				this.directory.onRowWritten(row);
+				tell(map.affectedInstances(before), row);
 				this.log.record(MeshEvent.KEYS_MOVED, "service", this.service, "why", why, "version", version,
-						"next_fence", map.nextFence(), "own", map.of(this.self).size());
+						"next_fence", map.nextFence(), "own", map.heldBy(this.self).size());
 				this.written.run();
 			}
 			case CommitResult.Conflict ignored -> readAgain(why);
@@ -127,16 +127,16 @@
 
 	// Their feeds may tell them later, and the keys are unserved until they act.
 	private void tell(Set<InstanceId> concerned, MetadataStore.Row row) {
-		HopMessage.RowsTold told = new HopMessage.RowsTold(List.of(), List.of(row));
+		HopMessage.RowsResponse told = new HopMessage.RowsResponse(List.of(), List.of(row));
 		concerned.stream()
 			.filter((instance) -> !instance.equals(this.self))
 			.map(this.directory::member)
 			.flatMap(Optional::stream)
-			.forEach((member) -> this.hops.tell(member, told));
+			.forEach((member) -> this.hops.sendOneWay(member, told));
 	}
 
 	private void failed(String reason) {
-		this.health.answered(StoredRows.MESH, new MetadataStore.StoreFailedException(reason));
+		this.health.recordCall(StoredRows.MESH, new MetadataStore.StoreFailedException(reason));
 		this.busy = true;
 		this.reactor.delay(TRY_AGAIN, () -> this.busy = false);
 	}
@@ -145,9 +145,9 @@
 		this.busy = true;
 		this.store.read(StoredRows.MESH).whenComplete((rows, ex) -> {
 			this.busy = false;
-			this.health.answered(StoredRows.MESH, ex);
+			this.health.recordCall(StoredRows.MESH, ex);
 			if (ex == null) {
-				this.directory.take(rows, true);
+				this.directory.apply(rows, true);
 				this.log.record(MeshEvent.KEYS_MOVED, "service", this.service, "why", why, "outcome", "overtaken");
 			}
 		});
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyOwnership.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyOwnership.java
@@ -13,10 +13,10 @@
 import io.activej.reactor.nio.NioReactor;
 import org.brasspier.core.InstanceId;
 import org.brasspier.core.ServiceName;
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.keys.BackendIncarnation;
 import org.brasspier.core.keys.GrantAnswer;
-import org.brasspier.core.keys.GrantBook;
 import org.brasspier.core.keys.GrantDelivery;
+import org.brasspier.core.keys.GrantTracker;
 import org.brasspier.core.keys.HolderLoad;
 import org.brasspier.core.keys.KeyHolding;
 import org.brasspier.core.keys.KeyMap;
@@ -53,9 +53,9 @@
 
 	private final Supplier<RoutingConfig> config;
 
-	private final GrantBook book;
+	private final GrantTracker book;
 
-	private final LeaseLooks looks;
+	private final LeaseReader looks;
 
 	private final LeaseRenewal lease;
 
@@ -82,9 +82,9 @@
 		this.config = config;
 		this.clock = clock;
 		long now = clock.getAsLong();
-		LeaseTiming timing = LeaseTiming.DEFAULT.holdingAtMost(settings.bounds().maxHold());
-		this.book = new GrantBook(this.self, timing, now);
-		this.looks = new LeaseLooks(settings, directory, store, hops, health);
+		LeaseTiming timing = LeaseTiming.DEFAULT.withMaxHold(settings.bounds().maxHold());
+		this.book = new GrantTracker(this.self, timing, now);
+		this.looks = new LeaseReader(settings, directory, store, hops, health);
 		this.lease = new LeaseRenewal(reactor, settings, directory, store, this.looks, hops, health, log, clock, timing,
 				this::step);
 		this.writer = new KeyMapWriter(reactor, this.self, this.service, directory, store, hops, health, log, clock,
@@ -95,13 +95,13 @@
 		this.loads = new LoadReports(this.self, directory, hops, now);
 		this.planning = new KeyPlanning(settings, registration, directory, this.lease, this.writer, this.loads,
 				this::handover, this.sender::needsNewFence, now);
-		registration.listen(this::step);
-		directory.listen(this::stepSoon);
+		registration.addListener(this::step);
+		directory.addKeysListener(this::stepSoon);
 	}
 
 	// How many requests a second the backend server can run.
-	void capacityFrom(DoubleSupplier source) {
-		this.loads.capacityFrom(source);
+	void setCapacitySource(DoubleSupplier source) {
+		this.loads.setCapacitySource(source);
 	}
 
 	long leaseMillisLeft() {
@@ -109,7 +109,7 @@
 	}
 
 	int spansHeld() {
-		return this.directory.keys(this.service).map((map) -> map.of(this.self).size()).orElse(0);
+		return this.directory.keys(this.service).map((map) -> map.heldBy(this.self).size()).orElse(0);
 	}
 
 	void start() {
@@ -136,7 +136,7 @@
 	}
 
 	private boolean byKey() {
-		return this.config.get().service(this.service).filter((rule) -> rule.byKey()).isPresent();
+		return this.config.get().service(this.service).filter((rule) -> rule.sharded()).isPresent();
 	}
 
 	/**
@@ -145,7 +145,7 @@
 	 * @return true if it holds it
 	 */
 	boolean usable(int key) {
-		Optional<BackendLife> life = this.registration.life();
+		Optional<BackendIncarnation> life = this.registration.incarnation();
 		Optional<KeyMap> map = this.directory.keys(this.service);
 		return life.isPresent() && map.isPresent()
 				&& this.book.usable(key, map.get().holding(key), life.get(), this.clock.getAsLong());
@@ -156,19 +156,19 @@
 	 * @param key the key
 	 * @return true if so, as far as is known
 	 */
-	boolean leaving(int key) {
-		return this.directory.keys(this.service).filter((map) -> map.holding(key).next().isPresent()).isPresent();
+	boolean isMoving(int key) {
+		return this.directory.keys(this.service).filter((map) -> map.holding(key).nextHolder().isPresent()).isPresent();
 	}
 
 	/**
 	 * Counts a request for a key.
 	 * @param key the key
 	 */
-	void asked(int key) {
-		this.loads.asked(key);
+	void recordRequest(int key) {
+		this.loads.recordRequest(key);
 	}
 
-	Optional<GrantAnswer> answer(Heartbeat beat) {
+	Optional<GrantAnswer> grantAnswer(Heartbeat beat) {
 		return switch (delivery()) {
 			case GrantDelivery.InHeartbeats ignored -> answerWithGrants(beat);
 			case GrantDelivery.ByCall ignored -> Optional.empty();
@@ -181,21 +181,22 @@
 			return Optional.empty();
 		}
 		long now = this.clock.getAsLong();
-		Optional<GrantAnswer> answer = this.book.answer(map.get(), beat.holds(), this.lease.remainingNanos(now), now);
-		if (map.get().of(this.self).stream().anyMatch((held) -> held.next().isPresent())) {
+		Optional<GrantAnswer> answer = this.book.answerHeartbeat(map.get(), beat.holds(),
+				this.lease.remainingNanos(now), now);
+		if (map.get().heldBy(this.self).stream().anyMatch((held) -> held.nextHolder().isPresent())) {
 			this.reactor.post(this::step);
 		}
 		return answer;
 	}
 
 	private void step() {
-		if (!byKey() || this.registration.life().isEmpty() || !this.directory.known()) {
+		if (!byKey() || this.registration.incarnation().isEmpty() || !this.directory.isLoaded()) {
 			return;
 		}
 		long now = this.clock.getAsLong();
-		this.lease.step(leasesThatMatter(), !this.registration.dead(), now);
+		this.lease.step(leasesThatMatter(), !this.registration.isDead(), now);
 		sendGrants(now);
-		if (!this.writer.busy() && this.lease.rowKnown()) {
+		if (!this.writer.isWriting() && this.lease.rowKnown()) {
 			this.planning.step(now);
 		}
 	}
@@ -203,7 +204,7 @@
 	private void sendGrants(long now) {
 		switch (delivery()) {
 			case GrantDelivery.ByCall ignored when this.lease.mapTrusted() -> this.directory.keys(this.service)
-				.ifPresent((map) -> this.sender.step(map, this.registration.life().orElseThrow(),
+				.ifPresent((map) -> this.sender.sendDue(map, this.registration.incarnation().orElseThrow(),
 						this.lease.remainingNanos(now)));
 			case GrantDelivery.ByCall ignored -> {
 				// Another instance may hold what the known map says is this one's.
@@ -223,7 +224,7 @@
 		Stream<InstanceId> unlisted = this.directory.serving(this.service)
 			.stream()
 			.map(Member::instance)
-			.filter((instance) -> !this.lease.known(instance));
+			.filter((instance) -> !this.lease.hasRow(instance));
 		return Stream.concat(owners, unlisted)
 			.filter((instance) -> !instance.equals(this.self))
 			.collect(Collectors.toSet());
@@ -234,8 +235,8 @@
 	 * @param asked what it asks
 	 * @return the answer
 	 */
-	HopMessage.Promised promise(HopMessage.PromiseAsked asked) {
-		return this.lease.promise(asked, this.planning.able());
+	HopMessage.PromiseResponse promise(HopMessage.PromiseRequest asked) {
+		return this.lease.promise(asked, this.planning.canTakeOver());
 	}
 
 	/**
@@ -243,7 +244,7 @@
 	 * @param asked its question
 	 * @return the answer; never fails
 	 */
-	Promise<HopMessage> leases(HopMessage.LeasesAsked asked) {
+	Promise<HopMessage> leaseRows(HopMessage.LeasesRequest asked) {
 		return this.looks.answer(asked);
 	}
 
@@ -251,25 +252,25 @@
 	 * Takes that a holder grants nothing any more.
 	 * @param holder the holder
 	 */
-	void released(InstanceId holder) {
-		this.lease.released(holder);
+	void onPromiseReleased(InstanceId holder) {
+		this.lease.onPromiseReleased(holder);
 		step();
 	}
 
 	// A server that is dead holds nothing, whatever it was granted.
 	private Optional<String> handover(KeyHolding held, long now) {
-		if (this.registration.dead()) {
+		if (this.registration.isDead()) {
 			return Optional.of("");
 		}
-		return this.sender.granting(held.span()) ? Optional.empty() : this.book.released(held, now);
+		return this.sender.isGrantPending(held.span()) ? Optional.empty() : this.book.released(held, now);
 	}
 
 	/**
 	 * Takes what another holder is asked for.
 	 * @param load its load
 	 */
-	void reported(HolderLoad load) {
-		this.loads.reported(load, this.clock.getAsLong());
+	void onLoadReport(HolderLoad load) {
+		this.loads.onLoadReport(load, this.clock.getAsLong());
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyPlanning.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyPlanning.java
@@ -11,11 +11,11 @@
 
 import org.brasspier.core.InstanceId;
 import org.brasspier.core.ServiceName;
-import org.brasspier.core.keys.KeyBalance;
 import org.brasspier.core.keys.KeyHolder;
 import org.brasspier.core.keys.KeyHolding;
 import org.brasspier.core.keys.KeyMap;
 import org.brasspier.core.keys.KeyPlanner;
+import org.brasspier.core.keys.KeyRebalancer;
 import org.brasspier.daemon.mesh.MeshSettings;
 
 /**
@@ -58,7 +58,7 @@
 
 	private final LoadReports loads;
 
-	private final Handovers handovers;
+	private final HandoverSource handovers;
 
 	private final Predicate<KeyHolding> needsNewFence;
 
@@ -67,7 +67,7 @@
 	private long holdersSinceNanos;
 
 	KeyPlanning(MeshSettings settings, BackendRegistration registration, Directory directory, LeaseRenewal lease,
-			KeyMapWriter writer, LoadReports loads, Handovers handovers, Predicate<KeyHolding> needsNewFence,
+			KeyMapWriter writer, LoadReports loads, HandoverSource handovers, Predicate<KeyHolding> needsNewFence,
 			long now) {
 		this.self = settings.instance();
 		this.service = settings.backend().service();
@@ -84,28 +84,28 @@
 	private List<KeyHolder> holders(long now) {
 		return this.directory.serving(this.service)
 			.stream()
-			.filter((member) -> member.life().isPresent())
-			.filter((member) -> !member.instance().equals(this.self) || able())
-			.filter((member) -> this.lease.renewing(member.instance(), now))
+			.filter((member) -> member.incarnation().isPresent())
+			.filter((member) -> !member.instance().equals(this.self) || canTakeOver())
+			.filter((member) -> this.lease.isRenewing(member.instance(), now))
 			.map(KeyPlanning::holder)
 			.sorted((one, other) -> one.instance().compareTo(other.instance()))
 			.toList();
 	}
 
 	private static KeyHolder holder(Member member) {
-		return new KeyHolder(member.instance(), member.life().orElseThrow());
+		return new KeyHolder(member.instance(), member.incarnation().orElseThrow());
 	}
 
 	/**
 	 * Whether the backend server beside this daemon can take keys.
 	 * @return false if it leaves or is silent
 	 */
-	boolean able() {
+	boolean canTakeOver() {
 		return this.registration.ready() && !silent();
 	}
 
 	private boolean silent() {
-		return this.registration.silentNanos(System.nanoTime()) > SILENT_NANOS || this.registration.dead();
+		return this.registration.nanosSinceHeartbeat(System.nanoTime()) > SILENT_NANOS || this.registration.isDead();
 	}
 
 	/**
@@ -120,12 +120,12 @@
 			this.holdersSinceNanos = now;
 		}
 		Optional<KeyMap> map = this.directory.keys(this.service);
-		map.ifPresent((known) -> this.loads.report(known, holders, now));
+		map.ifPresent((known) -> this.loads.reportOwnLoad(known, holders, now));
 		boolean leads = !holders.isEmpty() && holders.get(0).instance().equals(this.self);
 		boolean settled = now - this.holdersSinceNanos >= SETTLED_NANOS;
 		if (map.isEmpty()) {
 			if (leads && settled && !this.lease.inGrace(now)) {
-				this.writer.write(KeyMap.first(holders), "first");
+				this.writer.write(KeyMap.initial(holders), "first");
 			}
 			return;
 		}
@@ -142,17 +142,16 @@
 
 	// What only this instance may do: it knows what its backend server holds.
 	private boolean planOwn(KeyMap map, List<KeyHolder> holders, long now) {
-		Optional<KeyMap> renewedLife = this.registration.ready()
-				? KeyPlanner.withLife(map, new KeyHolder(this.self, this.registration.life().orElseThrow()))
-				: Optional.empty();
+		Optional<KeyMap> renewedLife = this.registration.ready() ? KeyPlanner.reassignToIncarnation(map,
+				new KeyHolder(this.self, this.registration.incarnation().orElseThrow())) : Optional.empty();
 		if (renewedLife.isPresent()) {
 			this.writer.write(renewedLife.get(), "new life");
 			return true;
 		}
-		List<KeyHolding> superseded = map.of(this.self).stream().filter(this.needsNewFence).toList();
+		List<KeyHolding> superseded = map.heldBy(this.self).stream().filter(this.needsNewFence).toList();
 		if (!superseded.isEmpty()) {
-			KeyHolder own = new KeyHolder(this.self, this.registration.life().orElseThrow());
-			this.writer.write(map.moved(superseded::contains, (held) -> own, KeyHolding::handover), "new fence");
+			KeyHolder own = new KeyHolder(this.self, this.registration.incarnation().orElseThrow());
+			this.writer.write(map.reassigned(superseded::contains, (held) -> own, KeyHolding::handover), "new fence");
 			return true;
 		}
 		Optional<KeyMap> handedOver = handedOver(map, holders, now);
@@ -160,14 +159,14 @@
 			this.writer.write(handedOver.get(), "handed over");
 			return true;
 		}
-		Optional<KeyMap> retargeted = KeyPlanner.retargeted(map, (held) -> held.owner().equals(this.self), holders);
+		Optional<KeyMap> retargeted = KeyPlanner.retarget(map, (held) -> held.owner().equals(this.self), holders);
 		if (retargeted.isPresent()) {
 			this.writer.write(retargeted.get(), "other targets");
 			return true;
 		}
-		if (!able()) {
+		if (!canTakeOver()) {
 			List<KeyHolder> others = holders.stream().filter((each) -> !each.instance().equals(this.self)).toList();
-			Optional<KeyMap> leaving = KeyPlanner.withoutLeaving(map, Set.of(this.self), others);
+			Optional<KeyMap> leaving = KeyPlanner.reassignLeaving(map, Set.of(this.self), others);
 			leaving.ifPresent((planned) -> this.writer.write(planned, "leaving"));
 			return leaving.isPresent();
 		}
@@ -178,23 +177,23 @@
 		Map<InstanceId, KeyHolder> able = holders.stream()
 			.collect(Collectors.toMap(KeyHolder::instance, (holder) -> holder));
 		Map<KeyHolding, String> released = new HashMap<>();
-		map.of(this.self)
+		map.heldBy(this.self)
 			.stream()
-			.filter((held) -> held.next().filter(able::containsKey).isPresent())
-			.forEach((held) -> this.handovers.of(held, now).ifPresent((token) -> released.put(held, token)));
+			.filter((held) -> held.nextHolder().filter(able::containsKey).isPresent())
+			.forEach((held) -> this.handovers.handover(held, now).ifPresent((token) -> released.put(held, token)));
 		if (released.isEmpty()) {
 			return Optional.empty();
 		}
-		return Optional.of(map.moved(released::containsKey, (held) -> able.get(held.next().orElseThrow()),
+		return Optional.of(map.reassigned(released::containsKey, (held) -> able.get(held.nextHolder().orElseThrow()),
 				(held) -> released.getOrDefault(held, "")));
 	}
 
 	private Optional<KeyMap> balanced(KeyMap map, List<KeyHolder> holders, long now) {
-		boolean moving = map.holdings().stream().anyMatch((held) -> held.next().isPresent());
-		if (moving || this.writer.sinceLatestNanos(now) < REST_NANOS) {
+		boolean moving = map.holdings().stream().anyMatch((held) -> held.nextHolder().isPresent());
+		if (moving || this.writer.nanosSinceLastWrite(now) < REST_NANOS) {
 			return Optional.empty();
 		}
-		return KeyBalance.plan(map, this.loads.fresh(holders, now));
+		return KeyRebalancer.plan(map, this.loads.recentLoads(holders, now));
 	}
 
 	// Whoever sees a lease end takes its keys, not only the one that plans: that one may
@@ -208,9 +207,9 @@
 			.distinct()
 			.filter((owner) -> !owner.equals(this.self))
 			.forEach((owner) -> endedAt(owner, now).ifPresent((version) -> lost.put(owner, version)));
-		Optional<KeyMap> withoutLost = KeyPlanner.withoutLost(map, lost.keySet(), holders);
+		Optional<KeyMap> withoutLost = KeyPlanner.reassignLost(map, lost.keySet(), holders);
 		withoutLost.ifPresent((planned) -> {
-			this.lease.attempting(lost);
+			this.lease.recordTakeoverAttempt(lost);
 			this.writer.write(planned, lost, "lost " + lost.keySet());
 		});
 		return withoutLost.isPresent();
@@ -219,16 +218,16 @@
 	// Addresses are given away only after the backend server that had them has ended, so
 	// there is nobody left who could hold the keys.
 	private Optional<Long> endedAt(InstanceId owner, long now) {
-		return this.directory.replaced(owner) ? this.lease.versionOf(owner) : this.lease.ended(owner, now);
+		return this.directory.isReplaced(owner) ? this.lease.versionOf(owner) : this.lease.endedRowVersion(owner, now);
 	}
 
 	private void planAll(KeyMap map, List<KeyHolder> holders, boolean settled, long now) {
-		Optional<KeyMap> retargeted = KeyPlanner.retargeted(map, (held) -> true, holders);
+		Optional<KeyMap> retargeted = KeyPlanner.retarget(map, (held) -> true, holders);
 		if (retargeted.isPresent()) {
 			this.writer.write(retargeted.get(), "other targets");
 			return;
 		}
-		Optional<KeyMap> evened = settled ? KeyPlanner.evened(map, holders) : Optional.empty();
+		Optional<KeyMap> evened = settled ? KeyPlanner.fillEmptyHolders(map, holders) : Optional.empty();
 		if (evened.isPresent()) {
 			this.writer.write(evened.get(), "evened");
 			return;
@@ -239,7 +238,7 @@
 	/**
 	 * Says which of this instance's keys its backend server has released.
 	 */
-	interface Handovers {
+	interface HandoverSource {
 
 		/**
 		 * What was handed over with a holding.
@@ -247,7 +246,7 @@
 		 * @param now the time
 		 * @return empty text if nothing was; empty if the server may still hold it
 		 */
-		Optional<String> of(KeyHolding held, long now);
+		Optional<String> handover(KeyHolding held, long now);
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/LagTimer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/LagTimer.java
@@ -25,11 +25,11 @@
 		this.reactor = reactor;
 	}
 
-	LoopLag requested(long now) {
+	LoopLag onRequest(long now) {
 		this.requestNanos = now;
 		if (!this.running) {
 			this.running = true;
-			this.lag.ticked(now, now);
+			this.lag.onTick(now, now);
 			tickLater(now);
 		}
 		return this.lag;
@@ -41,10 +41,10 @@
 	}
 
 	private void tickLater(long now) {
-		long due = now + LoopLag.TICK.toNanos();
-		this.reactor.delay(LoopLag.TICK, () -> {
+		long due = now + LoopLag.TICK_INTERVAL.toNanos();
+		this.reactor.delay(LoopLag.TICK_INTERVAL, () -> {
 			long came = System.nanoTime();
-			this.lag.ticked(due, came);
+			this.lag.onTick(due, came);
 			this.running = came - this.requestNanos < KEEP_ON_NANOS;
 			if (this.running) {
 				tickLater(came);
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/LeaseLooks.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/LeaseReader.java
@@ -18,7 +18,7 @@
  * versions that it saw, and a renewal since then makes its write fail. Belongs to the
  * thread of requests.
  */
-final class LeaseLooks {
+final class LeaseReader {
 
 	private final InstanceId self;
 
@@ -38,7 +38,7 @@
 
 	@Nullable private Promise<MetadataStore.Rows> reading;
 
-	LeaseLooks(MeshSettings settings, Directory directory, MetadataStore store, HopClient hops, StoreHealth health) {
+	LeaseReader(MeshSettings settings, Directory directory, MetadataStore store, HopClient hops, StoreHealth health) {
 		this.self = settings.instance();
 		this.service = settings.backend().service();
 		this.directory = directory;
@@ -53,13 +53,13 @@
 	 * @return the rows; fails with a {@link MetadataStore.StoreFailedException} if the
 	 * store did not answer
 	 */
-	Promise<MetadataStore.Rows> look(Duration oldest) {
+	Promise<MetadataStore.Rows> readShared(Duration oldest) {
 		Optional<Member> reader = reader();
 		if (reader.isEmpty()) {
 			return read(oldest);
 		}
-		return this.hops.askLeases(reader.get(), oldest)
-			.then((answer) -> answer.flatMap(HopMessage.LeasesTold::rows)
+		return this.hops.requestLeases(reader.get(), oldest)
+			.then((answer) -> answer.flatMap(HopMessage.LeasesResponse::rows)
 				.map((rows) -> Promise.of(new MetadataStore.Rows(rows, 0)))
 				.orElseGet(() -> read(oldest)));
 	}
@@ -70,7 +70,7 @@
 		return this.directory.serving(this.service)
 			.stream()
 			.filter((member) -> member.instance().equals(this.self)
-					|| (member.passesRows() && !this.hops.avoided(member.instance(), now)))
+					|| (member.passesRows() && !this.hops.shouldAvoid(member.instance(), now)))
 			.min(Comparator.comparing(Member::instance))
 			.filter((member) -> !member.instance().equals(this.self));
 	}
@@ -95,7 +95,7 @@
 		this.reading = answer;
 		return answer.whenComplete((rows, ex) -> {
 			this.reading = null;
-			this.health.answered(StoredRows.LEASES, ex);
+			this.health.recordCall(StoredRows.LEASES, ex);
 			if (ex == null) {
 				this.latest = Optional.of(rows);
 				this.latestNanos = asked;
@@ -108,9 +108,10 @@
 	 * @param asked its question
 	 * @return the answer; never fails
 	 */
-	Promise<HopMessage> answer(HopMessage.LeasesAsked asked) {
-		return read(Duration.ofMillis(asked.oldestMillis())).then((rows, ex) -> Promise
-			.of(new HopMessage.LeasesTold(asked.exchange(), Optional.ofNullable(rows).map(MetadataStore.Rows::rows))));
+	Promise<HopMessage> answer(HopMessage.LeasesRequest asked) {
+		return read(Duration.ofMillis(asked.maxAgeMillis()))
+			.then((rows, ex) -> Promise.of(new HopMessage.LeasesResponse(asked.exchange(),
+					Optional.ofNullable(rows).map(MetadataStore.Rows::rows))));
 	}
 
 }
