--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/LeaseRenewal.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/LeaseRenewal.java
@@ -16,16 +16,16 @@
 import org.brasspier.core.InstanceId;
 import org.brasspier.core.ServiceName;
 import org.brasspier.core.keys.Deputy;
+import org.brasspier.core.keys.LeaseMonitor;
 import org.brasspier.core.keys.LeaseRow;
 import org.brasspier.core.keys.LeaseTiming;
-import org.brasspier.core.keys.LeaseWatch;
 import org.brasspier.core.keys.OwnLease;
-import org.brasspier.core.keys.PromiseBook;
+import org.brasspier.core.keys.PromiseTracker;
 import org.brasspier.daemon.mesh.MeshSettings;
 import org.brasspier.daemon.mesh.MetadataStore;
 import org.brasspier.daemon.mesh.MetadataStore.Commit;
 import org.brasspier.daemon.mesh.MetadataStore.CommitResult;
-import org.brasspier.daemon.mesh.MetadataStore.Expected;
+import org.brasspier.daemon.mesh.MetadataStore.Precondition;
 import org.brasspier.daemon.mesh.MetadataStore.Put;
 
 /**
@@ -72,7 +72,7 @@
 
 	private final MetadataStore store;
 
-	private final LeaseLooks looks;
+	private final LeaseReader looks;
 
 	private final StoreHealth health;
 
@@ -86,13 +86,13 @@
 
 	private final OwnLease lease;
 
-	private final PromiseBook promises;
+	private final PromiseTracker promises;
 
 	private final Deputy process;
 
-	private final LeaseWatch watch;
+	private final LeaseMonitor watch;
 
-	private final Deputies deputies;
+	private final DeputySelector deputies;
 
 	private Optional<Deputy> named = Optional.empty();
 
@@ -110,7 +110,7 @@
 
 	private long lookedNanos;
 
-	LeaseRenewal(NioReactor reactor, MeshSettings settings, Directory directory, MetadataStore store, LeaseLooks looks,
+	LeaseRenewal(NioReactor reactor, MeshSettings settings, Directory directory, MetadataStore store, LeaseReader looks,
 			HopClient hops, StoreHealth health, MeshLog log, LongSupplier clock, LeaseTiming timing, Runnable mapRead) {
 		this.reactor = reactor;
 		this.self = settings.instance();
@@ -124,10 +124,10 @@
 		this.timing = timing;
 		this.mapRead = mapRead;
 		this.lease = new OwnLease(timing);
-		this.promises = new PromiseBook(timing);
+		this.promises = new PromiseTracker(timing);
 		this.process = new Deputy(this.self, processNumber(clock));
-		this.watch = new LeaseWatch(timing, this.process, this.promises);
-		this.deputies = new Deputies(settings, directory, hops, this.lease, clock);
+		this.watch = new LeaseMonitor(timing, this.process, this.promises);
+		this.deputies = new DeputySelector(settings, directory, hops, this.lease, clock);
 		long now = clock.getAsLong();
 		this.renewedNanos = now - timing.lease().toNanos();
 		this.lookedNanos = now - LOOK_EVERY_NANOS;
@@ -154,34 +154,35 @@
 	}
 
 	// Whether an instance may be given keys and may plan, as far as the store shows.
-	boolean renewing(InstanceId instance, long now) {
+	boolean isRenewing(InstanceId instance, long now) {
 		if (instance.equals(this.self)) {
-			return this.lease.renewedAgoNanos(now) <= this.timing.renewEvery().toNanos() * 2 + RENEW_AGAIN.toNanos();
+			return this.lease.nanosSinceRenewal(now) <= this.timing.renewalInterval().toNanos() * 2
+					+ RENEW_AGAIN.toNanos();
 		}
-		return this.watch.renewing(instance, this.deputies.fit(instance, now), now);
+		return this.watch.isRenewing(instance, this.deputies.isEligible(instance, now), now);
 	}
 
 	// Whether an instance has a lease's row, as far as was looked.
-	boolean known(InstanceId instance) {
-		return this.watch.known(instance);
+	boolean hasRow(InstanceId instance) {
+		return this.watch.hasRow(instance);
 	}
 
 	boolean inGrace(long now) {
-		return this.watch.inGrace(now);
+		return this.watch.inGracePeriod(now);
 	}
 
 	// The version of another instance's lease, as far as was looked.
 	Optional<Long> versionOf(InstanceId instance) {
-		return this.watch.version(instance);
+		return this.watch.rowVersion(instance);
 	}
 
 	// The version at which another instance's lease ended, if it did.
-	Optional<Long> ended(InstanceId instance, long now) {
-		return this.watch.ended(instance, now);
+	Optional<Long> endedRowVersion(InstanceId instance, long now) {
+		return this.watch.endedRowVersion(instance, now);
 	}
 
 	// What whoever takes an instance's keys writes in place of its lease.
-	static Put takenRow(InstanceId lost, InstanceId taker) {
+	static Put takeoverPut(InstanceId lost, InstanceId taker) {
 		return new Put(StoredRows.LEASES, lost.value(), StoredRows.leaseTakenBy(taker));
 	}
 
@@ -191,18 +192,18 @@
 	 * @param able whether this instance could take keys
 	 * @return the answer
 	 */
-	HopMessage.Promised promise(HopMessage.PromiseAsked asked, boolean able) {
+	HopMessage.PromiseResponse promise(HopMessage.PromiseRequest asked, boolean able) {
 		boolean promised = this.promises.promise(asked.holder(), asked.rowVersion(), this.clock.getAsLong());
-		return new HopMessage.Promised(asked.exchange(), this.process.process(), promised, able);
+		return new HopMessage.PromiseResponse(asked.exchange(), this.process.process(), promised, able);
 	}
 
-	void released(InstanceId holder) {
-		this.promises.released(holder);
+	void onPromiseReleased(InstanceId holder) {
+		this.promises.release(holder);
 	}
 
 	// Called before the write that takes keys is sent.
-	void attempting(Map<InstanceId, Long> lost) {
-		lost.forEach(this.promises::attempting);
+	void recordTakeoverAttempt(Map<InstanceId, Long> lost) {
+		lost.forEach(this.promises::recordTakeoverAttempt);
 	}
 
 	/**
@@ -213,7 +214,7 @@
 	 */
 	void step(Set<InstanceId> holders, boolean granting, long now) {
 		note(now);
-		long lookEvery = this.watch.suspicious(holders, now) ? LOOK_CLOSELY_NANOS : LOOK_EVERY_NANOS;
+		long lookEvery = this.watch.anySuspect(holders, now) ? LOOK_CLOSELY_NANOS : LOOK_EVERY_NANOS;
 		if (!this.looking && now - this.lookedNanos >= lookEvery) {
 			look(now, lookEvery);
 		}
@@ -226,8 +227,8 @@
 		}
 		this.deputies.step(now);
 		long sinceRenewed = now - this.renewedNanos;
-		boolean change = sinceRenewed >= RENEW_AGAIN.toNanos() && this.deputies.changeWanted(now);
-		if (!this.renewing && (change || sinceRenewed >= this.timing.renewEvery().toNanos())) {
+		boolean change = sinceRenewed >= RENEW_AGAIN.toNanos() && this.deputies.replacementNeeded(now);
+		if (!this.renewing && (change || sinceRenewed >= this.timing.renewalInterval().toNanos())) {
 			renew(now);
 		}
 	}
@@ -238,8 +239,8 @@
 	// for the last promise's end, four seconds more.
 	private void giveUp(long now) {
 		if (this.lease.remainingNanos(now) > 0) {
-			this.lease.giveUp(now);
-			this.deputies.release();
+			this.lease.relinquish(now);
+			this.deputies.releasePromise();
 			note(now);
 		}
 	}
@@ -258,7 +259,8 @@
 		this.looking = true;
 		this.lookedNanos = now;
 		Promise<MetadataStore.Rows> shown = this.rowKnown
-				? this.looks.look(Duration.ofNanos((long) (every * OLDEST_SHARE))) : this.looks.read(Duration.ZERO);
+				? this.looks.readShared(Duration.ofNanos((long) (every * OLDEST_SHARE)))
+				: this.looks.read(Duration.ZERO);
 		shown.whenComplete((rows, ex) -> {
 			this.looking = false;
 			if (ex == null) {
@@ -271,10 +273,10 @@
 		Map<InstanceId, LeaseRow> leases = rows.rows()
 			.stream()
 			.collect(Collectors.toMap((row) -> new InstanceId(row.key()), this::row));
-		this.watch.look(leases, this.clock.getAsLong());
+		this.watch.onRowsRead(leases, this.clock.getAsLong());
 		long own = Optional.ofNullable(leases.get(this.self)).map(LeaseRow::version).orElse(0L);
 		if (!this.rowKnown || own > this.lease.rowVersion()) {
-			this.lease.overtaken(own);
+			this.lease.onRowChanged(own);
 			this.rowKnown = true;
 			readMap();
 		}
@@ -294,9 +296,9 @@
 	private void readMap() {
 		this.mapTrusted = false;
 		this.store.read(StoredRows.MESH).whenComplete((rows, ex) -> {
-			this.health.answered(StoredRows.MESH, ex);
+			this.health.recordCall(StoredRows.MESH, ex);
 			if (ex == null) {
-				this.directory.take(rows, true);
+				this.directory.apply(rows, true);
 				this.mapTrusted = true;
 				this.mapRead.run();
 			}
@@ -309,9 +311,10 @@
 	private void renew(long now) {
 		this.renewing = true;
 		this.renewedNanos = now;
-		Optional<Deputy> deputy = this.deputies.choice(now);
-		this.lease.renewing(deputy);
-		Commit commit = new Commit(List.of(new Expected(StoredRows.LEASES, this.self.value(), this.lease.rowVersion())),
+		Optional<Deputy> deputy = this.deputies.select(now);
+		this.lease.onRenewalStarted(deputy);
+		Commit commit = new Commit(
+				List.of(new Precondition(StoredRows.LEASES, this.self.value(), this.lease.rowVersion())),
 				List.of(new Put(StoredRows.LEASES, this.self.value(), StoredRows.lease(this.service, deputy))));
 		this.store.commit(commit).whenResult((result) -> {
 			this.renewing = false;
@@ -322,7 +325,7 @@
 	private void renewed(long sentNanos, Optional<Deputy> deputy, CommitResult result) {
 		switch (result) {
 			case CommitResult.Done(long version) -> {
-				this.lease.renewed(sentNanos, version, deputy);
+				this.lease.onRenewed(sentNanos, version, deputy);
 				noteDeputy(deputy);
 				note(this.clock.getAsLong());
 			}
@@ -344,7 +347,7 @@
 	// Taken away, or a renewal whose answer was lost took effect: the row says which, and
 	// nothing is granted until then.
 	private void overtaken() {
-		this.lease.overtaken(this.lease.rowVersion());
+		this.lease.onRowChanged(this.lease.rowVersion());
 		this.rowKnown = false;
 		this.mapTrusted = false;
 		long now = this.clock.getAsLong();
@@ -353,8 +356,8 @@
 	}
 
 	private void failed(String reason) {
-		this.health.answered(StoredRows.LEASES, new MetadataStore.StoreFailedException(reason));
-		this.renewedNanos = this.clock.getAsLong() - this.timing.renewEvery().toNanos() + RENEW_AGAIN.toNanos();
+		this.health.recordCall(StoredRows.LEASES, new MetadataStore.StoreFailedException(reason));
+		this.renewedNanos = this.clock.getAsLong() - this.timing.renewalInterval().toNanos() + RENEW_AGAIN.toNanos();
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/LoadReports.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/LoadReports.java
@@ -48,38 +48,38 @@
 	}
 
 	// How many requests a second the backend server can run.
-	void capacityFrom(DoubleSupplier source) {
+	void setCapacitySource(DoubleSupplier source) {
 		this.capacity = source;
 	}
 
-	void asked(int key) {
-		this.meter.asked(key);
+	void recordRequest(int key) {
+		this.meter.recordRequest(key);
 	}
 
-	void reported(HolderLoad load, long now) {
+	void onLoadReport(HolderLoad load, long now) {
 		this.latest.put(load.instance(), new Reported(load, now));
 	}
 
-	void report(KeyMap map, List<KeyHolder> holders, long now) {
+	void reportOwnLoad(KeyMap map, List<KeyHolder> holders, long now) {
 		if (now - this.reportedNanos < REPORT_EVERY_NANOS) {
 			return;
 		}
 		this.reportedNanos = now;
-		this.meter.tick(now);
-		List<KeySpan> spans = map.of(this.self).stream().map(KeyHolding::span).toList();
-		HolderLoad own = new HolderLoad(this.self, this.capacity.getAsDouble(), this.meter.pieces(spans));
-		reported(own, now);
+		this.meter.updateRates(now);
+		List<KeySpan> spans = map.heldBy(this.self).stream().map(KeyHolding::span).toList();
+		HolderLoad own = new HolderLoad(this.self, this.capacity.getAsDouble(), this.meter.split(spans));
+		onLoadReport(own, now);
 		holders.stream()
 			.map(KeyHolder::instance)
 			.findFirst()
 			.filter((leader) -> !leader.equals(this.self))
 			.flatMap(this.directory::member)
-			.ifPresent((leader) -> this.hops.tell(leader, new HopMessage.Load(own)));
+			.ifPresent((leader) -> this.hops.sendOneWay(leader, new HopMessage.LoadReport(own)));
 	}
 
 	// The loads of those holders that have told lately. Waiting for all would stop the
 	// balancing for as long as one can't be reached.
-	List<HolderLoad> fresh(List<KeyHolder> holders, long now) {
+	List<HolderLoad> recentLoads(List<KeyHolder> holders, long now) {
 		return holders.stream()
 			.map((holder) -> this.latest.get(holder.instance()))
 			.filter((reported) -> reported != null && now - reported.sinceNanos < FRESH_NANOS)
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Member.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Member.java
@@ -6,7 +6,7 @@
 import org.brasspier.core.FailureDomain;
 import org.brasspier.core.InstanceId;
 import org.brasspier.core.ServiceName;
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.keys.BackendIncarnation;
 
 /**
  * An instance as its own daemon describes it in the platform's store. Immutable and
@@ -16,7 +16,7 @@
  * @param address where its daemon takes requests of other daemons
  * @param failureDomain its failure domain
  * @param service the service of the backend server on it
- * @param life the life of the backend server; empty if none was heard of
+ * @param incarnation the life of the backend server; empty if none was heard of
  * @param slots how many requests the backend server runs at once, at least 1
  * @param ready whether the backend server takes work
  * @param passesRows whether its daemon passes on what the store tells it; daemons of an
@@ -25,7 +25,7 @@
  * not known
  */
 record Member(InstanceId instance, InetSocketAddress address, FailureDomain failureDomain, ServiceName service,
-		Optional<BackendLife> life, int slots, boolean ready, boolean passesRows, int linkMegabits) {
+		Optional<BackendIncarnation> incarnation, int slots, boolean ready, boolean passesRows, int linkMegabits) {
 
 	/**
 	 * Checks the numbers.
@@ -38,7 +38,7 @@
 	}
 
 	Member(InstanceId instance, InetSocketAddress address, FailureDomain failureDomain, ServiceName service,
-			Optional<BackendLife> life, int slots, boolean ready) {
+			Optional<BackendIncarnation> life, int slots, boolean ready) {
 		this(instance, address, failureDomain, service, life, slots, ready, true, 0);
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MemberWriter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MemberWriter.java
@@ -34,29 +34,30 @@
 		this.directory = directory;
 		this.writer = new OwnRowWriter(StoredRows.MEMBER_PREFIX + settings.instance().value(), directory, store,
 				health);
-		registration.listen(this::look);
+		registration.addListener(this::writeIfChanged);
 	}
 
 	void start() {
-		this.reactor.delayBackground(OwnRowWriter.LOOK_EVERY, () -> {
-			look();
+		this.reactor.delayBackground(OwnRowWriter.CHECK_INTERVAL, () -> {
+			writeIfChanged();
 			start();
 		});
 	}
 
 	private Member own() {
 		return new Member(this.settings.instance(), this.address, this.settings.failureDomain(),
-				this.settings.backend().service(), this.registration.life(), this.registration.slots(),
+				this.settings.backend().service(), this.registration.incarnation(), this.registration.slots(),
 				this.registration.ready(), true, this.settings.linkMegabits());
 	}
 
-	void look() {
-		if (!this.writer.ready() || this.registration.life().isEmpty()) {
+	void writeIfChanged() {
+		if (!this.writer.canWrite() || this.registration.incarnation().isEmpty()) {
 			return;
 		}
 		Member own = own();
 		if (!this.directory.member(own.instance()).equals(Optional.of(own))) {
-			this.writer.write(this.directory.memberVersion(own.instance()), StoredRows.member(own), this::look);
+			this.writer.write(this.directory.memberVersion(own.instance()), StoredRows.member(own),
+					this::writeIfChanged);
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshEntry.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshEntry.java
@@ -10,7 +10,7 @@
 import org.brasspier.core.ErrorKind;
 import org.brasspier.core.Failure;
 import org.brasspier.core.mesh.LoopLag;
-import org.brasspier.core.mesh.RetryPause;
+import org.brasspier.core.mesh.RetryAfter;
 import org.brasspier.core.mesh.RouteRule;
 import org.brasspier.core.mesh.RoutingConfig;
 import org.brasspier.core.mesh.SendOutcome;
@@ -53,7 +53,7 @@
 	}
 
 	// How many requests are not answered yet.
-	int open() {
+	int openRequests() {
 		return this.open;
 	}
 
@@ -65,10 +65,10 @@
 			malformed(read.getLeft().detail());
 			return Promise.of(failed(raw, read.getLeft()));
 		}
-		LoopLag lag = this.lag.requested(begun);
-		MeshRequest request = read.get().within(lag.remainingMillis(read.get().remainingMillis(), begun));
+		LoopLag lag = this.lag.onRequest(begun);
+		MeshRequest request = read.get().withRemainingMillis(lag.remainingMillis(read.get().remainingMillis(), begun));
 		RoutingConfig inForce = this.config.get();
-		if (!inForce.known()) {
+		if (!inForce.isKnown()) {
 			return Promise
 				.of(refused(raw, request, Failure.of(ErrorKind.NO_CONFIGURATION, "no configuration is known yet")));
 		}
@@ -77,7 +77,7 @@
 			return Promise.of(refused(raw, request, Failure.of(ErrorKind.NO_ROUTE,
 					"no route of configuration %d takes it".formatted(inForce.version()))));
 		}
-		if (lag.shedding(begun)) {
+		if (lag.shouldShed(begun)) {
 			return Promise.of(refused(raw, request, new Failure(ErrorKind.OVERLOADED,
 					"this daemon is behind with its work", Duration.ofNanos(lag.lagNanos(begun)))));
 		}
@@ -93,7 +93,7 @@
 				failure.detail(), "config", this.config.get().version());
 		this.metrics.counter("requests.failed.not_run." + failure.kind()).inc();
 		boolean later = failure.kind() != ErrorKind.NO_ROUTE;
-		return this.protocol.failed(raw, later ? withPause(failure, request.remainingMillis()) : failure);
+		return this.protocol.failureAnswer(raw, later ? withPause(failure, request.remainingMillis()) : failure);
 	}
 
 	private Answer answer(RawRequest raw, MeshRequest request, RouteRule route, SendOutcome outcome, long begun) {
@@ -103,15 +103,16 @@
 		return switch (outcome) {
 			case SendOutcome.Answered(Answer answer) -> {
 				log(MeshEvent.REQUEST_ANSWERED, request, route, "status " + answer.status(), tookMillis);
-				yield this.protocol.relayed(answer);
+				yield this.protocol.relayedAnswer(answer);
 			}
 			case SendOutcome.NotRun(Failure failure, boolean reached) -> {
 				log(MeshEvent.REQUEST_REFUSED, request, route, Dispatcher.describe(outcome), tookMillis);
-				yield this.protocol.failed(raw, withPause(failure, request.remainingMillis() - (int) tookMillis));
+				yield this.protocol.failureAnswer(raw,
+						withPause(failure, request.remainingMillis() - (int) tookMillis));
 			}
 			case SendOutcome.Unknown(Failure failure) -> {
 				log(MeshEvent.REQUEST_FAILED, request, route, Dispatcher.describe(outcome), tookMillis);
-				yield this.protocol.failed(raw, failure);
+				yield this.protocol.failureAnswer(raw, failure);
 			}
 		};
 	}
@@ -132,13 +133,13 @@
 	}
 
 	private static Failure withPause(Failure failure, int remainingMillis) {
-		Duration pause = RetryPause.of(failure.retryAfter(), Duration.ofMillis(Math.max(1, remainingMillis)));
+		Duration pause = RetryAfter.of(failure.retryAfter(), Duration.ofMillis(Math.max(1, remainingMillis)));
 		return new Failure(failure.kind(), failure.detail(), pause);
 	}
 
 	@Override
 	public Answer failed(RawRequest raw, Failure failure) {
-		return this.protocol.failed(raw, failure);
+		return this.protocol.failureAnswer(raw, failure);
 	}
 
 	@Override
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshGauges.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshGauges.java
@@ -36,7 +36,7 @@
 		show("config_version", () -> config.get().version());
 		show("config_millis_in_force", config::millisInForce);
 		show("mesh_instances_known", directory::size);
-		show("mesh_rows_version", directory::version);
+		show("mesh_rows_version", directory::newestVersion);
 		return this;
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshNode.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshNode.java
@@ -98,14 +98,14 @@
 		HopClient hopClient = new HopClient(reactor, shared);
 		this.keys = new KeyOwnership(reactor, settings, this.registration, this.directory, adapter.store(),
 				adapter.grants(), hopClient, this.config, clock::nanos, health, this.log);
-		this.registration.grantsFrom((beat, now) -> this.keys.answer(beat));
+		this.registration.setGrantSource((beat, now) -> this.keys.grantAnswer(beat));
 		LagTimer lag = new LagTimer(reactor);
 		BackendPool pool = new BackendPool(reactor, settings.backend().address(), MAX_ANSWER_BYTES);
 		this.crashes = new BackendCrashes(reactor, settings.instance(), this.registration, pool, this.directory,
 				hopClient, adapter.store(), health, this.log);
 		this.gate = new BackendGate(reactor, settings, this.registration, pool, adapter.backends(), this.config,
 				this.keys, this.crashes, this.log);
-		this.keys.capacityFrom(this.gate::capacity);
+		this.keys.setCapacitySource(this.gate::lookupsPerSecond);
 		this.member = new MemberWriter(reactor, settings, this.registration, this.directory, adapter.store(), health);
 		Dispatcher dispatcher = new Dispatcher(settings, this.directory, this.config, this.gate,
 				new HopClient(reactor, shared), this.crashes, this.log);
@@ -121,15 +121,15 @@
 			.known(this.config, this.directory)
 			.process(lag);
 		this.ports = new ControlPorts(reactor, this.log);
-		this.directory.whenTaken(this::takeOwnRow);
+		this.directory.addRowsListener(this::takeOwnRow);
 	}
 
 	// What an earlier process of this instance acknowledged binds this one as well.
 	private void takeOwnRow() {
 		this.directory.member(this.settings.instance())
 			.filter((own) -> !own.ready())
-			.flatMap(Member::life)
-			.ifPresent(this.registration::left);
+			.flatMap(Member::incarnation)
+			.ifPresent(this.registration::restoreDeparture);
 	}
 
 	/**
@@ -170,14 +170,14 @@
 
 	private boolean ready() {
 		RoutingConfig inForce = this.config.get();
-		return !this.leaving && inForce.known() && this.directory.known();
+		return !this.leaving && inForce.isKnown() && this.directory.isLoaded();
 	}
 
 	/**
 	 * Logs that the settings were read again.
 	 * @param outcome what came of it
 	 */
-	public void reread(String outcome) {
+	public void onSettingsReloaded(String outcome) {
 		this.log.record(MeshEvent.RELOADED, "outcome", outcome);
 	}
 
@@ -186,10 +186,10 @@
 	 * is left, and then says so.
 	 * @param ended called once nothing is in flight any more
 	 */
-	public void leave(Runnable ended) {
+	public void stop(Runnable ended) {
 		this.leaving = true;
 		this.leavingSinceNanos = System.nanoTime();
-		this.log.record(MeshEvent.STOPPING, "open", this.entry.open(), "gate", this.gate.load());
+		this.log.record(MeshEvent.STOPPING, "open", this.entry.openRequests(), "gate", this.gate.load());
 		this.callers.leave();
 		this.hops.leave();
 		this.reactor.delay(OPEN_ON, () -> {
@@ -203,10 +203,10 @@
 	private void whenIdle(Runnable ended) {
 		boolean closed = this.callers.closeIdle();
 		boolean told = System.nanoTime() - this.leavingSinceNanos >= OPEN_ON.plus(TOLD_AFTER).toNanos();
-		long left = this.settings.bounds().stop().toNanos() - (System.nanoTime() - this.leavingSinceNanos);
+		long left = this.settings.bounds().gracePeriod().toNanos() - (System.nanoTime() - this.leavingSinceNanos);
 		if (closed && told && this.gate.idle() || left <= 0) {
 			recordProcessorTimes();
-			this.log.record(MeshEvent.STOPPED, "open", this.entry.open(), "gate", this.gate.load());
+			this.log.record(MeshEvent.STOPPED, "open", this.entry.openRequests(), "gate", this.gate.load());
 			this.ports.close();
 			this.hops.close();
 			// A listening port stays open until the loop has looked for events once more;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/OwnRowWriter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/OwnRowWriter.java
@@ -7,7 +7,7 @@
 import org.brasspier.daemon.mesh.MetadataStore;
 import org.brasspier.daemon.mesh.MetadataStore.Commit;
 import org.brasspier.daemon.mesh.MetadataStore.CommitResult;
-import org.brasspier.daemon.mesh.MetadataStore.Expected;
+import org.brasspier.daemon.mesh.MetadataStore.Precondition;
 import org.brasspier.daemon.mesh.MetadataStore.Put;
 
 /**
@@ -17,7 +17,7 @@
  */
 final class OwnRowWriter {
 
-	static final Duration LOOK_EVERY = Duration.ofMillis(250);
+	static final Duration CHECK_INTERVAL = Duration.ofMillis(250);
 
 	private final String key;
 
@@ -39,8 +39,8 @@
 	}
 
 	// Whether another write may be begun: none is under way, and none failed just now.
-	boolean ready() {
-		return !this.writing && System.nanoTime() - this.notBeforeNanos >= 0 && this.directory.known();
+	boolean canWrite() {
+		return !this.writing && System.nanoTime() - this.notBeforeNanos >= 0 && this.directory.isLoaded();
 	}
 
 	/**
@@ -51,13 +51,13 @@
 	 */
 	void write(long version, byte[] value, Runnable written) {
 		this.writing = true;
-		Commit commit = new Commit(List.of(new Expected(StoredRows.MESH, this.key, version)),
+		Commit commit = new Commit(List.of(new Precondition(StoredRows.MESH, this.key, version)),
 				List.of(new Put(StoredRows.MESH, this.key, value)));
 		this.store.commit(commit).whenResult((result) -> {
 			this.writing = false;
 			switch (result) {
 				case CommitResult.Done(long done) -> {
-					this.directory.written(new MetadataStore.Row(this.key, Optional.of(value), done));
+					this.directory.onRowWritten(new MetadataStore.Row(this.key, Optional.of(value), done));
 					written.run();
 				}
 				// The feed tells what is there; the next look goes on from that.
@@ -69,12 +69,12 @@
 	}
 
 	private void lost(String reason) {
-		this.health.answered(StoredRows.MESH, new MetadataStore.StoreFailedException(reason));
+		this.health.recordCall(StoredRows.MESH, new MetadataStore.StoreFailedException(reason));
 		pause();
 	}
 
 	private void pause() {
-		this.notBeforeNanos = System.nanoTime() + LOOK_EVERY.toNanos() * 2;
+		this.notBeforeNanos = System.nanoTime() + CHECK_INTERVAL.toNanos() * 2;
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Awaited.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/PendingAnswers.java
@@ -14,18 +14,18 @@
  *
  * @param <T> what an answer is
  */
-final class Awaited<T> {
+final class PendingAnswers<T> {
 
 	private final Map<Long, SettablePromise<Optional<T>>> answers = new HashMap<>();
 
-	Promise<Optional<T>> begin(long exchange) {
+	Promise<Optional<T>> register(long exchange) {
 		SettablePromise<Optional<T>> answer = new SettablePromise<>();
 		this.answers.put(exchange, answer);
 		return answer;
 	}
 
 	// Numbers are never used twice, so a late answer finds nobody.
-	void settle(long exchange, T answer) {
+	void complete(long exchange, T answer) {
 		Optional.ofNullable(this.answers.remove(exchange)).ifPresent((waiting) -> waiting.set(Optional.of(answer)));
 	}
 
@@ -34,7 +34,7 @@
 	}
 
 	// The connection is gone, and no answer comes any more.
-	void lost() {
+	void onConnectionLost() {
 		List<SettablePromise<Optional<T>>> unanswered = List.copyOf(this.answers.values());
 		this.answers.clear();
 		unanswered.forEach((waiting) -> waiting.set(Optional.empty()));
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/RowFollowers.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/RowFollowers.java
@@ -17,7 +17,7 @@
 final class RowFollowers {
 
 	/** Who has not asked for so long follows no more. */
-	private static final long FOLLOWS_NANOS = FollowedReaders.ASK_EVERY.multipliedBy(4).toNanos();
+	private static final long FOLLOWS_NANOS = FollowedReaders.POLL_INTERVAL.multipliedBy(4).toNanos();
 
 	/**
 	 * A follower that still lacks what it was told so long ago did not take it, as one
@@ -33,7 +33,7 @@
 
 	private final NioReactor reactor;
 
-	private final Function<KnownRows, HopMessage.RowsPassed> lacking;
+	private final Function<KnownRows, HopMessage.RowChanges> lacking;
 
 	private final Map<Object, Follower> followers = new HashMap<>();
 
@@ -44,7 +44,7 @@
 	 * @param reactor the reactor of the thread of requests
 	 * @param lacking what a follower lacks that knows so much
 	 */
-	RowFollowers(NioReactor reactor, Function<KnownRows, HopMessage.RowsPassed> lacking) {
+	RowFollowers(NioReactor reactor, Function<KnownRows, HopMessage.RowChanges> lacking) {
 		this.reactor = reactor;
 		this.lacking = lacking;
 	}
@@ -55,30 +55,30 @@
 	 * @param asked what it knows
 	 * @param sink sends to it
 	 */
-	void followed(Object connection, HopMessage.RowsFollowed asked, Sink sink) {
+	void follow(Object connection, HopMessage.FollowRequest asked, Sink sink) {
 		this.followers.computeIfAbsent(connection, (key) -> new Follower(sink, asked.known()))
 			.asked(asked, System.nanoTime());
 	}
 
-	void gone(Object connection) {
+	void remove(Object connection) {
 		this.followers.remove(connection);
 	}
 
 	// Whether anyone relies on this daemon.
-	boolean any() {
+	boolean hasFollowers() {
 		long now = System.nanoTime();
 		return this.followers.values().stream().anyMatch((follower) -> follower.follows(now));
 	}
 
 	/** Tells all followers what is new, once for all changes of one turn of the loop. */
-	void changed() {
+	void notifyFollowers() {
 		if (!this.posted && !this.followers.isEmpty()) {
 			this.posted = true;
 			this.reactor.post(() -> {
 				this.posted = false;
 				long now = System.nanoTime();
 				// Most followers lack the same, which is put together once.
-				Map<KnownRows, HopMessage.RowsPassed> passed = new HashMap<>();
+				Map<KnownRows, HopMessage.RowChanges> passed = new HashMap<>();
 				this.followers.values()
 					.stream()
 					.filter((follower) -> follower.follows(now))
@@ -95,7 +95,7 @@
 		void send(HopMessage message);
 
 		// Whether something that was sent has not left this process yet.
-		default boolean busy() {
+		default boolean hasUnsentData() {
 			return false;
 		}
 
@@ -126,10 +126,10 @@
 			return now - this.askedNanos < FOLLOWS_NANOS;
 		}
 
-		void asked(HopMessage.RowsFollowed asked, long now) {
+		void asked(HopMessage.FollowRequest asked, long now) {
 			this.askedNanos = now;
-			this.reads = asked.reads();
-			if (this.sink.busy()) {
+			this.reads = asked.readsStore();
+			if (this.sink.hasUnsentData()) {
 				this.toldNanos = now;
 			}
 			if (this.reads || now - this.toldNanos >= TAKEN_NANOS) {
@@ -152,7 +152,7 @@
 			sayOnlyWhetherCurrent();
 		}
 
-		void changed(long now, Map<KnownRows, HopMessage.RowsPassed> passed) {
+		void changed(long now, Map<KnownRows, HopMessage.RowChanges> passed) {
 			if (this.reads) {
 				sayOnlyWhetherCurrent();
 			}
@@ -161,11 +161,11 @@
 			}
 		}
 
-		private HopMessage.RowsPassed lacking() {
+		private HopMessage.RowChanges lacking() {
 			return RowFollowers.this.lacking.apply(this.told);
 		}
 
-		private void tell(HopMessage.RowsPassed passed, long now) {
+		private void tell(HopMessage.RowChanges passed, long now) {
 			if (!passed.rows().isEmpty()) {
 				this.toldNanos = now;
 			}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/RowFrames.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/RowFrameCache.java
@@ -6,7 +6,7 @@
  * Rows as they are sent. The same rows mostly go to many daemons in a row, and are
  * written and compressed once for all of them. Belongs to the thread of requests.
  */
-final class RowFrames {
+final class RowFrameCache {
 
 	/** Smaller ones take more time to compress than to send. */
 	private static final int COMPRESSED_FROM_BYTES = 1 << 10;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/SharedRows.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/SharedRows.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 import org.brasspier.core.mesh.KnownRows;
-import org.brasspier.core.mesh.RowRequests;
+import org.brasspier.core.mesh.RowRequestThrottle;
 import org.brasspier.daemon.mesh.MetadataStore;
 
 /**
@@ -20,7 +20,7 @@
 
 	private final MeshLog log;
 
-	private final RowRequests requests = new RowRequests();
+	private final RowRequestThrottle requests = new RowRequestThrottle();
 
 	private Runnable told = () -> {
 	};
@@ -38,13 +38,13 @@
 	}
 
 	// Called when another daemon tells what this one's feeds have not.
-	void whenBehind(Runnable config, Runnable mesh) {
+	void addNewerRowsListener(Runnable config, Runnable mesh) {
 		this.configBehind = config;
 		this.meshBehind = mesh;
 	}
 
 	// Called after another daemon has told something new.
-	void whenTold(Runnable listener) {
+	void addRowsListener(Runnable listener) {
 		this.told = listener;
 	}
 
@@ -53,12 +53,12 @@
 	 * @param now the time
 	 * @return false while another one is expected to tell them
 	 */
-	boolean mayAsk(long now) {
-		return this.requests.mayAsk(now);
+	boolean tryRequestRows(long now) {
+		return this.requests.tryRequest(now);
 	}
 
-	KnownRows known() {
-		return new KnownRows(this.config.rowVersion(), this.directory.version());
+	KnownRows knownVersions() {
+		return new KnownRows(this.config.rowVersion(), this.directory.newestVersion());
 	}
 
 	/**
@@ -66,38 +66,38 @@
 	 * @param other what it knows
 	 * @return the rows
 	 */
-	HopMessage.RowsTold lacking(KnownRows other) {
+	HopMessage.RowsResponse missingRows(KnownRows other) {
 		List<MetadataStore.Row> config = (this.config.rowVersion() > other.config())
 				? this.config.row().stream().toList() : List.of();
 		List<MetadataStore.Row> mesh = new ArrayList<>(this.directory.rowsAfter(other.mesh()));
-		return new HopMessage.RowsTold(config, mesh);
+		return new HopMessage.RowsResponse(config, mesh);
 	}
 
-	void take(HopMessage.RowsTold told) {
-		KnownRows before = known();
-		takeRows(told);
+	void applyAndLog(HopMessage.RowsResponse told) {
+		KnownRows before = knownVersions();
+		apply(told);
 		this.log.record(MeshEvent.ROWS_TOLD, "config_rows", told.config().size(), "mesh_rows", told.mesh().size(),
-				"before", before, "after", known());
+				"before", before, "after", knownVersions());
 	}
 
 	/**
 	 * Takes rows, and has the feeds looked after that the store has not told them to.
 	 * @param told the rows
 	 */
-	void takeRows(HopMessage.RowsTold told) {
-		KnownRows before = known();
-		this.config.take(new MetadataStore.Rows(told.config(), 0), ConfigHolder.Origin.PEER);
+	void apply(HopMessage.RowsResponse told) {
+		KnownRows before = knownVersions();
+		this.config.apply(new MetadataStore.Rows(told.config(), 0), ConfigHolder.Origin.PEER);
 		if (!told.mesh().isEmpty()) {
-			this.directory.take(new MetadataStore.Rows(told.mesh(), 0), false);
+			this.directory.apply(new MetadataStore.Rows(told.mesh(), 0), false);
 		}
-		if (known().config() > before.config()) {
+		if (knownVersions().config() > before.config()) {
 			this.configBehind.run();
 		}
-		if (known().mesh() > before.mesh()) {
+		if (knownVersions().mesh() > before.mesh()) {
 			this.meshBehind.run();
 		}
-		if (!known().equals(before)) {
-			this.requests.answered();
+		if (!knownVersions().equals(before)) {
+			this.requests.onRowsReceived();
 			this.told.run();
 		}
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/StoreFollowing.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/StoreFollowing.java
@@ -7,7 +7,7 @@
 
 import io.activej.reactor.nio.NioReactor;
 import org.brasspier.core.InstanceId;
-import org.brasspier.core.mesh.FeedPace;
+import org.brasspier.core.mesh.FeedTiming;
 import org.brasspier.core.mesh.FollowedReaders;
 import org.brasspier.core.mesh.KnownRows;
 import org.brasspier.core.mesh.ReaderChoice;
@@ -37,7 +37,7 @@
 
 	private static final Duration STEP = Duration.ofMillis(200);
 
-	private static final long ASK_EVERY_NANOS = FollowedReaders.ASK_EVERY.toNanos();
+	private static final long ASK_EVERY_NANOS = FollowedReaders.POLL_INTERVAL.toNanos();
 
 	private final NioReactor reactor;
 
@@ -76,24 +76,25 @@
 		this.rows = rows;
 		this.configFeed = new TableFeed(reactor, adapter.store(), adapter.config().table(), CONFIG_GATHER,
 				this::nextWait, health, log,
-				(read, whole) -> taken(read, () -> config.take(read, ConfigHolder.Origin.STORE)));
+				(read, whole) -> taken(read, () -> config.apply(read, ConfigHolder.Origin.STORE)));
 		this.meshFeed = new TableFeed(reactor, adapter.store(), StoredRows.MESH, MESH_GATHER, this::nextWait, health,
-				log, (read, whole) -> taken(read, () -> directory.take(read, whole)));
+				log, (read, whole) -> taken(read, () -> directory.apply(read, whole)));
 		this.followers = new RowFollowers(reactor, this::lacking);
 		this.readers = new FollowedReaders(settings.instance());
 		this.log = log;
 		this.choice = ReaderChoice.of(this.self, List.of());
-		this.configFeed.whenDoubtChanges(this.followers::changed);
-		this.meshFeed.whenDoubtChanges(this.followers::changed);
-		directory.whenWritten(this::written);
-		rows.whenTold(this.followers::changed);
-		rows.whenBehind(() -> this.configFeed.overtaken(TOLD_BY_PEER), () -> this.meshFeed.overtaken(TOLD_BY_PEER));
+		this.configFeed.addSuspicionListener(this.followers::notifyFollowers);
+		this.meshFeed.addSuspicionListener(this.followers::notifyFollowers);
+		directory.addWriteListener(this::written);
+		rows.addRowsListener(this.followers::notifyFollowers);
+		rows.addNewerRowsListener(() -> this.configFeed.expectChange(TOLD_BY_PEER),
+				() -> this.meshFeed.expectChange(TOLD_BY_PEER));
 	}
 
 	private void taken(MetadataStore.Rows read, Runnable take) {
 		take.run();
 		if (!read.rows().isEmpty()) {
-			this.followers.changed();
+			this.followers.notifyFollowers();
 		}
 	}
 
@@ -115,8 +116,8 @@
 	}
 
 	// The ends of the calls of all that follow the store are spread over time.
-	private Duration nextWait(FeedPace pace) {
-		if (this.choice.reads()) {
+	private Duration nextWait(FeedTiming pace) {
+		if (this.choice.isReader()) {
 			return pace.nextWait(this.choice.position(), this.choice.readers().size());
 		}
 		int position = this.directory.position(this.self.instance());
@@ -129,18 +130,18 @@
 
 	// Those that read for the others know at once and pass it on.
 	private void written(MetadataStore.Row row) {
-		HopMessage.RowsTold told = new HopMessage.RowsTold(List.of(), List.of(row));
+		HopMessage.RowsResponse told = new HopMessage.RowsResponse(List.of(), List.of(row));
 		this.choice.readers()
 			.stream()
 			.filter((reader) -> !reader.equals(this.self.instance()))
 			.flatMap((reader) -> this.directory.member(reader).stream())
-			.forEach((reader) -> this.hops.tell(reader, told));
-		this.followers.changed();
+			.forEach((reader) -> this.hops.sendOneWay(reader, told));
+		this.followers.notifyFollowers();
 	}
 
-	private HopMessage.RowsPassed lacking(KnownRows known) {
-		boolean current = this.configFeed.current() && this.meshFeed.current();
-		return new HopMessage.RowsPassed(known, complete(), current, this.rows.lacking(known));
+	private HopMessage.RowChanges lacking(KnownRows known) {
+		boolean current = this.configFeed.isCurrent() && this.meshFeed.isCurrent();
+		return new HopMessage.RowChanges(known, complete(), current, this.rows.missingRows(known));
 	}
 
 	private void step() {
@@ -165,7 +166,7 @@
 	private List<ReaderChoice.Candidate> candidates(long now) {
 		return this.directory.reachable()
 			.filter(Member::passesRows)
-			.filter((member) -> !this.hops.avoided(member.instance(), now))
+			.filter((member) -> !this.hops.shouldAvoid(member.instance(), now))
 			.map((member) -> new ReaderChoice.Candidate(member.instance(), member.failureDomain(),
 					member.linkMegabits()))
 			.toList();
@@ -175,27 +176,28 @@
 		InstanceId instance = reader.instance();
 		this.askedNanos.put(instance, now);
 		this.hops
-			.follow(reader, new HopMessage.RowsFollowed(complete(), this.following), (passed) -> take(instance, passed))
+			.follow(reader, new HopMessage.FollowRequest(complete(), this.following),
+					(passed) -> take(instance, passed))
 			.whenResult((answer) -> {
 				if (answer.isEmpty()) {
-					this.readers.lost(instance);
+					this.readers.onUnreachable(instance);
 				}
 			});
 	}
 
-	private void take(InstanceId reader, HopMessage.RowsPassed passed) {
-		this.rows.takeRows(passed.rows());
-		this.configFeed.told(passed.after().config(), passed.upTo().config());
-		this.meshFeed.told(passed.after().mesh(), passed.upTo().mesh());
-		if (this.readers.heard(reader, passed.current(), System.nanoTime())) {
-			this.configFeed.doubt(OTHER_UNANSWERED);
-			this.meshFeed.doubt(OTHER_UNANSWERED);
+	private void take(InstanceId reader, HopMessage.RowChanges passed) {
+		this.rows.apply(passed.rows());
+		this.configFeed.advance(passed.after().config(), passed.upTo().config());
+		this.meshFeed.advance(passed.after().mesh(), passed.upTo().mesh());
+		if (this.readers.onReport(reader, passed.storeReachable(), System.nanoTime())) {
+			this.configFeed.markSuspect(OTHER_UNANSWERED);
+			this.meshFeed.markSuspect(OTHER_UNANSWERED);
 		}
 	}
 
 	private void decide(long now) {
-		boolean follow = this.choice.reads() || this.followers.any()
-				|| !this.readers.covered(this.choice.followed(), now);
+		boolean follow = this.choice.isReader() || this.followers.hasFollowers()
+				|| !this.readers.receivesUpdates(this.choice.followed(), now);
 		if (follow != this.following) {
 			this.following = follow;
 			this.log.record(MeshEvent.STORE_FOLLOWED, "by_itself", follow, "readers", this.choice.readers().size(),
@@ -206,8 +208,8 @@
 			this.meshFeed.resume();
 		}
 		else {
-			this.configFeed.rest();
-			this.meshFeed.rest();
+			this.configFeed.pause();
+			this.meshFeed.pause();
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/StoreHealth.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/StoreHealth.java
@@ -25,11 +25,11 @@
 	}
 
 	// Called when a call fails after others were answered.
-	void listen(Runnable listener) {
+	void addLossListener(Runnable listener) {
 		this.listeners.add(listener);
 	}
 
-	void answered(String table, @Nullable Exception failure) {
+	void recordCall(String table, @Nullable Exception failure) {
 		this.metrics.counter((failure != null) ? "store.calls.failed" : "store.calls.answered").inc();
 		if (failure != null && !this.lost) {
 			this.lost = true;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/StoredRows.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/StoredRows.java
@@ -23,9 +23,9 @@
 import org.brasspier.core.Fence;
 import org.brasspier.core.InstanceId;
 import org.brasspier.core.ServiceName;
-import org.brasspier.core.crash.CrashNotes;
 import org.brasspier.core.crash.CrashReport;
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.crash.CrashState;
+import org.brasspier.core.keys.BackendIncarnation;
 import org.brasspier.core.keys.Deputy;
 import org.brasspier.core.keys.KeyHolder;
 import org.brasspier.core.keys.KeyHolding;
@@ -66,16 +66,17 @@
 
 	static byte[] member(Member member) {
 		MemberRow row = new MemberRow(text(member.address()), member.failureDomain().value(), member.service().value(),
-				member.life().map(BackendLife::id).orElse(null), member.life().map(BackendLife::bornMillis).orElse(0L),
-				member.slots(), member.ready(), member.passesRows(), member.linkMegabits());
+				member.incarnation().map(BackendIncarnation::id).orElse(null),
+				member.incarnation().map(BackendIncarnation::startedMillis).orElse(0L), member.slots(), member.ready(),
+				member.passesRows(), member.linkMegabits());
 		return bytes(row);
 	}
 
 	static Either<Failure, Member> member(String instance, byte[] value) {
 		return read(() -> {
 			MemberRow row = GSON.fromJson(new String(value, StandardCharsets.UTF_8), MemberRow.class);
-			Optional<BackendLife> life = Optional.ofNullable(row.backend())
-				.map((id) -> new BackendLife(id, row.born()));
+			Optional<BackendIncarnation> life = Optional.ofNullable(row.backend())
+				.map((id) -> new BackendIncarnation(id, row.born()));
 			return new Member(new InstanceId(instance), address(row.address()), new FailureDomain(row.domain()),
 					new ServiceName(row.service()), life, row.slots(), row.ready(), row.passesRows(),
 					row.linkMegabits());
@@ -91,14 +92,15 @@
 	static byte[] keys(KeyMap map, boolean earlierBuilds) {
 		List<KeyHolder> holders = map.holdings()
 			.stream()
-			.map((held) -> new KeyHolder(held.owner(), held.life()))
+			.map((held) -> new KeyHolder(held.owner(), held.incarnation()))
 			.distinct()
 			.toList();
 		List<HolderRow> holderRows = holders.stream()
-			.map((holder) -> new HolderRow(holder.instance().value(), holder.life().id(), holder.life().bornMillis()))
+			.map((holder) -> new HolderRow(holder.instance().value(), holder.incarnation().id(),
+					holder.incarnation().startedMillis()))
 			.toList();
 		List<Object> spans = map.holdings().stream().map((held) -> {
-			int holder = holders.indexOf(new KeyHolder(held.owner(), held.life()));
+			int holder = holders.indexOf(new KeyHolder(held.owner(), held.incarnation()));
 			return earlierBuilds ? earlierSpan(held, holder) : span(held, holder);
 		}).toList();
 		return bytes(new KeysRow(map.nextFence(), holderRows, spans));
@@ -106,7 +108,8 @@
 
 	private static Object earlierSpan(KeyHolding held, int holder) {
 		return new SpanRow(held.span().from(), held.span().to(), holder, held.fence().value(),
-				held.handover().isEmpty() ? null : held.handover(), held.next().map(InstanceId::value).orElse(null));
+				held.handover().isEmpty() ? null : held.handover(),
+				held.nextHolder().map(InstanceId::value).orElse(null));
 	}
 
 	// [first key, holder, fence], then what was handed over and who is next where there
@@ -114,10 +117,10 @@
 	// gaps.
 	private static Object span(KeyHolding held, int holder) {
 		List<Object> row = new ArrayList<>(List.of(held.span().from(), holder, held.fence().value()));
-		if (!held.handover().isEmpty() || held.next().isPresent()) {
+		if (!held.handover().isEmpty() || held.nextHolder().isPresent()) {
 			row.add(held.handover());
 		}
-		held.next().ifPresent((next) -> row.add(next.value()));
+		held.nextHolder().ifPresent((next) -> row.add(next.value()));
 		return row;
 	}
 
@@ -129,7 +132,7 @@
 				.stream()
 				.map((holder) -> GSON.fromJson(holder, HolderRow.class))
 				.map((holder) -> new KeyHolder(new InstanceId(holder.instance()),
-						new BackendLife(holder.backend(), holder.born())))
+						new BackendIncarnation(holder.backend(), holder.born())))
 				.toList();
 			List<JsonElement> spans = row.getAsJsonArray("spans").asList();
 			List<KeyHolding> holdings = new ArrayList<>();
@@ -137,8 +140,8 @@
 			for (JsonElement span : spans.reversed()) {
 				SpanRow read = spanRow(span, end);
 				KeyHolder holder = holders.get(read.holder());
-				holdings.add(new KeyHolding(new KeySpan(read.from(), read.to()), holder.instance(), holder.life(),
-						new Fence(read.fence()), Optional.ofNullable(read.handover()).orElse(""),
+				holdings.add(new KeyHolding(new KeySpan(read.from(), read.to()), holder.instance(),
+						holder.incarnation(), new Fence(read.fence()), Optional.ofNullable(read.handover()).orElse(""),
 						Optional.ofNullable(read.next()).map(InstanceId::new)));
 				end = read.from() - 1;
 			}
@@ -176,22 +179,23 @@
 		});
 	}
 
-	static byte[] crashes(CrashNotes notes) {
+	static byte[] crashes(CrashState notes) {
 		return bytes(new CrashesRow(notes.reports()
 			.stream()
-			.map((report) -> new CrashRow(report.life().id(), report.life().bornMillis(), hex(report.requests())))
+			.map((report) -> new CrashRow(report.incarnation().id(), report.incarnation().startedMillis(),
+					hex(report.requests())))
 			.toList(), hex(notes.cleared())));
 	}
 
-	static Either<Failure, CrashNotes> crashes(byte[] value) {
+	static Either<Failure, CrashState> crashes(byte[] value) {
 		return read(() -> {
 			CrashesRow row = GSON.fromJson(new String(value, StandardCharsets.UTF_8), CrashesRow.class);
 			List<CrashReport> reports = row.crashes()
 				.stream()
-				.map((crash) -> new CrashReport(new BackendLife(crash.backend(), crash.born()),
+				.map((crash) -> new CrashReport(new BackendIncarnation(crash.backend(), crash.born()),
 						numbers(crash.requests())))
 				.toList();
-			return new CrashNotes(reports, numbers(row.cleared()));
+			return new CrashState(reports, numbers(row.cleared()));
 		});
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/TableFeed.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/TableFeed.java
@@ -6,7 +6,7 @@
 
 import io.activej.promise.Promise;
 import io.activej.reactor.nio.NioReactor;
-import org.brasspier.core.mesh.FeedPace;
+import org.brasspier.core.mesh.FeedTiming;
 import org.brasspier.daemon.mesh.MetadataStore;
 import org.jspecify.annotations.Nullable;
 
@@ -29,7 +29,7 @@
 
 	private final Duration gather;
 
-	private final Function<FeedPace, Duration> nextWait;
+	private final Function<FeedTiming, Duration> nextWait;
 
 	private final Receiver receiver;
 
@@ -37,7 +37,7 @@
 
 	private final MeshLog log;
 
-	private final FeedPace pace = new FeedPace();
+	private final FeedTiming pace = new FeedTiming();
 
 	// Changes up to this version are known; nothing is while it is negative.
 	private long version = -1;
@@ -70,7 +70,7 @@
 	 * @param receiver takes what the store tells
 	 */
 	TableFeed(NioReactor reactor, MetadataStore store, String table, Duration gather,
-			Function<FeedPace, Duration> nextWait, StoreHealth health, MeshLog log, Receiver receiver) {
+			Function<FeedTiming, Duration> nextWait, StoreHealth health, MeshLog log, Receiver receiver) {
 		this.reactor = reactor;
 		this.store = store;
 		this.table = table;
@@ -79,11 +79,11 @@
 		this.health = health;
 		this.log = log;
 		this.receiver = receiver;
-		health.listen(() -> doubt("a call of the store failed"));
+		health.addLossListener(() -> markSuspect("a call of the store failed"));
 	}
 
 	// Called when the store may have fallen silent, and when it answers again.
-	void whenDoubtChanges(Runnable listener) {
+	void addSuspicionListener(Runnable listener) {
 		this.doubtChanged = listener;
 	}
 
@@ -96,8 +96,8 @@
 	 * waits long ago, on a connection that has gone silent.
 	 * @param reason why, for the log
 	 */
-	void doubt(String reason) {
-		boolean news = this.pace.doubt();
+	void markSuspect(String reason) {
+		boolean news = this.pace.markSuspect();
 		if (!news || !(this.asking || this.gathering)) {
 			return;
 		}
@@ -110,7 +110,7 @@
 	/**
 	 * Leaves the store alone, since other daemons tell what it says.
 	 */
-	void rest() {
+	void pause() {
 		if (!this.resting) {
 			this.resting = true;
 			this.asking = false;
@@ -125,7 +125,7 @@
 	void resume() {
 		if (this.resting) {
 			this.resting = false;
-			this.pace.doubt();
+			this.pace.markSuspect();
 			ask();
 		}
 	}
@@ -136,8 +136,8 @@
 	}
 
 	// Whether this feed follows the store, and the store answers.
-	boolean current() {
-		return !this.resting && this.version >= 0 && !this.pace.doubted();
+	boolean isCurrent() {
+		return !this.resting && this.version >= 0 && !this.pace.isSuspect();
 	}
 
 	/**
@@ -145,7 +145,7 @@
 	 * @param after the version from which on it told them
 	 * @param upTo the version up to which it did
 	 */
-	void told(long after, long upTo) {
+	void advance(long after, long upTo) {
 		if (after <= Math.max(0, this.version)) {
 			this.version = Math.max(this.version, upTo);
 		}
@@ -156,12 +156,12 @@
 	 * waits is to be answered soon, or its connection is silent.
 	 * @param reason why, for the log
 	 */
-	void overtaken(String reason) {
+	void expectChange(String reason) {
 		long number = this.call;
 		if (this.asking) {
 			this.reactor.delay(TOLD_LATER, () -> {
 				if (number == this.call && this.asking) {
-					doubt(reason);
+					markSuspect(reason);
 				}
 			});
 		}
@@ -184,25 +184,25 @@
 	}
 
 	private void answered(Optional<MetadataStore.Rows> rows, boolean whole, @Nullable Exception failure) {
-		boolean doubted = this.pace.doubted();
+		boolean doubted = this.pace.isSuspect();
 		if (failure != null) {
-			Duration pause = this.pace.failed(sinceAsked());
+			Duration pause = this.pace.onFailure(sinceAsked());
 			noteDoubt(doubted);
 			later(pause);
 		}
 		else {
 			boolean changed = whole || rows.filter((each) -> !each.rows().isEmpty()).isPresent();
-			this.pace.answered(changed);
+			this.pace.onAnswer(changed);
 			take(rows, whole);
 			noteDoubt(doubted);
 			this.gathering = changed && !whole;
 			later(this.gathering ? this.gather : Duration.ZERO);
 		}
-		this.health.answered(this.table, failure);
+		this.health.recordCall(this.table, failure);
 	}
 
 	private void noteDoubt(boolean before) {
-		if (this.pace.doubted() != before) {
+		if (this.pace.isSuspect() != before) {
 			this.doubtChanged.run();
 		}
 	}
@@ -216,7 +216,7 @@
 		// An answer may lag behind an earlier one; versions only ever go up.
 		if (rows.get().version() >= this.version) {
 			this.version = rows.get().version();
-			this.receiver.take(rows.get(), whole);
+			this.receiver.accept(rows.get(), whole);
 		}
 	}
 
@@ -247,7 +247,7 @@
 		 * @param rows the rows
 		 * @param whole whether these are all rows of the table
 		 */
-		void take(MetadataStore.Rows rows, boolean whole);
+		void accept(MetadataStore.Rows rows, boolean whole);
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/CellCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/CellCalls.java
@@ -48,7 +48,7 @@
 		OwnershipSnapshot snapshot = this.ownership.get();
 		CellView view = this.cell.get();
 		long now = System.nanoTime();
-		boolean valid = snapshot.leaseValid(now);
+		boolean valid = snapshot.isLeaseValid(now);
 		long held = view.ranges()
 			.stream()
 			.map(CellView.Range::service)
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardLink.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardLink.java
@@ -16,7 +16,7 @@
 import org.brasspier.core.Failure;
 import org.brasspier.core.InstanceId;
 import org.brasspier.core.event.EventKind;
-import org.brasspier.core.retry.ConnectionAllowance;
+import org.brasspier.core.retry.LostConnectionRetries;
 import org.brasspier.core.routing.PeerAddress;
 import org.brasspier.daemon.internal.peer.PeerConnection;
 import org.brasspier.daemon.internal.settings.CurrentSecrets;
@@ -263,7 +263,7 @@
 		Failure failure = Failure.of(ErrorKind.OUTCOME_UNKNOWN,
 				"the connection to %s broke: %s".formatted(this.peer, reason.getMessage()));
 		Outcome outcome = new Outcome.Failed(failure, "", Optional.empty(), false,
-				ConnectionAllowance.covers(used, silent));
+				LostConnectionRetries.exemptFromBudget(used, silent));
 		List<SettablePromise<Outcome>> all = List.copyOf(this.waiting.values());
 		this.waiting.clear();
 		all.forEach((promise) -> promise.trySet(outcome));
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardServer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardServer.java
@@ -108,7 +108,7 @@
 		CallerRequest request = message.request();
 		Fence known = this.ownership.get()
 			.routes()
-			.find(request.service(), request.hash())
+			.find(request.service(), request.keyHash())
 			.map((route) -> route.fence())
 			.orElse(Fence.NONE);
 		if (message.fence().olderThan(known)) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/InFlight.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/InFlight.java
@@ -61,7 +61,7 @@
 	void reportDrained() {
 		this.draining
 			.removeIf((held) -> this.entries.stream().noneMatch((entry) -> entry.isOf(held)) && !this.granted.test(held)
-					&& this.reports.offer(new RequestsReport.RangeDrained(held, this.marks.goingWith(held.range()))));
+					&& this.reports.offer(new RequestsReport.RangeDrained(held, this.marks.marksFor(held.range()))));
 	}
 
 	int size() {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/LeaseContinuity.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/LeaseContinuity.java
@@ -33,7 +33,7 @@
 	}
 
 	boolean unbroken(long since, OwnershipSnapshot snapshot, long nowNanos) {
-		return look(snapshot, nowNanos) == since && snapshot.leaseValid(nowNanos);
+		return look(snapshot, nowNanos) == since && snapshot.isLeaseValid(nowNanos);
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/LoadReports.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/LoadReports.java
@@ -65,7 +65,7 @@
 	private void record(CallerRequest request, long busyNanos) {
 		long now = System.nanoTime();
 		this.meters.computeIfAbsent(request.service(), (service) -> new LoadMeter(WINDOW_NANOS, now))
-			.record(request.hash(), busyNanos, now);
+			.record(request.keyHash(), busyNanos, now);
 	}
 
 	private static RangeLoad load(LoadMeter meter, KeyRange range, long since, long now) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRunner.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRunner.java
@@ -79,7 +79,7 @@
 		Outcome refusal = refusal(order, cancellation, now);
 		if (refusal != null) {
 			// The slot may only be taken back after the caller has taken note of it.
-			this.reactor.post(() -> slotFree.accept(RunOutcome.NOT_BEGUN));
+			this.reactor.post(() -> slotFree.accept(RunOutcome.NOT_STARTED));
 			return OrderRun.ended(refusal);
 		}
 		this.watch.announcement().ifPresent((known) -> this.client.address(known.address()));
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/Outcome.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/Outcome.java
@@ -8,7 +8,7 @@
 import org.brasspier.core.InstanceId;
 import org.brasspier.core.Ran;
 import org.brasspier.core.request.Answer;
-import org.brasspier.core.retry.ConnectionAllowance;
+import org.brasspier.core.retry.LostConnectionRetries;
 
 /**
  * How a request ended, as it is relayed towards its caller. Immutable and thread-safe.
@@ -87,7 +87,7 @@
 	 * @param owner who owns the request as far as the answering daemon knows
 	 * @param backendLost whether it ran when its backend server was lost
 	 * @param resendPaid whether sending it again needs no retry budget, see
-	 * {@link ConnectionAllowance}
+	 * {@link LostConnectionRetries}
 	 */
 	record Failed(Failure failure, String ticket, Optional<Owner> owner, boolean backendLost,
 			boolean resendPaid) implements Outcome {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OwnerGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OwnerGate.java
@@ -79,7 +79,7 @@
 		long now = System.nanoTime();
 		OwnershipSnapshot snapshot = this.ownership.get();
 		long leaseRun = this.continuity.look(snapshot, now);
-		Optional<Assignment> owned = snapshot.holding(request.service(), request.hash(), now);
+		Optional<Assignment> owned = snapshot.findHeld(request.service(), request.keyHash(), now);
 		if (owned.isEmpty()) {
 			return Promise.of(notOwner(snapshot, request));
 		}
@@ -135,7 +135,8 @@
 
 	private Promise<Outcome> hand(Admitted admitted) {
 		CallerRequest request = admitted.order().request();
-		InFlight.Entry entry = this.inFlight.begin(request.service(), request.hash(), admitted.order().held().fence());
+		InFlight.Entry entry = this.inFlight.begin(request.service(), request.keyHash(),
+				admitted.order().held().fence());
 		OrderRun run = this.servers.apply(admitted);
 		run.over().whenComplete(() -> this.inFlight.end(entry));
 		return run.outcome().whenResult((outcome) -> followSuspect(request, outcome));
@@ -170,10 +171,10 @@
 	private Promise<Outcome> afterLapse(Order order, Outcome answered, long waitUntilNanos) {
 		OwnershipSnapshot snapshot = this.ownership.get();
 		long now = System.nanoTime();
-		if (snapshot.leaseValid(now) && heldAlone(order, snapshot)) {
+		if (snapshot.isLeaseValid(now) && heldAlone(order, snapshot)) {
 			return Promise.of(answered);
 		}
-		if (snapshot.leaseValid(now) || now - waitUntilNanos >= 0) {
+		if (snapshot.isLeaseValid(now) || now - waitUntilNanos >= 0) {
 			return Promise.of(Outcome.failed(ErrorKind.OUTCOME_UNKNOWN, "the lease ran out while the request ran")
 				.withTicket(answered.ticket()));
 		}
@@ -182,14 +183,14 @@
 
 	private static boolean heldAlone(Order order, OwnershipSnapshot snapshot) {
 		return snapshot.routes()
-			.find(order.request().service(), order.request().hash())
+			.find(order.request().service(), order.request().keyHash())
 			.filter((route) -> route.owner().equals(snapshot.self()) && route.fence().equals(order.held().fence()))
 			.isPresent();
 	}
 
 	private static Outcome notOwner(OwnershipSnapshot snapshot, CallerRequest request) {
 		Optional<Outcome.Owner> known = snapshot.routes()
-			.find(request.service(), request.hash())
+			.find(request.service(), request.keyHash())
 			.map((route) -> new Outcome.Owner(route.owner(), route.fence()));
 		String detail = "this instance does not own this key of %s now".formatted(request.service());
 		return new Outcome.Failed(new Failure(ErrorKind.NOT_OWNER, detail, RETRY_SOON), "", known, false);
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/PostingExecutor.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/PostingExecutor.java
@@ -14,8 +14,8 @@
 import org.brasspier.core.ErrorKind;
 import org.brasspier.core.event.EventKind;
 import org.brasspier.core.ownership.HeldRange;
-import org.brasspier.core.request.Admission;
 import org.brasspier.core.request.CallerRequest;
+import org.brasspier.core.request.LedgerDecision;
 import org.brasspier.core.request.Posting;
 import org.brasspier.core.request.RequestIdentity;
 import org.brasspier.core.request.RequestLedger;
@@ -48,13 +48,14 @@
 		Posting posting = new Posting(request.service(), held.fence(), request.id(), request.fingerprint());
 		RequestIdentity identity = request.identity();
 		Optional<Ticket> ticket = identity.ticket().flatMap(Ticket::parse);
-		Admission admission = this.ledger.admit(posting, ticket, identity.firstSend(), nowNanos / NANOS_PER_MILLI);
+		LedgerDecision admission = this.ledger.admit(posting, ticket, identity.firstAttempt(),
+				nowNanos / NANOS_PER_MILLI);
 		Promise<Outcome> outcome = switch (admission) {
-			case Admission.Run ignored -> run(posting, run);
-			case Admission.Join ignored -> join(posting, request);
-			case Admission.Ended(var end) -> again(request,
+			case LedgerDecision.Run ignored -> run(posting, run);
+			case LedgerDecision.Join ignored -> join(posting, request);
+			case LedgerDecision.Completed(var end) -> again(request,
 					end.<Outcome>fold(Outcome::failed, (answer) -> new Outcome.Answered(answer, held.fence(), "")));
-			case Admission.Refused(var failure) -> Promise.of(Outcome.failed(failure));
+			case LedgerDecision.Refused(var failure) -> Promise.of(Outcome.failed(failure));
 		};
 		return outcome.map((end) -> withTicket(end, held));
 	}
@@ -65,7 +66,7 @@
 	}
 
 	private Ticket issue(HeldRange held) {
-		return this.ledger.issue(held.service(), held.fence(), System.nanoTime() / NANOS_PER_MILLI);
+		return this.ledger.issueTicket(held.service(), held.fence(), System.nanoTime() / NANOS_PER_MILLI);
 	}
 
 	private Promise<Outcome> run(Posting posting, Supplier<Promise<Outcome>> run) {
@@ -81,13 +82,13 @@
 
 	private void remember(Posting posting, Outcome outcome) {
 		switch (outcome) {
-			case Outcome.Answered answered -> this.ledger.ended(posting, Either.right(answered.answer()));
+			case Outcome.Answered answered -> this.ledger.recordOutcome(posting, Either.right(answered.answer()));
 			case Outcome.Failed failed -> {
 				if (failed.certainlyNotRun()) {
-					this.ledger.notRun(posting);
+					this.ledger.recordNotRun(posting);
 				}
 				else {
-					this.ledger.ended(posting, Either.left(failed.failure()));
+					this.ledger.recordOutcome(posting, Either.left(failed.failure()));
 				}
 			}
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestPath.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestPath.java
@@ -12,9 +12,9 @@
 import org.brasspier.core.request.CrashHistory;
 import org.brasspier.core.request.LedgerLimits;
 import org.brasspier.core.request.RequestLedger;
-import org.brasspier.core.retry.RecentTimes;
+import org.brasspier.core.retry.RecentLatencies;
 import org.brasspier.core.retry.RetryBudget;
-import org.brasspier.core.retry.RetryRules;
+import org.brasspier.core.retry.RetryPolicy;
 import org.brasspier.daemon.internal.DaemonContext;
 import org.brasspier.daemon.internal.backend.BackendCalls;
 import org.brasspier.daemon.internal.backend.BackendClient;
@@ -101,7 +101,7 @@
 		this.ownerGate = new OwnerGate(known.ownership(), desk(reactor, context), suspects, this.inFlight, choice::run,
 				context.events());
 		RequestRouter router = new RequestRouter(known.ownership(), this.ownerGate, client,
-				new RoutesWait(reactor, known.ownership()), RetryBudget.usual(), context.events());
+				new RoutesWait(reactor, known.ownership()), RetryBudget.withDefaults(), context.events());
 		this.callerPort = new CallerPort(context, router, known.ownership(), known.catalog());
 		this.callers = this.callerPort.listenOn(reactor, context);
 		this.backends = HttpServer
@@ -118,8 +118,8 @@
 		return new PostingExecutor(reactor, ledger, context.events());
 	}
 
-	private static RetryRules retries() {
-		return new RetryRules(RetryBudget.usual(), new RecentTimes(RETRY_WINDOW, System.nanoTime()));
+	private static RetryPolicy retries() {
+		return new RetryPolicy(RetryBudget.withDefaults(), new RecentLatencies(RETRY_WINDOW, System.nanoTime()));
 	}
 
 	void listen() throws IOException {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestRouter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestRouter.java
@@ -73,7 +73,7 @@
 	 * @return how it ended; never an exception
 	 */
 	public Promise<Outcome> route(CallerRequest request, Cancellation cancellation) {
-		this.budget.fresh();
+		this.budget.recordRequest();
 		Route route = new Route(request, cancellation, System.nanoTime());
 		// The first send may have run, so that the second one certainly did not is no
 		// answer: "not run" would let the caller send a posting anew that has run.
@@ -117,7 +117,7 @@
 		}
 
 		private Optional<Assignment> route() {
-			return RequestRouter.this.ownership.get().routes().find(this.request.service(), this.request.hash());
+			return RequestRouter.this.ownership.get().routes().find(this.request.service(), this.request.keyHash());
 		}
 
 		private Promise<Outcome> send(Outcome.Owner known) {
@@ -139,7 +139,7 @@
 			return this.request.requestClass() != RequestClass.POSTING || this.request.identity()
 				.ticket()
 				.flatMap(Ticket::parse)
-				.filter((ticket) -> !ticket.outdatedUnder(owner.fence()))
+				.filter((ticket) -> !ticket.isStaleUnder(owner.fence()))
 				.isPresent();
 		}
 
@@ -170,9 +170,9 @@
 			if (mayFindAnotherOwner(failed)) {
 				return later(route, failed);
 			}
-			if (mayBeSentAgain(failed) && (failed.resendPaid() || RequestRouter.this.budget.spend())) {
+			if (mayBeSentAgain(failed) && (failed.resendPaid() || RequestRouter.this.budget.trySpend())) {
 				this.resent = true;
-				this.request = this.request.resent();
+				this.request = this.request.asRetry();
 				return failed.backendLost() ? later(route, failed) : attempt();
 			}
 			return Promise.of(outcome);
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RoutesWait.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RoutesWait.java
@@ -75,7 +75,7 @@
 
 		boolean over(OwnershipSnapshot snapshot, long nowNanos) {
 			return nowNanos - this.untilNanos >= 0
-					|| !snapshot.routes().find(this.request.service(), this.request.hash()).equals(this.seen);
+					|| !snapshot.routes().find(this.request.service(), this.request.keyHash()).equals(this.seen);
 		}
 
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
@@ -133,7 +133,8 @@
 	// Whether the order may name its own deadline: where the server refuses old fences by
 	// itself, and for a read where no key is owned.
 	private boolean mayOutlastLease() {
-		return this.checksFences || (!this.order.request().byKey() && this.order.request().requestClass().idempotent());
+		return this.checksFences
+				|| (!this.order.request().sharded() && this.order.request().requestClass().idempotent());
 	}
 
 	// A server that checks no fences may freeze with the order and wake after the range
@@ -163,12 +164,12 @@
 					"the backend server shed the request", retryAfter.isZero() ? RETRY_SOON : retryAfter, shed());
 			case BackendReply.FenceRefused ignored -> {
 				this.runner.grants().forget();
-				notRun(ErrorKind.NO_OWNER, "the backend server refused the fence", RETRY_SOON, RunOutcome.NOT_BEGUN);
+				notRun(ErrorKind.NO_OWNER, "the backend server refused the fence", RETRY_SOON, RunOutcome.NOT_STARTED);
 			}
 			case BackendReply.NotSent(String reason) -> {
 				this.runner.watch().answersNow();
 				notRun(ErrorKind.NO_BACKEND, "the backend server can't be reached: " + reason, RETRY_SOON,
-						RunOutcome.NOT_BEGUN);
+						RunOutcome.NOT_STARTED);
 			}
 			case BackendReply.Broken(String reason) ->
 				unknown(ErrorKind.OUTCOME_UNKNOWN, "the connection to the backend server broke: " + reason);
@@ -181,7 +182,7 @@
 	// nothing of how much it can take.
 	private RunOutcome shed() {
 		boolean tooLate = this.deadlineAtNanos - System.nanoTime() <= 0;
-		return (this.cancelled || tooLate) ? RunOutcome.NOT_BEGUN : RunOutcome.SHED;
+		return (this.cancelled || tooLate) ? RunOutcome.NOT_STARTED : RunOutcome.SHED;
 	}
 
 	private void notRun(ErrorKind kind, String detail, Duration retryAfter, RunOutcome slot) {
@@ -201,7 +202,7 @@
 		this.runner.watch().answersNow().whenResult((answers) -> {
 			if (answers) {
 				this.runner.broke(this.order);
-				settle(Outcome.failed(kind, detail), RunOutcome.BROKEN);
+				settle(Outcome.failed(kind, detail), RunOutcome.INTERRUPTED);
 			}
 			else {
 				lost(kind, detail);
@@ -210,13 +211,14 @@
 	}
 
 	private void lost(ErrorKind kind, String detail) {
-		settle(new Outcome.Failed(Failure.of(kind, detail), "", Optional.empty(), true), RunOutcome.BROKEN);
+		settle(new Outcome.Failed(Failure.of(kind, detail), "", Optional.empty(), true), RunOutcome.INTERRUPTED);
 	}
 
 	private void timedOut() {
 		this.runner.calls().cancel(this.order.request().id());
 		this.runner.record(EventKind.REQUEST_UNKNOWN, this.order, "the deadline passed while it ran");
-		settle(Outcome.failed(ErrorKind.TIMED_OUT, "the deadline passed while the request ran"), RunOutcome.BROKEN);
+		settle(Outcome.failed(ErrorKind.TIMED_OUT, "the deadline passed while the request ran"),
+				RunOutcome.INTERRUPTED);
 	}
 
 	private void settle(Outcome end, RunOutcome slot) {
@@ -242,7 +244,7 @@
 	// A server that was paused begins what it has not read yet when it wakes, until the
 	// order's deadline or, where it checks fences, until its grant ends.
 	private long runsOnForNanos(RunOutcome slot) {
-		if (slot != RunOutcome.BROKEN || this.runner.watch().gone()) {
+		if (slot != RunOutcome.INTERRUPTED || this.runner.watch().gone()) {
 			return 0;
 		}
 		long now = System.nanoTime();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerChoice.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerChoice.java
@@ -19,7 +19,7 @@
 import org.brasspier.core.choosing.Candidate;
 import org.brasspier.core.document.ServiceCatalog;
 import org.brasspier.core.ownership.MemberPhase;
-import org.brasspier.core.retry.RetryRules;
+import org.brasspier.core.retry.RetryPolicy;
 import org.brasspier.daemon.internal.ownership.CellView;
 
 /**
@@ -45,10 +45,10 @@
 
 	private final BackendChooser chooser;
 
-	private final RetryRules retries;
+	private final RetryPolicy retries;
 
 	ServerChoice(InstanceId self, ServerGate own, ForwardClient others, Supplier<CellView> cell,
-			Supplier<ServiceCatalog> catalog, BackendChooser chooser, RetryRules retries) {
+			Supplier<ServiceCatalog> catalog, BackendChooser chooser, RetryPolicy retries) {
 		this.self = self;
 		this.own = own;
 		this.others = others;
@@ -88,7 +88,7 @@
 		runs.add(run.over());
 		return run.outcome().then((outcome) -> {
 			boolean failed = outcome instanceof Outcome.Failed;
-			this.chooser.ended(chosen.get(), requestClass, System.nanoTime() - begun, failed);
+			this.chooser.onEnded(chosen.get(), requestClass, System.nanoTime() - begun, failed);
 			if (outcome instanceof Outcome.Failed failure && again(order, failure, tried, admitted.cancellation())) {
 				Promise<Outcome> next = attempt(admitted, tried, runs);
 				return failure.certainlyNotRun() ? next : next.map(Outcome::afterUnknown);
@@ -103,8 +103,8 @@
 		Duration remaining = Duration.ofMillis(order.remainingMillis(System.nanoTime()));
 		RequestClass requestClass = order.request().requestClass();
 		return tried.size() < MAX_TRIES && !cancellation.cancelled()
-				&& (failed.resendPaid() ? this.retries.mayResend(requestClass, ran, remaining)
-						: this.retries.resend(requestClass, ran, remaining));
+				&& (failed.resendPaid() ? this.retries.mayRetry(requestClass, ran, remaining)
+						: this.retries.tryRetry(requestClass, ran, remaining));
 	}
 
 	private List<Candidate> candidates(ServiceName service, Set<InstanceId> tried) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
@@ -149,8 +149,8 @@
 			return;
 		}
 		this.inForce = policy;
-		policy.ifPresent((present) -> this.admission.rules(AdmissionSettings.DEFAULT.sureOf(present.sharePercents()),
-				present.callerShares()));
+		policy.ifPresent((present) -> this.admission.updateRules(
+				AdmissionSettings.DEFAULT.withGuaranteedShares(present.sharePercents()), present.callerShares()));
 	}
 
 	private OrderRun offer(Order order, Cancellation cancellation) {
@@ -175,7 +175,7 @@
 		Waiting queued = new Waiting(order, cancellation, new SettablePromise<>(), new SettablePromise<>());
 		this.waiting.put(number, queued);
 		cancellation.whenCancelled(() -> {
-			if (this.admission.cancelled(number)) {
+			if (this.admission.cancelWaiting(number)) {
 				refuse(new RefusedRequest(number, Failure.of(ErrorKind.DEADLINE_PASSED, "the caller is gone")));
 			}
 		});
@@ -196,7 +196,7 @@
 		next.run().forEach((number) -> {
 			Waiting queued = this.waiting.remove(number);
 			if (queued == null) {
-				finished(number, RunOutcome.NOT_BEGUN);
+				finished(number, RunOutcome.NOT_STARTED);
 				return;
 			}
 			OrderRun run = start(number, queued.order, queued.cancellation);
@@ -222,7 +222,7 @@
 		this.expiring = true;
 		this.reactor.delay(LOOK_AGAIN, () -> {
 			this.expiring = false;
-			carryOut(this.admission.expired(System.nanoTime()));
+			carryOut(this.admission.advance(System.nanoTime()));
 			if (this.admission.waiting() > 0) {
 				expireSoon();
 			}
@@ -235,7 +235,8 @@
 			this.drainingSinceNanos = System.nanoTime();
 		}
 		this.state = status.state();
-		this.admission.limits(new AdmissionLimits(status.slots(), Math.max(1, status.connections() - OWN_CONNECTIONS)));
+		this.admission
+			.updateLimits(new AdmissionLimits(status.slots(), Math.max(1, status.connections() - OWN_CONNECTIONS)));
 		if (status.state() == BackendState.LOST) {
 			this.grants.forget();
 			List<RefusedRequest> refused = this.admission
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/Suspects.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/Suspects.java
@@ -46,23 +46,23 @@
 	}
 
 	void partOfLoss(CallerRequest request) {
-		int crashes = this.marks.crashed(request.mark(), request.hash());
+		int crashes = this.marks.recordCrash(request.crashFingerprint(), request.keyHash());
 		this.events.record(EventKind.REQUEST_SUSPECT, request, "part of %d losses".formatted(crashes));
 	}
 
 	void endedWell(CallerRequest request) {
 		if (!this.marks.isEmpty()) {
-			this.marks.endedWell(request.mark());
+			this.marks.recordSuccess(request.crashFingerprint());
 		}
 	}
 
 	boolean contains(CallerRequest request) {
-		return !this.marks.isEmpty() && this.marks.count(request.mark()) > 0;
+		return !this.marks.isEmpty() && this.marks.crashCount(request.crashFingerprint()) > 0;
 	}
 
 	// Whether it must not reach another backend server.
 	boolean keptAway(CallerRequest request) {
-		return !this.marks.isEmpty() && this.marks.count(request.mark()) >= CrashHistory.MAX_CRASHES;
+		return !this.marks.isEmpty() && this.marks.crashCount(request.crashFingerprint()) >= CrashHistory.MAX_CRASHES;
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/BackendMessage.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/BackendMessage.java
@@ -10,7 +10,7 @@
 	 *
 	 * @param heartbeat what it says of itself
 	 */
-	record Beat(Heartbeat heartbeat) implements BackendMessage {
+	record HeartbeatMessage(Heartbeat heartbeat) implements BackendMessage {
 	}
 
 	/**
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/BackendProtocol.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/BackendProtocol.java
@@ -12,7 +12,7 @@
 	 * @param order the order
 	 * @return what is sent
 	 */
-	RawRequest order(BackendOrder order);
+	RawRequest request(BackendRequest order);
 
 	/**
 	 * Reads what an answer says.
@@ -20,7 +20,7 @@
 	 * @param answer what came
 	 * @return its meaning
 	 */
-	Verdict verdict(BackendOrder order, Answer answer);
+	Verdict verdict(BackendRequest order, Answer answer);
 
 	/**
 	 * What an answer of a backend server means.
@@ -32,7 +32,7 @@
 		/** It says that the order did not run. */
 		NOT_RUN,
 		/** It answers an earlier order; the right one may still come. */
-		OTHER_ORDER
+		OTHER_REQUEST
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/CallerProtocol.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/CallerProtocol.java
@@ -21,7 +21,7 @@
 	 * @param answer the backend server's answer
 	 * @return what the caller gets
 	 */
-	Answer relayed(Answer answer);
+	Answer relayedAnswer(Answer answer);
 
 	/**
 	 * An answer of the daemon's own.
@@ -29,6 +29,6 @@
 	 * @param failure what happened
 	 * @return what the caller gets
 	 */
-	Answer failed(RawRequest raw, Failure failure);
+	Answer failureAnswer(RawRequest raw, Failure failure);
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/Heartbeat.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/Heartbeat.java
@@ -13,21 +13,21 @@
  * @param address where it listens
  * @param slots how many requests it runs at once, at least 1
  * @param draining whether it is leaving
- * @param coldFor how much longer it is slow after its start
+ * @param coldStartRemaining how much longer it is slow after its start
  * @param sequence grows with each heartbeat of a life, so that a late one is known
  * @param holds its life, and the keys it holds and has let go of
  */
-public record Heartbeat(ServiceName service, InetSocketAddress address, int slots, boolean draining, Duration coldFor,
-		long sequence, HoldReport holds) {
+public record Heartbeat(ServiceName service, InetSocketAddress address, int slots, boolean draining,
+		Duration coldStartRemaining, long sequence, HoldReport holds) {
 
 	/**
 	 * Checks the numbers.
 	 * @throws IllegalArgumentException if one is out of its range
 	 */
 	public Heartbeat {
-		if (slots < 1 || coldFor.isNegative() || sequence < 0) {
+		if (slots < 1 || coldStartRemaining.isNegative() || sequence < 0) {
 			throw new IllegalArgumentException("slots %d must be at least 1, cold %s and sequence %d not negative"
-				.formatted(slots, coldFor, sequence));
+				.formatted(slots, coldStartRemaining, sequence));
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/MeshDaemon.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/MeshDaemon.java
@@ -54,11 +54,11 @@
 	 * Logs that the settings were read again.
 	 * @param outcome what came of it
 	 */
-	public void reread(String outcome) {
+	public void onSettingsReloaded(String outcome) {
 		this.duty.execute(() -> {
 			MeshNode joined = this.node;
 			if (joined != null) {
-				joined.reread(outcome);
+				joined.onSettingsReloaded(outcome);
 			}
 		});
 	}
@@ -67,7 +67,7 @@
 	 * Ends it without cutting off what is in flight, as far as the time allows. Nothing
 	 * is read or written by it afterwards.
 	 */
-	public void leave() {
+	public void stop() {
 		CompletableFuture<Void> ended = new CompletableFuture<>();
 		this.duty.execute(() -> {
 			MeshNode joined = this.node;
@@ -75,11 +75,11 @@
 				ended.complete(null);
 			}
 			else {
-				joined.leave(() -> ended.complete(null));
+				joined.stop(() -> ended.complete(null));
 			}
 		});
 		try {
-			ended.get(this.settings.bounds().stop().toMillis() + END_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
+			ended.get(this.settings.bounds().gracePeriod().toMillis() + END_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
 			this.duty.stop();
 		}
 		catch (InterruptedException ex) {
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/MeshRequest.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/MeshRequest.java
@@ -33,7 +33,7 @@
 	 * @param millis how long the caller will wait from now
 	 * @return the request
 	 */
-	public MeshRequest within(int millis) {
+	public MeshRequest withRemainingMillis(int millis) {
 		return new MeshRequest(this.id, this.host, this.method, this.target, this.headers, this.body, millis, this.key);
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/MeshSettings.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/MeshSettings.java
@@ -20,7 +20,7 @@
  * @param linkMegabits what the instance's network link carries, in megabits a second; 0
  * if that is not known
  */
-public record MeshSettings(InstanceId instance, FailureDomain failureDomain, Listen listen, Backend backend,
+public record MeshSettings(InstanceId instance, FailureDomain failureDomain, ListenAddresses listen, Backend backend,
 		Bounds bounds, int linkMegabits) {
 
 	/**
@@ -31,7 +31,7 @@
 	 * @param backend the backend server beside it
 	 * @param bounds the times that operators promise their users
 	 */
-	public MeshSettings(InstanceId instance, FailureDomain failureDomain, Listen listen, Backend backend,
+	public MeshSettings(InstanceId instance, FailureDomain failureDomain, ListenAddresses listen, Backend backend,
 			Bounds bounds) {
 		this(instance, failureDomain, listen, backend, bounds, 0);
 	}
@@ -45,7 +45,7 @@
 	 * @param peers for other daemons
 	 * @param metrics for metrics; empty if there is none
 	 */
-	public record Listen(InetSocketAddress callers, InetSocketAddress readiness, InetSocketAddress backend,
+	public record ListenAddresses(InetSocketAddress callers, InetSocketAddress readiness, InetSocketAddress backend,
 			InetSocketAddress peers, Optional<InetSocketAddress> metrics) {
 	}
 
@@ -54,11 +54,11 @@
 	 *
 	 * @param service its service
 	 * @param address where it listens
-	 * @param heartbeatEvery how often it sends a heartbeat, about
+	 * @param heartbeatInterval how often it sends a heartbeat, about
 	 * @param grants how it receives grants of keys, unless the configuration says
 	 * otherwise for its service
 	 */
-	public record Backend(ServiceName service, InetSocketAddress address, Duration heartbeatEvery,
+	public record Backend(ServiceName service, InetSocketAddress address, Duration heartbeatInterval,
 			GrantDelivery grants) {
 	}
 
@@ -66,11 +66,11 @@
 	 * The times that operators promise.
 	 *
 	 * @param drain how long a backend server serves on once its leaving is acknowledged
-	 * @param stop how long a process may go on after it was told to end
+	 * @param gracePeriod how long a process may go on after it was told to end
 	 * @param maxHold the longest time for which keys may be granted
 	 * @param retries how many repeats the deployment may send
 	 */
-	public record Bounds(Duration drain, Duration stop, Duration maxHold, Retries retries) {
+	public record Bounds(Duration drain, Duration gracePeriod, Duration maxHold, Retries retries) {
 	}
 
 	/**
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/MetadataStore.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/MetadataStore.java
@@ -62,10 +62,10 @@
 	/**
 	 * A transaction.
 	 *
-	 * @param expected the versions that rows must have; 0 if a row must not exist
+	 * @param preconditions the versions that rows must have; 0 if a row must not exist
 	 * @param puts the rows to write
 	 */
-	record Commit(List<Expected> expected, List<Put> puts) {
+	record Commit(List<Precondition> preconditions, List<Put> puts) {
 
 	}
 
@@ -76,7 +76,7 @@
 	 * @param key the row's key
 	 * @param version the version it must have; 0 if it must not exist
 	 */
-	record Expected(String table, String key, long version) {
+	record Precondition(String table, String key, long version) {
 	}
 
 	/**
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/ConfigHolderTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/ConfigHolderTests.java
@@ -23,7 +23,7 @@
 
 	private void take(long rowVersion, long configVersion) {
 		byte[] value = Long.toString(configVersion).getBytes(StandardCharsets.UTF_8);
-		this.config.take(
+		this.config.apply(
 				new MetadataStore.Rows(
 						List.of(new MetadataStore.Row(ConfigSourceStandIn.KEY, Optional.of(value), rowVersion)), 0),
 				ConfigHolder.Origin.PEER);
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/DirectoryTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/DirectoryTests.java
@@ -11,9 +11,9 @@
 import org.brasspier.core.FailureDomain;
 import org.brasspier.core.InstanceId;
 import org.brasspier.core.ServiceName;
-import org.brasspier.core.crash.CrashNotes;
 import org.brasspier.core.crash.CrashReport;
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.crash.CrashState;
+import org.brasspier.core.keys.BackendIncarnation;
 import org.brasspier.core.keys.KeyHolder;
 import org.brasspier.core.keys.KeyMap;
 import org.brasspier.daemon.mesh.MetadataStore;
@@ -38,7 +38,7 @@
 				Optional.empty(), 1, true);
 		MetadataStore.Row row = new MetadataStore.Row(StoredRows.MEMBER_PREFIX + instance,
 				Optional.of(StoredRows.member(member)), version);
-		this.directory.take(new MetadataStore.Rows(List.of(row), version), false);
+		this.directory.apply(new MetadataStore.Rows(List.of(row), version), false);
 	}
 
 	/**
@@ -50,8 +50,8 @@
 	void anInstanceWhoseAddressAnotherOneHasIsGone() {
 		written("lost", SERVICE, ADDRESS, 5);
 		written("next", OTHER, ADDRESS, 9);
-		assertThat(this.directory.replaced(new InstanceId("lost"))).isTrue();
-		assertThat(this.directory.replaced(new InstanceId("next"))).isFalse();
+		assertThat(this.directory.isReplaced(new InstanceId("lost"))).isTrue();
+		assertThat(this.directory.isReplaced(new InstanceId("next"))).isFalse();
 		assertThat(this.directory.serving(SERVICE)).isEmpty();
 		assertThat(this.directory.serving(OTHER)).hasSize(1);
 	}
@@ -64,9 +64,9 @@
 	@Test
 	void aReadingThatWasOvertakenTakesNobodyOffTheList() {
 		written("other", SERVICE, ADDRESS, 5);
-		this.directory.take(new MetadataStore.Rows(List.of(), 4), true);
+		this.directory.apply(new MetadataStore.Rows(List.of(), 4), true);
 		assertThat(this.directory.serving(SERVICE)).hasSize(1);
-		this.directory.take(new MetadataStore.Rows(List.of(), 6), true);
+		this.directory.apply(new MetadataStore.Rows(List.of(), 6), true);
 		assertThat(this.directory.serving(SERVICE)).isEmpty();
 	}
 
@@ -75,7 +75,7 @@
 		written("first", SERVICE, ADDRESS, 5);
 		written("first", SERVICE, new InetSocketAddress("10.0.0.2", 7600), 8);
 		written("next", OTHER, ADDRESS, 9);
-		assertThat(this.directory.replaced(new InstanceId("first"))).isFalse();
+		assertThat(this.directory.isReplaced(new InstanceId("first"))).isFalse();
 	}
 
 	// Each row comes from the store, from its writer and from those that pass rows on;
@@ -86,20 +86,21 @@
 		long changes = this.metrics.counter("events.MEMBER_CHANGED").getCount();
 		MetadataStore.Row unreadable = new MetadataStore.Row(StoredRows.MEMBER_PREFIX + "other",
 				Optional.of("not to be read".getBytes(StandardCharsets.UTF_8)), 5);
-		this.directory.take(new MetadataStore.Rows(List.of(unreadable), 5), false);
+		this.directory.apply(new MetadataStore.Rows(List.of(unreadable), 5), false);
 		assertThat(this.metrics.counter("events.MEMBER_CHANGED").getCount()).isEqualTo(changes);
 		assertThat(this.directory.serving(SERVICE)).hasSize(1);
 	}
 
 	@Test
 	void aKeyMapThatIsKnownAlreadyIsNotReadAgain() {
-		KeyMap map = KeyMap.first(List.of(new KeyHolder(new InstanceId("other"), new BackendLife("backend", 1))));
+		KeyMap map = KeyMap
+			.initial(List.of(new KeyHolder(new InstanceId("other"), new BackendIncarnation("backend", 1))));
 		String key = StoredRows.KEYS_PREFIX + SERVICE.value();
-		this.directory.take(new MetadataStore.Rows(
+		this.directory.apply(new MetadataStore.Rows(
 				List.of(new MetadataStore.Row(key, Optional.of(StoredRows.keys(map, false)), 7)), 7), false);
 		MetadataStore.Row unreadable = new MetadataStore.Row(key,
 				Optional.of("not to be read".getBytes(StandardCharsets.UTF_8)), 7);
-		this.directory.take(new MetadataStore.Rows(List.of(unreadable), 7), false);
+		this.directory.apply(new MetadataStore.Rows(List.of(unreadable), 7), false);
 		assertThat(this.metrics.counter("events.KEYS_MOVED").getCount()).isEqualTo(0);
 		assertThat(this.directory.keysVersion(SERVICE)).isEqualTo(7);
 	}
@@ -108,27 +109,28 @@
 	void theNewestVersionIsThatOfTheNewestRowThere() {
 		written("first", SERVICE, ADDRESS, 5);
 		written("second", SERVICE, new InetSocketAddress("10.0.0.2", 7600), 9);
-		assertThat(this.directory.version()).isEqualTo(9);
-		this.directory.take(
+		assertThat(this.directory.newestVersion()).isEqualTo(9);
+		this.directory.apply(
 				new MetadataStore.Rows(
 						List.of(new MetadataStore.Row(StoredRows.MEMBER_PREFIX + "second", Optional.empty(), 12)), 12),
 				false);
-		assertThat(this.directory.version()).isEqualTo(5);
+		assertThat(this.directory.newestVersion()).isEqualTo(5);
 	}
 
 	// Guards against a daemon that learns of crashes from another one and does not pass
 	// them on.
 	@Test
 	void whatARowSaysOfCrashesIsToldOnceAndPassedOn() {
-		List<CrashNotes> told = new ArrayList<>();
-		this.directory.whenCrashesTold((instance, notes) -> told.add(notes));
-		CrashNotes notes = new CrashNotes(List.of(new CrashReport(new BackendLife("server", 1), Set.of(4L))), Set.of());
+		List<CrashState> told = new ArrayList<>();
+		this.directory.addCrashListener((instance, notes) -> told.add(notes));
+		CrashState notes = new CrashState(List.of(new CrashReport(new BackendIncarnation("server", 1), Set.of(4L))),
+				Set.of());
 		MetadataStore.Row row = new MetadataStore.Row(StoredRows.CRASHES_PREFIX + "a",
 				Optional.of(StoredRows.crashes(notes)), 6);
-		this.directory.take(new MetadataStore.Rows(List.of(row), 6), false);
-		this.directory.take(new MetadataStore.Rows(List.of(row), 6), true);
+		this.directory.apply(new MetadataStore.Rows(List.of(row), 6), false);
+		this.directory.apply(new MetadataStore.Rows(List.of(row), 6), true);
 		assertThat(told).containsExactly(notes);
-		assertThat(this.directory.version()).isEqualTo(6);
+		assertThat(this.directory.newestVersion()).isEqualTo(6);
 		assertThat(this.directory.rowsAfter(5)).containsExactly(row);
 	}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopClientTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopClientTests.java
@@ -77,8 +77,9 @@
 			// Open connections keep the loop running; its thread ends with the tests.
 			Thread.ofPlatform().daemon().start(this.loop);
 			this.loop.execute(() -> {
-				Predicate<InstanceId> avoided = (instance) -> client.avoided(instance, System.nanoTime());
-				client.askPromise(member, new InstanceId("self"), 1).whenResult(() -> avoidedWhileOpen.complete(false));
+				Predicate<InstanceId> avoided = (instance) -> client.shouldAvoid(instance, System.nanoTime());
+				client.requestPromise(member, new InstanceId("self"), 1)
+					.whenResult(() -> avoidedWhileOpen.complete(false));
 				look(avoided, avoidedWhileOpen);
 			});
 			assertThat(avoidedWhileOpen.get(30, TimeUnit.SECONDS)).isTrue();
@@ -102,9 +103,9 @@
 			this.loop.keepAlive(true);
 			// Open connections keep the loop running; its thread ends with the tests.
 			Thread.ofPlatform().daemon().start(this.loop);
-			this.loop.execute(() -> client.askPromise(member, new InstanceId("self"), 1).whenResult(() -> {
-				avoidedAtFirst.complete(client.avoided(OTHER, System.nanoTime()));
-				look((instance) -> !client.avoided(instance, System.nanoTime()), noLonger);
+			this.loop.execute(() -> client.requestPromise(member, new InstanceId("self"), 1).whenResult(() -> {
+				avoidedAtFirst.complete(client.shouldAvoid(OTHER, System.nanoTime()));
+				look((instance) -> !client.shouldAvoid(instance, System.nanoTime()), noLonger);
 			}));
 			assertThat(avoidedAtFirst.get(30, TimeUnit.SECONDS)).isTrue();
 			assertThat(noLonger.get(30, TimeUnit.SECONDS)).isTrue();
@@ -129,9 +130,9 @@
 			this.loop.keepAlive(true);
 			// Open connections keep the loop running; its thread ends with the tests.
 			Thread.ofPlatform().daemon().start(this.loop);
-			this.loop.execute(() -> client.askPromise(member, new InstanceId("self"), 1).whenResult(() -> {
+			this.loop.execute(() -> client.requestPromise(member, new InstanceId("self"), 1).whenResult(() -> {
 				back.thenRun(() -> silentBefore.complete(silent.get()));
-				look((instance) -> !client.avoided(instance, System.nanoTime()), back);
+				look((instance) -> !client.shouldAvoid(instance, System.nanoTime()), back);
 			}));
 			assertThat(silentBefore.get(30, TimeUnit.SECONDS)).isEqualTo(3);
 		}
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopCodecTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopCodecTests.java
@@ -8,9 +8,9 @@
 import org.brasspier.core.InstanceId;
 import org.brasspier.core.RequestClass;
 import org.brasspier.core.ServiceName;
-import org.brasspier.core.crash.CrashNotes;
 import org.brasspier.core.crash.CrashReport;
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.crash.CrashState;
+import org.brasspier.core.keys.BackendIncarnation;
 import org.brasspier.core.mesh.KnownRows;
 import org.brasspier.daemon.mesh.MeshRequest;
 import org.brasspier.wire.FrameDecoder;
@@ -29,12 +29,12 @@
 				OptionalInt.empty());
 		HopRequest ask = new HopRequest(new ServiceName("s"), new ServiceName("t"), RequestClass.LOOKUP, true, false,
 				mayWait, request);
-		return HopCodec.encode(new HopMessage.Asked(1, 2, ask));
+		return HopCodec.encode(new HopMessage.ForwardedRequest(1, 2, ask));
 	}
 
 	private static boolean mayWait(byte[] frame) throws WireException {
 		HopMessage message = HopCodec.decode(new FrameDecoder(1000).accept(frame).getFirst());
-		return ((HopMessage.Asked) message).ask().mayWait();
+		return ((HopMessage.ForwardedRequest) message).request().mayQueue();
 	}
 
 	@Test
@@ -59,15 +59,15 @@
 
 	@Test
 	void whatIsKnownOfCrashesIsReadAsItWasWritten() throws WireException {
-		CrashReport report = new CrashReport(new BackendLife("server", 7), Set.of(1L, -2L));
-		HopMessage told = new HopMessage.CrashesTold(new InstanceId("a"),
-				new CrashNotes(List.of(report), Set.of(Long.MIN_VALUE)));
+		CrashReport report = new CrashReport(new BackendIncarnation("server", 7), Set.of(1L, -2L));
+		HopMessage told = new HopMessage.CrashUpdate(new InstanceId("a"),
+				new CrashState(List.of(report), Set.of(Long.MIN_VALUE)));
 		assertThat(read(HopCodec.encode(told))).isEqualTo(told);
 	}
 
 	@Test
 	void aCompressedMessageIsReadAsItWasWritten() throws WireException {
-		HopMessage known = new HopMessage.Known(new KnownRows(3, 4));
+		HopMessage known = new HopMessage.VersionsNotice(new KnownRows(3, 4));
 		assertThat(read(HopCodec.encodeCompressed(known))).isEqualTo(known);
 	}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopServerStandIn.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopServerStandIn.java
@@ -58,7 +58,7 @@
 	private void answer(HopSender sender, FrameReader frame) throws WireException {
 		HopMessage asked = HopCodec.decode(frame);
 		if (asked instanceof HopMessage.Ping(boolean takesPieces)) {
-			sender.peerTakesPieces(takesPieces);
+			sender.peerAcceptsPieces(takesPieces);
 		}
 		this.answers.apply(asked).forEach(sender::send);
 	}
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/NarrowLinkTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/LowBandwidthLinkTests.java
@@ -34,7 +34,7 @@
 /**
  * Large messages between two daemons whose network carries ten megabits a second.
  */
-class NarrowLinkTests {
+class LowBandwidthLinkTests {
 
 	private static final int MEGABITS = 10;
 
@@ -69,17 +69,17 @@
 		return bytes;
 	}
 
-	private static HopMessage.RowsPassed largeRow() {
+	private static HopMessage.RowChanges largeRow() {
 		MetadataStore.Row row = new MetadataStore.Row("config", Optional.of(large()), 7);
-		return new HopMessage.RowsPassed(new KnownRows(0, 0), new KnownRows(7, 0), true,
-				new HopMessage.RowsTold(List.of(row), List.of()));
+		return new HopMessage.RowChanges(new KnownRows(0, 0), new KnownRows(7, 0), true,
+				new HopMessage.RowsResponse(List.of(row), List.of()));
 	}
 
 	// Answers each request at once, and whoever follows with the large row.
 	private static List<HopMessage> answers(HopMessage message) {
 		return switch (message) {
-			case HopMessage.RowsFollowed ignored -> List.of(largeRow());
-			case HopMessage.Asked asked -> List.of(new HopMessage.Replied(asked.exchange(),
+			case HopMessage.FollowRequest ignored -> List.of(largeRow());
+			case HopMessage.ForwardedRequest asked -> List.of(new HopMessage.ForwardedResponse(asked.exchange(),
 					new SendOutcome.NotRun(Failure.of(ErrorKind.OVERLOADED, "none runs here"), false)));
 			case HopMessage.Ping ignored -> List.of(new HopMessage.Pong());
 			default -> List.of();
@@ -102,8 +102,8 @@
 	 */
 	@Test
 	void requestsAreAnsweredWhileALargeRowIsOnItsWay() throws Exception {
-		try (HopServerStandIn server = new HopServerStandIn(NarrowLinkTests::answers);
-				NarrowNetwork network = new NarrowNetwork(server.address(), MEGABITS)) {
+		try (HopServerStandIn server = new HopServerStandIn(LowBandwidthLinkTests::answers);
+				LowBandwidthNetwork network = new LowBandwidthNetwork(server.address(), MEGABITS)) {
 			HopClient client = client(this.loop);
 			Member member = member(network.address());
 			CompletableFuture<Boolean> came = new CompletableFuture<>();
@@ -112,7 +112,7 @@
 			this.loop.keepAlive(true);
 			Thread.ofPlatform().daemon().start(this.loop);
 			this.loop.execute(() -> {
-				client.follow(member, new HopMessage.RowsFollowed(new KnownRows(0, 0), false), (passed) -> {
+				client.follow(member, new HopMessage.FollowRequest(new KnownRows(0, 0), false), (passed) -> {
 				}).whenResult((answer) -> {
 					answeredBefore.complete(this.outcomes.size());
 					came.complete(answer.isPresent());
@@ -131,8 +131,8 @@
 	 */
 	@Test
 	void aRequestWithALargeBodyIsAnsweredOnANarrowLink() throws Exception {
-		try (HopServerStandIn server = new HopServerStandIn(NarrowLinkTests::answers);
-				NarrowNetwork network = new NarrowNetwork(server.address(), MEGABITS)) {
+		try (HopServerStandIn server = new HopServerStandIn(LowBandwidthLinkTests::answers);
+				LowBandwidthNetwork network = new LowBandwidthNetwork(server.address(), MEGABITS)) {
 			HopClient client = client(this.loop);
 			Member member = member(network.address());
 			CompletableFuture<SendOutcome> outcome = new CompletableFuture<>();
@@ -163,7 +163,7 @@
 			this.loop.keepAlive(true);
 			Thread.ofPlatform().daemon().start(this.loop);
 			this.loop.execute(
-					() -> client.follow(member, new HopMessage.RowsFollowed(new KnownRows(0, 0), false), (passed) -> {
+					() -> client.follow(member, new HopMessage.FollowRequest(new KnownRows(0, 0), false), (passed) -> {
 					}).whenResult((answer) -> came.complete(answer.isPresent())));
 			assertThat(came.get(30, TimeUnit.SECONDS)).isFalse();
 		}
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/NarrowNetwork.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/LowBandwidthNetwork.java
@@ -13,7 +13,7 @@
  * A network on loopback that carries few bytes a second in each direction and keeps few
  * of them on the way, so that a sender soon waits for its receiver.
  */
-public final class NarrowNetwork implements AutoCloseable {
+public final class LowBandwidthNetwork implements AutoCloseable {
 
 	private static final int STEP_MILLIS = 5;
 
@@ -31,7 +31,7 @@
 	 * @param megabits what each direction of one carries, in megabits a second
 	 * @throws IOException if it can't listen
 	 */
-	public NarrowNetwork(InetSocketAddress target, int megabits) throws IOException {
+	public LowBandwidthNetwork(InetSocketAddress target, int megabits) throws IOException {
 		this.target = target;
 		this.bytesInStep = megabits * 1_000 / 8 * STEP_MILLIS;
 		this.listening = new ServerSocket();
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/RowFollowersTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/RowFollowersTests.java
@@ -18,17 +18,17 @@
 
 	private final Eventloop loop = Eventloop.builder().withCurrentThread().build();
 
-	private final List<HopMessage.RowsPassed> sent = new ArrayList<>();
+	private final List<HopMessage.RowChanges> sent = new ArrayList<>();
 
 	private long version = 5;
 
 	private final RowFollowers followers = new RowFollowers(this.loop, this::lacking);
 
-	private HopMessage.RowsPassed lacking(KnownRows known) {
+	private HopMessage.RowChanges lacking(KnownRows known) {
 		MetadataStore.Row row = new MetadataStore.Row("key", Optional.empty(), this.version);
 		List<MetadataStore.Row> rows = (known.mesh() < this.version) ? List.of(row) : List.of();
-		return new HopMessage.RowsPassed(known, new KnownRows(0, this.version), true,
-				new HopMessage.RowsTold(List.of(), rows));
+		return new HopMessage.RowChanges(known, new KnownRows(0, this.version), true,
+				new HopMessage.RowsResponse(List.of(), rows));
 	}
 
 	private void followed(long known) {
@@ -36,8 +36,8 @@
 	}
 
 	private void followed(long known, boolean reads) {
-		this.followers.followed("connection", new HopMessage.RowsFollowed(new KnownRows(0, known), reads),
-				(message) -> this.sent.add((HopMessage.RowsPassed) message));
+		this.followers.follow("connection", new HopMessage.FollowRequest(new KnownRows(0, known), reads),
+				(message) -> this.sent.add((HopMessage.RowChanges) message));
 	}
 
 	@Test
@@ -45,7 +45,7 @@
 		followed(3);
 		assertThat(this.sent.get(0).after().mesh()).isEqualTo(3);
 		assertThat(this.sent.get(0).rows().mesh()).hasSize(1);
-		assertThat(this.followers.any()).isTrue();
+		assertThat(this.followers.hasFollowers()).isTrue();
 	}
 
 	/**
@@ -55,8 +55,8 @@
 	void aChangeIsToldAtOnceAndOnlyOnce() {
 		followed(5);
 		this.version = 6;
-		this.followers.changed();
-		this.followers.changed();
+		this.followers.notifyFollowers();
+		this.followers.notifyFollowers();
 		this.loop.run();
 		followed(5);
 		assertThat(this.sent.stream().map((passed) -> passed.rows().mesh().size()).toList()).containsExactly(0, 1, 0)
@@ -71,7 +71,7 @@
 	void whoReadsTheStoreTooIsToldNoRowsUnlessItStaysBehind() throws InterruptedException {
 		followed(5, true);
 		this.version = 6;
-		this.followers.changed();
+		this.followers.notifyFollowers();
 		this.loop.run();
 		followed(5, true);
 		assertThat(this.sent.stream().allMatch((passed) -> passed.rows().isEmpty())).isTrue();
@@ -84,12 +84,12 @@
 	@Test
 	void whoIsGoneIsToldNothing() {
 		followed(5);
-		this.followers.gone("connection");
+		this.followers.remove("connection");
 		this.version = 6;
-		this.followers.changed();
+		this.followers.notifyFollowers();
 		this.loop.run();
 		assertThat(this.sent).hasSize(1);
-		assertThat(this.followers.any()).isFalse();
+		assertThat(this.followers.hasFollowers()).isFalse();
 	}
 
 	/**
@@ -102,19 +102,19 @@
 
 			@Override
 			public void send(HopMessage message) {
-				RowFollowersTests.this.sent.add((HopMessage.RowsPassed) message);
+				RowFollowersTests.this.sent.add((HopMessage.RowChanges) message);
 			}
 
 			@Override
-			public boolean busy() {
+			public boolean hasUnsentData() {
 				return true;
 			}
 
 		};
-		HopMessage.RowsFollowed asked = new HopMessage.RowsFollowed(new KnownRows(0, 3), false);
-		this.followers.followed("narrow", asked, narrow);
+		HopMessage.FollowRequest asked = new HopMessage.FollowRequest(new KnownRows(0, 3), false);
+		this.followers.follow("narrow", asked, narrow);
 		Thread.sleep(1100);
-		this.followers.followed("narrow", asked, narrow);
+		this.followers.follow("narrow", asked, narrow);
 		assertThat(this.sent.stream().map((passed) -> passed.rows().mesh().size()).toList()).containsExactly(1, 0)
 			.inOrder();
 	}
@@ -125,10 +125,10 @@
 	@Test
 	void followersThatLackTheSameAreToldTheSameMessage() {
 		followed(5);
-		this.followers.followed("other", new HopMessage.RowsFollowed(new KnownRows(0, 5), false),
-				(message) -> this.sent.add((HopMessage.RowsPassed) message));
+		this.followers.follow("other", new HopMessage.FollowRequest(new KnownRows(0, 5), false),
+				(message) -> this.sent.add((HopMessage.RowChanges) message));
 		this.version = 6;
-		this.followers.changed();
+		this.followers.notifyFollowers();
 		this.loop.run();
 		assertThat(this.sent).hasSize(4);
 		assertThat(this.sent.get(2)).isSameInstanceAs(this.sent.get(3));
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/RowRepairTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/RowRepairTests.java
@@ -18,7 +18,7 @@
 import org.brasspier.core.RequestClass;
 import org.brasspier.core.ServiceName;
 import org.brasspier.core.mesh.KnownRows;
-import org.brasspier.core.mesh.RowRequests;
+import org.brasspier.core.mesh.RowRequestThrottle;
 import org.brasspier.core.mesh.SendOutcome;
 import org.brasspier.daemon.internal.request.Cancellation;
 import org.brasspier.daemon.mesh.MeshRequest;
@@ -36,7 +36,7 @@
 
 	private final Eventloop loop = Eventloop.create();
 
-	private final RowRequests requests = new RowRequests();
+	private final RowRequestThrottle requests = new RowRequestThrottle();
 
 	private final AtomicInteger announced = new AtomicInteger();
 
@@ -49,26 +49,26 @@
 		ConfigHolder config = new ConfigHolder(new ConfigSourceStandIn((value) -> 3), log);
 		MetadataStore.Row row = new MetadataStore.Row(ConfigSourceStandIn.KEY,
 				Optional.of("3".getBytes(StandardCharsets.UTF_8)), 5);
-		config.take(new MetadataStore.Rows(List.of(row), 5), ConfigHolder.Origin.STORE);
+		config.apply(new MetadataStore.Rows(List.of(row), 5), ConfigHolder.Origin.STORE);
 		return new HopClient(loop, new SharedRows(config, new Directory(log), log));
 	}
 
 	// A daemon that is behind for as long as the test takes.
 	private List<HopMessage> answers(HopMessage message) {
 		return switch (message) {
-			case HopMessage.Asked asked -> List.of(
-					new HopMessage.Replied(asked.exchange(),
+			case HopMessage.ForwardedRequest asked -> List.of(
+					new HopMessage.ForwardedResponse(asked.exchange(),
 							new SendOutcome.NotRun(Failure.of(ErrorKind.NO_CONFIGURATION, "none is known"), false)),
-					new HopMessage.Known(new KnownRows(0, 0)));
+					new HopMessage.VersionsNotice(new KnownRows(0, 0)));
 			case HopMessage.Ping ignored -> List.of(new HopMessage.Pong());
-			case HopMessage.Known ignored -> {
+			case HopMessage.VersionsNotice ignored -> {
 				if (this.announced.incrementAndGet() == OTHERS) {
 					this.allAnnounced.complete(true);
 				}
-				yield this.requests.mayAsk(System.nanoTime()) ? List.of(new HopMessage.RowsAsked(new KnownRows(0, 0)))
-						: List.of();
+				yield this.requests.tryRequest(System.nanoTime())
+						? List.of(new HopMessage.RowsRequest(new KnownRows(0, 0))) : List.of();
 			}
-			case HopMessage.RowsTold ignored -> {
+			case HopMessage.RowsResponse ignored -> {
 				this.told.incrementAndGet();
 				yield List.of();
 			}
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/StoredRowsTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/StoredRowsTests.java
@@ -13,9 +13,9 @@
 import org.brasspier.core.Fence;
 import org.brasspier.core.InstanceId;
 import org.brasspier.core.ServiceName;
-import org.brasspier.core.crash.CrashNotes;
 import org.brasspier.core.crash.CrashReport;
-import org.brasspier.core.keys.BackendLife;
+import org.brasspier.core.crash.CrashState;
+import org.brasspier.core.keys.BackendIncarnation;
 import org.brasspier.core.keys.KeyHolder;
 import org.brasspier.core.keys.KeyHolding;
 import org.brasspier.core.keys.KeyMap;
@@ -32,7 +32,7 @@
 
 	private static final int MOST_SPANS = 1000;
 
-	private static final BackendLife LIFE = new BackendLife("i-7f3a91c2aa", 1_768_037_294_514L);
+	private static final BackendIncarnation LIFE = new BackendIncarnation("i-7f3a91c2aa", 1_768_037_294_514L);
 
 	// All that can be said of a span, as long as it can be.
 	private static KeyMap largest() {
@@ -72,7 +72,7 @@
 		assertThat(read.holdings()).isEqualTo(map.holdings());
 		assertThat(read.nextFence()).isEqualTo(map.nextFence());
 		assertThat(StoredRows.keys(StoredRows.keys(map, true)).get().holdings()).isEqualTo(map.holdings());
-		KeyMap first = KeyMap.first(List.of(new KeyHolder(new InstanceId("a"), LIFE)));
+		KeyMap first = KeyMap.initial(List.of(new KeyHolder(new InstanceId("a"), LIFE)));
 		assertThat(StoredRows.keys(StoredRows.keys(first, false)).get().holdings()).isEqualTo(first.holdings());
 	}
 
@@ -88,7 +88,7 @@
 				{"from":100,"to":65535,"holder":1,"fence":8}]}""";
 		KeyMap read = StoredRows.keys(row.getBytes(StandardCharsets.UTF_8)).get();
 		assertThat(read.holding(99).owner()).isEqualTo(new InstanceId("b"));
-		assertThat(read.holding(99).next()).isEqualTo(Optional.of(new InstanceId("a")));
+		assertThat(read.holding(99).nextHolder()).isEqualTo(Optional.of(new InstanceId("a")));
 		assertThat(read.holding(100).fence()).isEqualTo(new Fence(8));
 		assertThat(new String(StoredRows.keys(read, true), StandardCharsets.UTF_8)).isEqualTo(row.replace("\n", ""));
 	}
@@ -109,11 +109,11 @@
 
 	@Test
 	void theMostThatIsKnownOfCrashesFitsARowAndIsReadAsItWasWritten() {
-		List<CrashReport> reports = IntStream.range(0, CrashNotes.MAX_REPORTS)
-			.mapToObj((i) -> new CrashReport(new BackendLife("i-7f3a91c2aa", i),
+		List<CrashReport> reports = IntStream.range(0, CrashState.MAX_REPORTS)
+			.mapToObj((i) -> new CrashReport(new BackendIncarnation("i-7f3a91c2aa", i),
 					numbers(i * 1000, CrashReport.MAX_REQUESTS)))
 			.toList();
-		CrashNotes notes = new CrashNotes(reports, numbers(90_000, CrashNotes.MAX_CLEARED));
+		CrashState notes = new CrashState(reports, numbers(90_000, CrashState.MAX_CLEARED));
 		byte[] row = StoredRows.crashes(notes);
 		assertThat(row.length).isAtMost(ROW_BYTES);
 		assertThat(StoredRows.crashes(row).get()).isEqualTo(notes);
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/TableFeedTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/TableFeedTests.java
@@ -54,7 +54,7 @@
 	@Test
 	void aFeedAsksAnewOnceAnotherCallOfTheStoreHasFailed() {
 		startedAndRead();
-		this.health.answered("leases", new MetadataStore.StoreFailedException("no answer"));
+		this.health.recordCall("leases", new MetadataStore.StoreFailedException("no answer"));
 		assertThat(this.store.waits).containsExactly(Duration.ofSeconds(1), Duration.ZERO).inOrder();
 	}
 
@@ -65,8 +65,8 @@
 	@Test
 	void aFeedAsksAnewOnceAnotherDaemonKnewMore() {
 		startedAndRead();
-		this.feed.doubt("another daemon told newer rows");
-		this.feed.doubt("another daemon told newer rows");
+		this.feed.markSuspect("another daemon told newer rows");
+		this.feed.markSuspect("another daemon told newer rows");
 		assertThat(this.store.waits).containsExactly(Duration.ofSeconds(1), Duration.ZERO).inOrder();
 		this.store.changes.get(1).set(Optional.of(new MetadataStore.Rows(List.of(), 9)));
 		assertThat(this.store.waits).containsExactly(Duration.ofSeconds(1), Duration.ZERO, Duration.ofSeconds(1))
@@ -80,7 +80,7 @@
 	@Test
 	void theAnswerToACallThatWasGivenUpIsIgnored() {
 		startedAndRead();
-		this.feed.doubt("another daemon told newer rows");
+		this.feed.markSuspect("another daemon told newer rows");
 		this.store.changes.get(0).set(Optional.of(new MetadataStore.Rows(List.of(), 7)));
 		assertThat(this.store.waits).hasSize(2);
 		this.store.changes.get(1).set(Optional.of(new MetadataStore.Rows(List.of(), 9)));
@@ -100,11 +100,11 @@
 	@Test
 	void aFeedThatRestsAsksNothing() {
 		startedAndRead();
-		this.feed.rest();
+		this.feed.pause();
 		this.store.changes.get(0).set(Optional.of(new MetadataStore.Rows(List.of(), 7)));
-		this.health.answered("leases", new MetadataStore.StoreFailedException("no answer"));
+		this.health.recordCall("leases", new MetadataStore.StoreFailedException("no answer"));
 		assertThat(this.store.waits).hasSize(1);
-		assertThat(this.feed.current()).isFalse();
+		assertThat(this.feed.isCurrent()).isFalse();
 	}
 
 	/**
@@ -113,15 +113,15 @@
 	@Test
 	void aFeedGoesOnFromWhatOtherDaemonsHaveTold() {
 		startedAndRead();
-		this.feed.rest();
-		this.feed.told(5, 8);
-		this.feed.told(9, 12);
+		this.feed.pause();
+		this.feed.advance(5, 8);
+		this.feed.advance(9, 12);
 		assertThat(this.feed.version()).isEqualTo(8);
 		this.feed.resume();
 		assertThat(this.store.afters).containsExactly(5L, 8L).inOrder();
 		assertThat(this.store.waits).containsExactly(Duration.ofSeconds(1), Duration.ZERO).inOrder();
 		this.store.changes.get(1).set(Optional.of(new MetadataStore.Rows(List.of(), 9)));
-		assertThat(this.feed.current()).isTrue();
+		assertThat(this.feed.isCurrent()).isTrue();
 	}
 
 	/**
@@ -130,7 +130,7 @@
 	@Test
 	void aFeedThatIsNotAnsweredIsNotCurrentAndSaysSo() {
 		List<Boolean> current = new ArrayList<>();
-		this.feed.whenDoubtChanges(() -> current.add(this.feed.current()));
+		this.feed.addSuspicionListener(() -> current.add(this.feed.isCurrent()));
 		startedAndRead();
 		this.store.changes.get(0).setException(new MetadataStore.StoreFailedException("no answer"));
 		assertThat(current).containsExactly(false);
@@ -146,10 +146,10 @@
 		MetadataStore.Row row = new MetadataStore.Row("key", Optional.empty(), 7);
 		this.store.changes.get(0).set(Optional.of(new MetadataStore.Rows(List.of(row), 7)));
 		assertThat(this.store.waits).hasSize(1);
-		this.feed.doubt("the store no longer answers another daemon");
+		this.feed.markSuspect("the store no longer answers another daemon");
 		assertThat(this.store.waits).containsExactly(Duration.ofSeconds(1), Duration.ZERO).inOrder();
 		this.store.changes.get(1).set(Optional.of(new MetadataStore.Rows(List.of(), 7)));
-		assertThat(this.feed.current()).isTrue();
+		assertThat(this.feed.isCurrent()).isTrue();
 	}
 
 	/**
@@ -164,12 +164,12 @@
 				});
 		answered.start();
 		this.store.reads.get(0).set(FIVE);
-		answered.overtaken("another daemon told newer rows");
+		answered.expectChange("another daemon told newer rows");
 		MetadataStore.Row row = new MetadataStore.Row("key", Optional.empty(), 7);
 		this.store.changes.get(0).set(Optional.of(new MetadataStore.Rows(List.of(row), 7)));
-		virtual.delay(800, () -> answered.rest());
+		virtual.delay(800, () -> answered.pause());
 		boolean[] current = new boolean[1];
-		virtual.delay(700, () -> current[0] = answered.current());
+		virtual.delay(700, () -> current[0] = answered.isCurrent());
 		virtual.run();
 		assertThat(current[0]).isTrue();
 	}
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/NarrowForwardTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/NarrowForwardTests.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-import org.brasspier.daemon.internal.mesh.NarrowNetwork;
+import org.brasspier.daemon.internal.mesh.LowBandwidthNetwork;
 import org.junit.jupiter.api.Test;
 
 import static com.google.common.truth.Truth.assertThat;
@@ -31,8 +31,8 @@
 		PathFixture fixture = new PathFixture();
 		PathFixture.Member entry = fixture.add("entry");
 		PathFixture.Member owner = fixture.add("owner");
-		try (NarrowNetwork network = new NarrowNetwork(new InetSocketAddress("127.0.0.1", owner.forwardPort),
-				MEGABITS)) {
+		try (LowBandwidthNetwork network = new LowBandwidthNetwork(
+				new InetSocketAddress("127.0.0.1", owner.forwardPort), MEGABITS)) {
 			owner.forwardedThrough = network.address().getPort();
 			fixture.owns(owner, 7);
 			owner.announce("ready", true);
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/SilentLinkTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/SilentLinkTests.java
@@ -23,7 +23,7 @@
 	/** Twice as long as what waits on a link that is silent for 400 ms needs. */
 	private static final long WELL_USED_SECONDS = 8;
 
-	private static final int WAITING = 2 * RetryBudget.USUAL_MOST_SAVED;
+	private static final int WAITING = 2 * RetryBudget.DEFAULT_MOST_SAVED;
 
 	private final PathFixture fixture = new PathFixture();
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/SuspectsTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/SuspectsTests.java
@@ -58,7 +58,7 @@
 
 	private static MarkedRange marked(long fence, int crashes) {
 		HeldRange held = new HeldRange(KILLER.service(), KeyRange.ALL, new Fence(fence));
-		return new MarkedRange(held, List.of(new CrashMark(KILLER.mark(), crashes)));
+		return new MarkedRange(held, List.of(new CrashMark(KILLER.crashFingerprint(), crashes)));
 	}
 
 }
--- a/wire/src/main/java/org/brasspier/wire/ForwardCodec.java
+++ b/wire/src/main/java/org/brasspier/wire/ForwardCodec.java
@@ -116,12 +116,12 @@
 	private static void writeRequest(FrameWriter out, CallerRequest request) {
 		RequestIdentity identity = request.identity();
 		out.text(request.service().value())
-			.flag(request.byKey())
+			.flag(request.sharded())
 			.flag(request.key().isPresent())
 			.text(request.key().orElse(""))
 			.text(identity.id().value())
-			.flag(identity.madeUp())
-			.flag(identity.firstSend())
+			.flag(identity.generated())
+			.flag(identity.firstAttempt())
 			.text(identity.ticket().orElse(""))
 			.number(request.requestClass().ordinal())
 			.text(request.caller().value())
