--- a/daemon/src/main/java/org/brasspier/daemon/internal/Daemon.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/Daemon.java
@@ -34,12 +34,12 @@
 	public Daemon(Settings settings) {
 		this.context = new DaemonContext(settings, new EventLog(KEPT_EVENTS), new MetricRegistry());
 		this.ownership = new OwnershipDuty(this.context);
-		this.requests = new RequestsDuty(this.context, new RequestsDuty.Known(this.ownership::snapshot,
+		this.requests = new RequestsDuty(this.context, new RequestsDuty.SharedState(this.ownership::snapshot,
 				this.ownership::view, this.context.documents()::catalog));
-		this.requests.joinOwnership(this.ownership.joinRequests(this.requests.orders()));
+		this.requests.connectOwnership(this.ownership.connectRequests(this.requests.orders()));
 		this.operators = new OperatorsDuty(this.context, this.ownership::snapshot, this.ownership::view,
 				this.requests::gate, this.ownership.orders());
-		this.ownership.joinDocuments(this.operators);
+		this.ownership.setDocumentVersions(this.operators);
 	}
 
 	/**
@@ -65,8 +65,8 @@
 		CountDownLatch left = new CountDownLatch(1);
 		long maxMillis = this.context.settings().limits().maxLeaveMillis();
 		long begunNanos = System.nanoTime();
-		this.requests.leave();
-		this.ownership.leave(left::countDown);
+		this.requests.startDraining();
+		this.ownership.relinquish(left::countDown);
 		try {
 			boolean clean = left.await(maxMillis, TimeUnit.MILLISECONDS);
 			long spentMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begunNanos);
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendGate.java
@@ -263,7 +263,7 @@
 	private Promise<SendOutcome> enqueue(long number, Order order) {
 		Waiting queued = new Waiting(order, new SettablePromise<>());
 		this.waiting.put(number, queued);
-		order.cancellation.whenCancelled(() -> {
+		order.cancellation.addCancelListener(() -> {
 			if (this.admission.cancelWaiting(number)) {
 				refuse(new RefusedRequest(number, Failure.of(ErrorKind.DEADLINE_PASSED, "the caller is gone")));
 			}
@@ -275,7 +275,7 @@
 	private Promise<SendOutcome> start(long number, Order order) {
 		long now = System.nanoTime();
 		Optional<Failure> closed = suspect(order.ask).or(() -> unservable(order.ask, now));
-		if (closed.isPresent() || this.registration.incarnation().isEmpty() || order.cancellation.cancelled()) {
+		if (closed.isPresent() || this.registration.incarnation().isEmpty() || order.cancellation.isCancelled()) {
 			finished(number, RunOutcome.NOT_STARTED);
 			Failure why = closed.orElseGet(() -> Failure.of(ErrorKind.DEADLINE_PASSED, "nobody waits for it"));
 			return Promise.of(turnedAway(order.ask, why));
@@ -294,7 +294,7 @@
 		// A posting that runs is left to end: its caller's leaving doesn't undo it, and
 		// what is broken off halfway nobody can tell the outcome of.
 		if (order.ask.idempotent()) {
-			order.cancellation.whenCancelled(run::giveUp);
+			order.cancellation.addCancelListener(run::giveUp);
 		}
 		return run.reply().map((reply) -> {
 			timeout.cancel();
@@ -354,7 +354,7 @@
 				new SendOutcome.NotRun(Failure.of(ErrorKind.NO_BACKEND, "the backend server's port is closed"), false);
 			case BackendReply.Broken(String reason) -> unknown(ErrorKind.OUTCOME_UNKNOWN, reason);
 			case BackendReply.Garbled(String reason) -> unknown(ErrorKind.BAD_ANSWER, reason);
-			case BackendReply.GivenUp ignored -> unknown(ErrorKind.TIMED_OUT, order.cancellation.cancelled()
+			case BackendReply.GivenUp ignored -> unknown(ErrorKind.TIMED_OUT, order.cancellation.isCancelled()
 					? "nobody waits for it any more" : "the deadline passed while the backend server had it");
 		};
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Dispatcher.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Dispatcher.java
@@ -202,7 +202,7 @@
 		Promise<SendOutcome> attempt() {
 			long now = System.nanoTime();
 			int remaining = (int) ((this.deadlineNanos - now) / NANOS_PER_MILLI);
-			if (remaining <= 0 || this.cancellation.cancelled()) {
+			if (remaining <= 0 || this.cancellation.isCancelled()) {
 				return Promise.of(new SendOutcome.NotRun(
 						Failure.of(ErrorKind.DEADLINE_PASSED, "the deadline passed before it was sent"), false));
 			}
@@ -289,7 +289,7 @@
 			learn(target, sentNanos, mightWait, end);
 			long left = this.deadlineNanos - System.nanoTime();
 			boolean enoughTime = left > this.route.targetLatency().toNanos() / LEAST_TIME_DIVISOR
-					&& !this.cancellation.cancelled();
+					&& !this.cancellation.isCancelled();
 			if (this.rules.shouldRetry(end, enoughTime && another(target, end))) {
 				Dispatcher.this.log.record(MeshEvent.REQUEST_RESENT, "request", this.request.id(), "after",
 						target.instance(), "outcome", describe(end), "left_ms", left / NANOS_PER_MILLI);
@@ -328,7 +328,7 @@
 			long took = now - sentNanos;
 			boolean failed = !(end instanceof SendOutcome.Answered answered)
 					|| answered.answer().status() >= ErrorKind.INTERNAL_ERROR.status();
-			if (this.cancellation.cancelled()) {
+			if (this.cancellation.isCancelled()) {
 				chooser(this.service).onCancelled(target.instance());
 			}
 			else if (end instanceof SendOutcome.NotRun notRun && notRun.failure().kind() == ErrorKind.NO_FREE_SLOT) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopLink.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopLink.java
@@ -125,7 +125,7 @@
 		this.rows = rows;
 		this.connection = TcpSocket.connect(reactor, address, CONNECT_TIMEOUT, SOCKET_SETTINGS).map((socket) -> {
 			this.openedNanos = System.nanoTime();
-			PeerConnection opened = PeerConnection.unproven(socket, MAX_FRAME_BYTES, this::receive);
+			PeerConnection opened = PeerConnection.unauthenticated(socket, MAX_FRAME_BYTES, this::receive);
 			opened.closed().whenResult(this::lost);
 			this.open = Optional.of(opened);
 			HopSender opening = new HopSender(opened, HopCodec::encodeCompressed);
@@ -313,7 +313,7 @@
 				() -> settle(exchange, new SendOutcome.Unknown(
 						Failure.of(ErrorKind.TIMED_OUT, "the deadline passed while another daemon had the request"))));
 		outcome.whenResult(timeout::cancel);
-		cancellation.whenCancelled(() -> {
+		cancellation.addCancelListener(() -> {
 			if (this.waiting.containsKey(exchange)) {
 				ready.send(new HopMessage.Cancel(exchange));
 			}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopSender.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopSender.java
@@ -31,7 +31,7 @@
 	 * Holds large messages back until it is known how the other daemon takes them.
 	 */
 	void holdLargeMessages() {
-		this.connection.largeFrames(PeerConnection.LargeFrames.WAIT);
+		this.connection.setLargeFrameMode(PeerConnection.LargeFrameMode.WAIT);
 	}
 
 	/**
@@ -40,7 +40,8 @@
 	 */
 	void peerAcceptsPieces(boolean takes) {
 		this.takesPieces = takes;
-		this.connection.largeFrames(takes ? PeerConnection.LargeFrames.IN_PIECES : PeerConnection.LargeFrames.WHOLE);
+		this.connection
+			.setLargeFrameMode(takes ? PeerConnection.LargeFrameMode.IN_PIECES : PeerConnection.LargeFrameMode.WHOLE);
 	}
 
 	boolean peerAcceptsPieces() {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopServer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopServer.java
@@ -116,7 +116,7 @@
 		private Optional<HopSender> sender = Optional.empty();
 
 		void begin(ITcpSocket socket) {
-			PeerConnection opened = PeerConnection.unproven(socket, HopLink.MAX_FRAME_BYTES, this::receive);
+			PeerConnection opened = PeerConnection.unauthenticated(socket, HopLink.MAX_FRAME_BYTES, this::receive);
 			this.connection = Optional.of(opened);
 			this.sender = Optional.of(new HopSender(opened, HopServer.this.rowFrames::frame));
 			HopServer.this.connections.add(this);
@@ -130,7 +130,7 @@
 		private void closed(Exception reason) {
 			HopServer.this.connections.remove(this);
 			HopServer.this.followers.remove(this);
-			if (reason instanceof WireException && !PeerConnection.closedByPeer(reason) && !HopServer.this.leaving) {
+			if (reason instanceof WireException && !PeerConnection.isClosedByPeer(reason) && !HopServer.this.leaving) {
 				HopServer.this.log.record(MeshEvent.BAD_PEER_INPUT, "reason", String.valueOf(reason.getMessage()));
 			}
 			List.copyOf(this.running.values()).forEach(Cancellation::cancel);
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/OperatorsDuty.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/OperatorsDuty.java
@@ -153,7 +153,7 @@
 	}
 
 	@Override
-	public void seen(InstanceId peer, long version) {
+	public void onPeerVersion(InstanceId peer, long version) {
 		// A full ring loses nothing: the next heartbeat tells the version again.
 		boolean taken = this.seen.offer(new SeenVersion(peer, version));
 		if (!taken) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/DocumentVersions.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/DocumentVersions.java
@@ -17,7 +17,7 @@
 		}
 
 		@Override
-		public void seen(InstanceId peer, long version) {
+		public void onPeerVersion(InstanceId peer, long version) {
 			// Nobody wants to know.
 		}
 
@@ -34,6 +34,6 @@
 	 * @param peer the peer
 	 * @param version the version
 	 */
-	void seen(InstanceId peer, long version);
+	void onPeerVersion(InstanceId peer, long version);
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OrderBook.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OrderTracker.java
@@ -23,7 +23,7 @@
  * does not come in time fails with an unknown outcome; repeating it does no harm. Giving
  * orders is thread-safe, all else belongs to the thread of ownership.
  */
-final class OrderBook implements OwnershipOrders {
+final class OrderTracker implements OwnershipOrders {
 
 	private static final int CAPACITY = 64;
 
@@ -42,7 +42,7 @@
 	 * @param duty the duty of ownership
 	 * @param sender called in its thread for each order
 	 */
-	OrderBook(Duty duty, Sender sender) {
+	OrderTracker(Duty duty, Sender sender) {
 		this.ring = new Ring<>(CAPACITY, duty, this::send);
 		this.sender = sender;
 	}
@@ -83,7 +83,7 @@
 		this.sender.send(given.number(), given.order());
 	}
 
-	void done(OwnershipAction.OrderDone done) {
+	void onOrderDone(OwnershipAction.OrderDone done) {
 		CompletableFuture<Either<Failure, String>> answer = this.waiting.remove(done.number());
 		if (answer != null) {
 			answer.complete((done.accepted()) ? Either.right(done.detail())
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OwnershipDuty.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OwnershipDuty.java
@@ -64,7 +64,7 @@
 
 	private final DaemonContext context;
 
-	private final MachineClock clock = new MachineClock();
+	private final StateMachineClock clock = new StateMachineClock();
 
 	private final OwnershipMachine machine;
 
@@ -72,9 +72,9 @@
 
 	private final RowStore store;
 
-	private final Publisher publisher;
+	private final SnapshotBuilder publisher;
 
-	private final OrderBook orders = new OrderBook(this.duty,
+	private final OrderTracker orders = new OrderTracker(this.duty,
 			(number, order) -> run(machine().order(number, order, now())));
 
 	private final Meter tableReads;
@@ -109,7 +109,7 @@
 		this.tableWrites = context.metrics().meter("table.writes");
 		this.links = new PeerLinks(this.duty.reactor(), context, this::controlAddress, this::receive,
 				() -> machine().view().known(), controlBytes::mark);
-		this.publisher = new Publisher(settings.peerPorts(), this.clock);
+		this.publisher = new SnapshotBuilder(settings.peerPorts(), this.clock);
 		HttpClient http = HttpClient.builder(this.duty.reactor(), DnsClient.create(this.duty.reactor(), NO_NAME_SERVER))
 			.withConnectTimeout(CONNECT_TIMEOUT)
 			.withReadWriteTimeout(TABLE_TIMEOUT)
@@ -136,7 +136,7 @@
 	 * @param ring the ring into the thread of requests
 	 * @return the ring for its reports
 	 */
-	public Ring<RequestsReport> joinRequests(Ring<RequestsOrder> ring) {
+	public Ring<RequestsReport> connectRequests(Ring<RequestsOrder> ring) {
 		this.requests = Optional.of(ring);
 		return this.reports;
 	}
@@ -145,7 +145,7 @@
 	 * Joins the holder of the configuration document; called before {@link #start()}.
 	 * @param versions told of the versions that peers have in force
 	 */
-	public void joinDocuments(DocumentVersions versions) {
+	public void setDocumentVersions(DocumentVersions versions) {
 		this.documents = versions;
 	}
 
@@ -165,7 +165,7 @@
 		this.machine.document(this.documents.current());
 		takeWeights(this.context.documents().inForce());
 		run(this.machine.tick(now()));
-		this.links.dropSilent();
+		this.links.closeSilent();
 		if (now() - this.viewMadeAt >= VIEW_MILLIS) {
 			this.viewMadeAt = now();
 			this.view = this.publisher.view(this.machine.view(), now());
@@ -202,8 +202,8 @@
 
 	private void receive(InstanceId from, ControlMessage message) {
 		switch (message) {
-			case ControlMessage.Heartbeat heartbeat -> this.documents.seen(from, heartbeat.document());
-			case ControlMessage.Renewal renewal -> this.documents.seen(from, renewal.document());
+			case ControlMessage.Heartbeat heartbeat -> this.documents.onPeerVersion(from, heartbeat.document());
+			case ControlMessage.Renewal renewal -> this.documents.onPeerVersion(from, renewal.document());
 			default -> {
 			}
 		}
@@ -255,7 +255,7 @@
 			case OwnershipAction.Publish publish -> this.snapshot = this.publisher.snapshot(this.machine.view());
 			case OwnershipAction.Drain drain -> drain(drain);
 			case OwnershipAction.Tell tell -> this.context.events().record(tell.kind(), tell.subject(), tell.detail());
-			case OwnershipAction.OrderDone done -> this.orders.done(done);
+			case OwnershipAction.OrderDone done -> this.orders.onOrderDone(done);
 			case OwnershipAction.Left left -> this.whenLeft.run();
 		}
 	}
@@ -316,7 +316,7 @@
 	 * Gives up everything this instance owns, gracefully.
 	 * @param done called in another thread once nothing is owned any more
 	 */
-	public void leave(Runnable done) {
+	public void relinquish(Runnable done) {
 		this.duty.execute(() -> {
 			this.whenLeft = done;
 			run(this.machine.leave(now()));
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/PeerLinks.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/PeerLinks.java
@@ -39,7 +39,7 @@
 	 * Something between the ends may have lost track of it, and then it stays silent for
 	 * good while a new one works.
 	 */
-	static final long SILENT_NANOS = Duration.ofMillis(400).toNanos();
+	static final long SILENCE_TIMEOUT_NANOS = Duration.ofMillis(400).toNanos();
 
 	private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
 
@@ -111,7 +111,7 @@
 	}
 
 	/** Gives up connections on which an answer has been missing for too long. */
-	void dropSilent() {
+	void closeSilent() {
 		this.links.values().forEach(Link::dropIfSilent);
 	}
 
@@ -244,7 +244,7 @@
 		}
 
 		private void dropIfSilent() {
-			if (this.unanswered && System.nanoTime() - this.unansweredSince > SILENT_NANOS) {
+			if (this.unanswered && System.nanoTime() - this.unansweredSince > SILENCE_TIMEOUT_NANOS) {
 				this.current.ifPresent(
 						(open) -> open.connection().close(new WireException("%s is silent".formatted(this.peer))));
 			}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/Publisher.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/SnapshotBuilder.java
@@ -28,11 +28,11 @@
  * built anew only for a new version of the row: a renewed lease, several times a second,
  * only changes one number. Belongs to the thread of ownership.
  */
-final class Publisher {
+final class SnapshotBuilder {
 
 	private final Map<InstanceId, PeerPorts> peerPorts;
 
-	private final MachineClock clock;
+	private final StateMachineClock clock;
 
 	private long version = -1;
 
@@ -55,7 +55,7 @@
 	 * @param peerPorts peers that are reached another way than they advertise
 	 * @param clock the clock of the state machine
 	 */
-	Publisher(Map<InstanceId, PeerPorts> peerPorts, MachineClock clock) {
+	SnapshotBuilder(Map<InstanceId, PeerPorts> peerPorts, StateMachineClock clock) {
 		this.peerPorts = Map.copyOf(peerPorts);
 		this.clock = clock;
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/MachineClock.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/StateMachineClock.java
@@ -7,7 +7,7 @@
  * monotonic clock. Rounds down, so that what was sent counts as sent early and a lease as
  * ended early. Immutable and thread-safe.
  */
-final class MachineClock {
+final class StateMachineClock {
 
 	private final long startNanos = System.nanoTime();
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/peer/PeerConnection.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/peer/PeerConnection.java
@@ -36,7 +36,7 @@
 	/** What waits to be sent in pieces, in order. */
 	private final Deque<FramePieces> pieces = new ArrayDeque<>();
 
-	private LargeFrames largeFrames = LargeFrames.WHOLE;
+	private LargeFrameMode largeFrames = LargeFrameMode.WHOLE;
 
 	private boolean sendingPieces;
 
@@ -99,7 +99,7 @@
 	 * @param handler takes the frames
 	 * @return the connection
 	 */
-	public static PeerConnection unproven(ITcpSocket socket, int maxFrameBytes, FrameHandler handler) {
+	public static PeerConnection unauthenticated(ITcpSocket socket, int maxFrameBytes, FrameHandler handler) {
 		PeerConnection connection = new PeerConnection(socket, maxFrameBytes);
 		connection.decoder.limit(maxFrameBytes);
 		connection.handler = handler;
@@ -172,7 +172,8 @@
 	 * @param frame the whole frame, length included
 	 */
 	public void sendInOrder(byte[] frame) {
-		boolean direct = this.largeFrames == LargeFrames.WHOLE || frame.length <= PIECE_BYTES && this.pieces.isEmpty();
+		boolean direct = this.largeFrames == LargeFrameMode.WHOLE
+				|| frame.length <= PIECE_BYTES && this.pieces.isEmpty();
 		if (direct) {
 			sendNow(frame);
 		}
@@ -187,7 +188,7 @@
 	 * Says how large frames are sent from now on.
 	 * @param way how; those that waited for this go on
 	 */
-	public void largeFrames(LargeFrames way) {
+	public void setLargeFrameMode(LargeFrameMode way) {
 		this.largeFrames = way;
 		sendPieces();
 	}
@@ -203,10 +204,10 @@
 	// A piece is handed over once the one before has left this process, so that whatever
 	// is sent meanwhile waits for one piece at most.
 	private void sendPieces() {
-		while (!this.sendingPieces && !this.pieces.isEmpty() && this.largeFrames != LargeFrames.WAIT) {
+		while (!this.sendingPieces && !this.pieces.isEmpty() && this.largeFrames != LargeFrameMode.WAIT) {
 			FramePieces first = this.pieces.getFirst();
 			int before = first.remainingBytes();
-			Promise<Void> written = write((this.largeFrames == LargeFrames.WHOLE) ? first.whole() : first.next());
+			Promise<Void> written = write((this.largeFrames == LargeFrameMode.WHOLE) ? first.whole() : first.next());
 			this.unsentBytes -= before - first.remainingBytes();
 			if (!first.hasNext()) {
 				this.pieces.removeFirst();
@@ -255,7 +256,7 @@
 	 * @param reason what {@link #closed()} told
 	 * @return true if so
 	 */
-	public static boolean closedByPeer(Exception reason) {
+	public static boolean isClosedByPeer(Exception reason) {
 		return reason instanceof PeerClosedException;
 	}
 
@@ -289,7 +290,7 @@
 	/**
 	 * How frames are sent that take long on a narrow network.
 	 */
-	public enum LargeFrames {
+	public enum LargeFrameMode {
 
 		/** As they are; the peer knows nothing else. */
 		WHOLE,
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerChoice.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/BackendDispatcher.java
@@ -27,7 +27,7 @@
  * service is divided by key, else the one that was chosen. Belongs to the thread of
  * requests.
  */
-final class ServerChoice {
+final class BackendDispatcher {
 
 	private static final int MAX_TRIES = 3;
 
@@ -47,7 +47,7 @@
 
 	private final RetryPolicy retries;
 
-	ServerChoice(InstanceId self, ServerGate own, ForwardClient others, Supplier<CellView> cell,
+	BackendDispatcher(InstanceId self, ServerGate own, ForwardClient others, Supplier<CellView> cell,
 			Supplier<ServiceCatalog> catalog, BackendChooser chooser, RetryPolicy retries) {
 		this.self = self;
 		this.own = own;
@@ -85,7 +85,7 @@
 		tried.add(chosen.get());
 		OrderRun run = chosen.get().equals(this.self) ? this.own.run(order, admitted.cancellation())
 				: this.others.execute(chosen.get(), order, admitted.cancellation());
-		runs.add(run.over());
+		runs.add(run.settled());
 		return run.outcome().then((outcome) -> {
 			boolean failed = outcome instanceof Outcome.Failed;
 			this.chooser.onEnded(chosen.get(), requestClass, System.nanoTime() - begun, failed);
@@ -102,8 +102,8 @@
 		Ran ran = failed.backendLost() ? Ran.RAN : failed.failure().kind().ran();
 		Duration remaining = Duration.ofMillis(order.remainingMillis(System.nanoTime()));
 		RequestClass requestClass = order.request().requestClass();
-		return tried.size() < MAX_TRIES && !cancellation.cancelled()
-				&& (failed.resendPaid() ? this.retries.mayRetry(requestClass, ran, remaining)
+		return tried.size() < MAX_TRIES && !cancellation.isCancelled()
+				&& (failed.exemptFromBudget() ? this.retries.mayRetry(requestClass, ran, remaining)
 						: this.retries.tryRetry(requestClass, ran, remaining));
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/Cancellation.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/Cancellation.java
@@ -29,7 +29,7 @@
 	 * Calls a listener when the caller is gone, or at once if it already is.
 	 * @param listener the listener
 	 */
-	public void whenCancelled(Runnable listener) {
+	public void addCancelListener(Runnable listener) {
 		if (this.cancelled) {
 			listener.run();
 		}
@@ -42,7 +42,7 @@
 	 * Whether the caller is gone.
 	 * @return true from the cancellation on
 	 */
-	public boolean cancelled() {
+	public boolean isCancelled() {
 		return this.cancelled;
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardClient.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardClient.java
@@ -87,7 +87,7 @@
 		long leaseEnd = order.leaseEndNanos().getAsLong();
 		if (leaseEnd - now <= 0) {
 			return OrderRun
-				.ended(Outcome.failed(new Failure(ErrorKind.NO_OWNER, "the owner's lease ran out", RETRY_SOON)));
+				.completed(Outcome.failed(new Failure(ErrorKind.NO_OWNER, "the owner's lease ran out", RETRY_SOON)));
 		}
 		Promise<Outcome> outcome = exchange(chosen, (number, sentNanos) -> execute(order, leaseEnd, number, sentNanos),
 				order.remainingMillis(now), cancellation);
@@ -124,14 +124,14 @@
 		return over;
 	}
 
-	private Promise<Outcome> exchange(InstanceId peer, ForwardLink.Message message, int waitMillis,
+	private Promise<Outcome> exchange(InstanceId peer, ForwardLink.MessageFactory message, int waitMillis,
 			Cancellation cancellation) {
 		Optional<PeerAddress> address = this.ownership.get().addresses().find(peer);
 		if (address.isEmpty()) {
 			return Promise.of(unreachable("the address of %s is unknown".formatted(peer)));
 		}
 		ForwardLink known = this.links.get(peer);
-		if (known == null || known.closed() || !known.address().equals(address.get())) {
+		if (known == null || known.isClosed() || !known.address().equals(address.get())) {
 			known = new ForwardLink(this, peer, address.get());
 			this.links.put(peer, known);
 		}
@@ -147,11 +147,11 @@
 		return this.roundTrips.getOrDefault(instance, Duration.ofMillis(1));
 	}
 
-	void measured(InstanceId instance, Duration roundTrip) {
+	void onRoundTripMeasured(InstanceId instance, Duration roundTrip) {
 		this.roundTrips.put(instance, roundTrip);
 	}
 
-	void gone(InstanceId peer, ForwardLink link) {
+	void onLinkClosed(InstanceId peer, ForwardLink link) {
 		this.links.remove(peer, link);
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardLink.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardLink.java
@@ -110,7 +110,7 @@
 		return this.address;
 	}
 
-	boolean closed() {
+	boolean isClosed() {
 		return this.closed;
 	}
 
@@ -125,7 +125,7 @@
 		return opened.connection();
 	}
 
-	Promise<Outcome> exchange(Message message, int waitMillis, Cancellation cancellation) {
+	Promise<Outcome> exchange(MessageFactory message, int waitMillis, Cancellation cancellation) {
 		SettablePromise<Outcome> outcome = new SettablePromise<>();
 		long deadlineNanos = System.nanoTime() + Duration.ofMillis(waitMillis).toNanos();
 		ScheduledRunnable unsent = whenOver(deadlineNanos, () -> outcome
@@ -154,7 +154,7 @@
 		return this.client.reactor().delay(rest.plusMillis(1), action);
 	}
 
-	private void send(PeerConnection ready, Message message, long deadlineNanos, Cancellation cancellation,
+	private void send(PeerConnection ready, MessageFactory message, long deadlineNanos, Cancellation cancellation,
 			SettablePromise<Outcome> outcome) {
 		long exchange = this.nextExchange++;
 		if (this.waiting.isEmpty()) {
@@ -162,14 +162,14 @@
 		}
 		this.waiting.put(exchange, outcome);
 		long now = System.nanoTime();
-		send(ready, message.numbered(exchange, this.peerClock.at(now)));
-		if (this.peerClock.stale(now)) {
+		send(ready, message.create(exchange, this.peerClock.peerNanosAt(now)));
+		if (this.peerClock.isStale(now)) {
 			sendPing(ready, now);
 		}
 		ScheduledRunnable timeout = whenOver(deadlineNanos, () -> settle(exchange,
 				Outcome.failed(ErrorKind.TIMED_OUT, "the deadline passed while the owner had the request")));
 		outcome.whenResult(timeout::cancel);
-		cancellation.whenCancelled(() -> {
+		cancellation.addCancelListener(() -> {
 			if (this.waiting.containsKey(exchange)) {
 				send(ready, new ForwardMessage.Cancel(exchange));
 			}
@@ -227,8 +227,8 @@
 				settle(message.exchange(), new Outcome.Answered(message.answer(), message.fence(), message.ticket()));
 			case ForwardMessage.Failed message -> settle(message.exchange(), failed(message));
 			case ForwardMessage.Pong pong -> {
-				this.client.measured(this.peer, Duration.ofNanos(this.heardNanos - this.pingedNanos));
-				pong.sentNanos().ifPresent((sent) -> this.peerClock = PeerClock.heard(sent, this.heardNanos));
+				this.client.onRoundTripMeasured(this.peer, Duration.ofNanos(this.heardNanos - this.pingedNanos));
+				pong.sentNanos().ifPresent((sent) -> this.peerClock = PeerClock.measured(sent, this.heardNanos));
 			}
 			case ForwardMessage.Forward message -> throw unexpected(message);
 			case ForwardMessage.Execute message -> throw unexpected(message);
@@ -271,13 +271,13 @@
 
 	private void gone() {
 		this.closed = true;
-		this.client.gone(this.peer, this);
+		this.client.onLinkClosed(this.peer, this);
 	}
 
 	/**
 	 * A message that gets the number of its exchange when it is sent.
 	 */
-	interface Message {
+	interface MessageFactory {
 
 		/**
 		 * The message.
@@ -285,7 +285,7 @@
 		 * @param sentNanos when it is sent, see {@link PeerClock}
 		 * @return the message to encode
 		 */
-		ForwardMessage numbered(long exchange, long sentNanos);
+		ForwardMessage create(long exchange, long sentNanos);
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardServer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardServer.java
@@ -146,7 +146,7 @@
 		void begin() {
 			this.connection.onFrame(this::receive);
 			this.connection.closed().whenResult((reason) -> {
-				if (reason instanceof WireException && !PeerConnection.closedByPeer(reason)) {
+				if (reason instanceof WireException && !PeerConnection.isClosedByPeer(reason)) {
 					ForwardServer.this.refused.inc();
 					ForwardServer.this.events.record(EventKind.PEER_REFUSED, "forward port",
 							String.valueOf(reason.getMessage()));
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/InFlight.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/InFlightRequests.java
@@ -17,11 +17,11 @@
  * What this instance has admitted as owner and what may still take effect, and the ranges
  * that wait to be drained of it. Belongs to the thread of requests.
  */
-final class InFlight {
+final class InFlightRequests {
 
 	private final CrashHistory marks;
 
-	private final OwnershipReports reports;
+	private final OwnershipReportSink reports;
 
 	private final Predicate<HeldRange> granted;
 
@@ -31,7 +31,7 @@
 
 	// The reports are offered to a ring, which may be full; then they are offered again.
 	// A backend server that may still go by a grant, as after a pause, keeps its range.
-	InFlight(CrashHistory marks, OwnershipReports reports, Predicate<HeldRange> granted) {
+	InFlightRequests(CrashHistory marks, OwnershipReportSink reports, Predicate<HeldRange> granted) {
 		this.marks = marks;
 		this.reports = reports;
 		this.granted = granted;
@@ -59,9 +59,9 @@
 
 	// Also called each few milliseconds, for reports that the ring did not take.
 	void reportDrained() {
-		this.draining
-			.removeIf((held) -> this.entries.stream().noneMatch((entry) -> entry.isOf(held)) && !this.granted.test(held)
-					&& this.reports.offer(new RequestsReport.RangeDrained(held, this.marks.marksFor(held.range()))));
+		this.draining.removeIf((held) -> this.entries.stream().noneMatch((entry) -> entry.belongsTo(held))
+				&& !this.granted.test(held)
+				&& this.reports.offer(new RequestsReport.RangeDrained(held, this.marks.marksFor(held.range()))));
 	}
 
 	int size() {
@@ -85,7 +85,7 @@
 			this.fence = fence;
 		}
 
-		boolean isOf(HeldRange held) {
+		boolean belongsTo(HeldRange held) {
 			return this.service.equals(held.service()) && this.fence.equals(held.fence())
 					&& held.range().contains(this.point);
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/LeaseContinuity.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/LeaseContinuity.java
@@ -24,7 +24,7 @@
 	}
 
 	// The number of the present run of the lease, which changes with each gap.
-	long look(OwnershipSnapshot snapshot, long nowNanos) {
+	long update(OwnershipSnapshot snapshot, long nowNanos) {
 		if (nowNanos - this.endNanos >= 0) {
 			this.run++;
 		}
@@ -32,8 +32,8 @@
 		return this.run;
 	}
 
-	boolean unbroken(long since, OwnershipSnapshot snapshot, long nowNanos) {
-		return look(snapshot, nowNanos) == since && snapshot.isLeaseValid(nowNanos);
+	boolean isUnbroken(long since, OwnershipSnapshot snapshot, long nowNanos) {
+		return update(snapshot, nowNanos) == since && snapshot.isLeaseValid(nowNanos);
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/LoadReports.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/LoadReports.java
@@ -33,7 +33,7 @@
 
 	private final Supplier<OwnershipSnapshot> ownership;
 
-	private final OwnershipReports reports;
+	private final OwnershipReportSink reports;
 
 	private final Map<ServiceName, LoadMeter> meters = new HashMap<>();
 
@@ -43,14 +43,14 @@
 
 	private long usualNanos;
 
-	LoadReports(Supplier<OwnershipSnapshot> ownership, OwnershipReports reports, OutcomeMeter outcomes) {
+	LoadReports(Supplier<OwnershipSnapshot> ownership, OwnershipReportSink reports, OutcomeMeter outcomes) {
 		this.outcomes = outcomes;
 		this.ownership = ownership;
 		this.reports = reports;
 	}
 
 	// A request kept a slot busy.
-	void ran(CallerRequest request, long busyNanos) {
+	void recordRun(CallerRequest request, long busyNanos) {
 		this.outcomes.ran(request.service(), busyNanos);
 		this.usualNanos += (busyNanos - this.usualNanos) / USUAL_OVER;
 		record(request, busyNanos);
@@ -58,7 +58,7 @@
 
 	// A request would have kept a slot busy: demand is what must be spread, and a full
 	// server serves no more than its slots whatever is asked of it.
-	void refused(CallerRequest request) {
+	void recordRefused(CallerRequest request) {
 		record(request, this.usualNanos);
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRun.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRun.java
@@ -6,12 +6,12 @@
  * An order that was handed to a gate. Belongs to the thread of requests.
  *
  * @param outcome how it ended for its caller; never an exception
- * @param over completes once it certainly can't take effect any more, which may be later:
- * a server that checks no fences may be frozen with the order in its hands
+ * @param settled completes once it certainly can't take effect any more, which may be
+ * later: a server that checks no fences may be frozen with the order in its hands
  */
-record OrderRun(Promise<Outcome> outcome, Promise<Void> over) {
+record OrderRun(Promise<Outcome> outcome, Promise<Void> settled) {
 
-	static OrderRun ended(Outcome outcome) {
+	static OrderRun completed(Outcome outcome) {
 		return new OrderRun(Promise.of(outcome), Promise.complete());
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRunner.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRunner.java
@@ -80,21 +80,21 @@
 		if (refusal != null) {
 			// The slot may only be taken back after the caller has taken note of it.
 			this.reactor.post(() -> slotFree.accept(RunOutcome.NOT_STARTED));
-			return OrderRun.ended(refusal);
+			return OrderRun.completed(refusal);
 		}
 		this.watch.announcement().ifPresent((known) -> this.client.address(known.address()));
 		boolean checksFences = this.watch.announcement().filter((known) -> known.checksFences()).isPresent();
 		RunningOrder started = new RunningOrder(this, order, checksFences, slotFree);
 		this.running.add(started);
 		started.begin(now);
-		cancellation.whenCancelled(started::callerGone);
-		return new OrderRun(started.outcome(), started.over());
+		cancellation.addCancelListener(started::onCallerGone);
+		return new OrderRun(started.outcome(), started.settled());
 	}
 
 	// The last check before the order leaves: a pause while it waited may have cost the
 	// lease, and then another owner may already be at work.
 	private static @Nullable Outcome refusal(Order order, Cancellation cancellation, long nowNanos) {
-		if (cancellation.cancelled()) {
+		if (cancellation.isCancelled()) {
 			return Outcome.failed(ErrorKind.DEADLINE_PASSED, "the caller is gone");
 		}
 		if (order.deadlineNanos() - nowNanos <= 0) {
@@ -108,29 +108,29 @@
 
 	// Waits until the server has acknowledged the order's grant, and tells whether it
 	// has.
-	Promise<Boolean> acknowledged(Order order) {
-		return acknowledged(order, Math.min(order.deadlineNanos(), System.nanoTime() + GRANT_WAIT_NANOS));
+	Promise<Boolean> awaitGrant(Order order) {
+		return awaitGrant(order, Math.min(order.deadlineNanos(), System.nanoTime() + GRANT_WAIT_NANOS));
 	}
 
-	private Promise<Boolean> acknowledged(Order order, long giveUpNanos) {
+	private Promise<Boolean> awaitGrant(Order order, long giveUpNanos) {
 		long now = System.nanoTime();
 		if (this.grants.acknowledged(order.held(), now) || now - giveUpNanos >= 0) {
 			return Promise.of(now - giveUpNanos < 0);
 		}
-		return Promises.delay(LOOK_AGAIN).then(() -> acknowledged(order, giveUpNanos));
+		return Promises.delay(LOOK_AGAIN).then(() -> awaitGrant(order, giveUpNanos));
 	}
 
-	void ended(RunningOrder running, Order order, long busyNanos) {
+	void onEnded(RunningOrder running, Order order, long busyNanos) {
 		this.running.remove(running);
-		this.loads.ran(order.request(), busyNanos);
+		this.loads.recordRun(order.request(), busyNanos);
 	}
 
-	void refused(Order order) {
-		this.loads.refused(order.request());
+	void onRefused(Order order) {
+		this.loads.recordRefused(order.request());
 	}
 
 	// Frozen or gone: nothing more comes of what it was at.
-	void serverLost() {
+	void onServerLost() {
 		this.client.forgetConnections();
 		List.copyOf(this.running).forEach((order) -> order.abandon("the backend server is lost"));
 		long now = System.nanoTime();
@@ -141,7 +141,7 @@
 	}
 
 	// The connection broke, yet the server still answered; it may be on its way down.
-	void broke(Order order) {
+	void onConnectionLost(Order order) {
 		if (this.breaks.size() == MAX_BREAKS) {
 			this.breaks.removeFirst();
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/Outcome.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/Outcome.java
@@ -86,11 +86,11 @@
 	 * @param ticket the ticket to resend with, empty if none
 	 * @param owner who owns the request as far as the answering daemon knows
 	 * @param backendLost whether it ran when its backend server was lost
-	 * @param resendPaid whether sending it again needs no retry budget, see
+	 * @param exemptFromBudget whether sending it again needs no retry budget, see
 	 * {@link LostConnectionRetries}
 	 */
 	record Failed(Failure failure, String ticket, Optional<Owner> owner, boolean backendLost,
-			boolean resendPaid) implements Outcome {
+			boolean exemptFromBudget) implements Outcome {
 
 		Failed(Failure failure, String ticket, Optional<Owner> owner, boolean backendLost) {
 			this(failure, ticket, owner, backendLost, false);
@@ -98,7 +98,7 @@
 
 		@Override
 		public Failed withTicket(String newTicket) {
-			return new Failed(this.failure, newTicket, this.owner, this.backendLost, this.resendPaid);
+			return new Failed(this.failure, newTicket, this.owner, this.backendLost, this.exemptFromBudget);
 		}
 
 		/**
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OwnerGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OwnerGate.java
@@ -38,9 +38,9 @@
 
 	private final PostingExecutor postings;
 
-	private final Suspects suspects;
+	private final SuspectRequests suspects;
 
-	private final InFlight inFlight;
+	private final InFlightRequests inFlight;
 
 	private final Function<Admitted, OrderRun> servers;
 
@@ -59,8 +59,8 @@
 	 * @param servers hands an admitted request to a backend server
 	 * @param events the time line
 	 */
-	OwnerGate(Supplier<OwnershipSnapshot> ownership, PostingExecutor postings, Suspects suspects, InFlight inFlight,
-			Function<Admitted, OrderRun> servers, EventLog events) {
+	OwnerGate(Supplier<OwnershipSnapshot> ownership, PostingExecutor postings, SuspectRequests suspects,
+			InFlightRequests inFlight, Function<Admitted, OrderRun> servers, EventLog events) {
 		this.ownership = ownership;
 		this.postings = postings;
 		this.suspects = suspects;
@@ -78,14 +78,14 @@
 	public Promise<Outcome> serve(CallerRequest request, Cancellation cancellation) {
 		long now = System.nanoTime();
 		OwnershipSnapshot snapshot = this.ownership.get();
-		long leaseRun = this.continuity.look(snapshot, now);
+		long leaseRun = this.continuity.update(snapshot, now);
 		Optional<Assignment> owned = snapshot.findHeld(request.service(), request.keyHash(), now);
 		if (owned.isEmpty()) {
 			return Promise.of(notOwner(snapshot, request));
 		}
 		HeldRange held = new HeldRange(request.service(), owned.get().range(), owned.get().fence());
-		this.suspects.follow(snapshot.marked());
-		if (this.suspects.keptAway(request)) {
+		this.suspects.mergeMarks(snapshot.marked());
+		if (this.suspects.isBlocked(request)) {
 			this.events.record(EventKind.REQUEST_KEPT_AWAY, request, "it was part of losses of backend servers");
 			return Promise.of(Outcome.failed(ErrorKind.CRASHED_BACKENDS,
 					"backend servers were lost each time they ran this request"));
@@ -113,21 +113,21 @@
 	/**
 	 * Looks at the lease, as must be done each few milliseconds.
 	 */
-	void look() {
-		this.continuity.look(this.ownership.get(), System.nanoTime());
+	void updateLease() {
+		this.continuity.update(this.ownership.get(), System.nanoTime());
 	}
 
 	// Suspects run one at a time, beside any others. So the innocent ones, which clear
 	// themselves by ending well, are not part of the culprit's second crash.
 	private Promise<Outcome> turn(Admitted admitted) {
 		CallerRequest request = admitted.order().request();
-		if (!this.suspects.contains(request)) {
+		if (!this.suspects.isSuspect(request)) {
 			return hand(admitted);
 		}
 		SettablePromise<Void> next = new SettablePromise<>();
 		Promise<Void> before = this.suspectsTurn;
 		this.suspectsTurn = next;
-		return before.then(() -> this.suspects.keptAway(request)
+		return before.then(() -> this.suspects.isBlocked(request)
 				? Promise.of(Outcome.failed(ErrorKind.CRASHED_BACKENDS, "it was part of one more loss"))
 				: hand(admitted))
 			.whenComplete(() -> next.set(null));
@@ -135,17 +135,17 @@
 
 	private Promise<Outcome> hand(Admitted admitted) {
 		CallerRequest request = admitted.order().request();
-		InFlight.Entry entry = this.inFlight.begin(request.service(), request.keyHash(),
+		InFlightRequests.Entry entry = this.inFlight.begin(request.service(), request.keyHash(),
 				admitted.order().held().fence());
 		OrderRun run = this.servers.apply(admitted);
-		run.over().whenComplete(() -> this.inFlight.end(entry));
+		run.settled().whenComplete(() -> this.inFlight.end(entry));
 		return run.outcome().whenResult((outcome) -> followSuspect(request, outcome));
 	}
 
 	private void followSuspect(CallerRequest request, Outcome outcome) {
 		switch (outcome) {
-			case Outcome.Answered ignored -> this.suspects.endedWell(request);
-			case Outcome.Failed failed when failed.backendLost() -> this.suspects.partOfLoss(request);
+			case Outcome.Answered ignored -> this.suspects.recordSuccess(request);
+			case Outcome.Failed failed when failed.backendLost() -> this.suspects.recordCrash(request);
 			case Outcome.Failed ignored -> {
 			}
 		}
@@ -154,7 +154,7 @@
 	private long leaseEnd(long leaseRun) {
 		OwnershipSnapshot snapshot = this.ownership.get();
 		long now = System.nanoTime();
-		return this.continuity.unbroken(leaseRun, snapshot, now) ? snapshot.leaseEndNanos() : now - 1;
+		return this.continuity.isUnbroken(leaseRun, snapshot, now) ? snapshot.leaseEndNanos() : now - 1;
 	}
 
 	private Promise<Outcome> relay(Order order, long leaseRun, Outcome outcome) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OwnershipReports.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OwnershipReportSink.java
@@ -5,7 +5,7 @@
 /**
  * The way of reports to the thread of ownership. Thread-safe.
  */
-interface OwnershipReports {
+interface OwnershipReportSink {
 
 	/**
 	 * Passes a report on.
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/PeerClock.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/PeerClock.java
@@ -12,9 +12,9 @@
  * thread-safe.
  *
  * @param peerNanos a time of the peer
- * @param heardNanos when it was known here, as {@link System#nanoTime()} counts
+ * @param measuredNanos when it was known here, as {@link System#nanoTime()} counts
  */
-record PeerClock(long peerNanos, long heardNanos) {
+record PeerClock(long peerNanos, long measuredNanos) {
 
 	/** By then the allowance for drift is 20 ms, a thirtieth of a lease. */
 	private static final long STALE_NANOS = Duration.ofSeconds(2).toNanos();
@@ -24,18 +24,18 @@
 		return new PeerClock(0, nanos);
 	}
 
-	static PeerClock heard(long peerNanos, long nowNanos) {
+	static PeerClock measured(long peerNanos, long nowNanos) {
 		return new PeerClock(peerNanos, nowNanos);
 	}
 
-	long at(long nowNanos) {
-		long passed = nowNanos - this.heardNanos;
+	long peerNanosAt(long nowNanos) {
+		long passed = nowNanos - this.measuredNanos;
 		long drift = Timing.STANDARD.withDrift(passed) - passed;
 		return this.peerNanos + passed - drift;
 	}
 
-	boolean stale(long nowNanos) {
-		return nowNanos - this.heardNanos >= STALE_NANOS;
+	boolean isStale(long nowNanos) {
+		return nowNanos - this.measuredNanos >= STALE_NANOS;
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestPath.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestPath.java
@@ -49,9 +49,9 @@
 
 	private final NioReactor reactor;
 
-	private final RequestsDuty.Known known;
+	private final RequestsDuty.SharedState known;
 
-	private final OwnershipReports reports;
+	private final OwnershipReportSink reports;
 
 	private final BackendWatch watch;
 
@@ -61,7 +61,7 @@
 
 	private final CrashHistory marks = new CrashHistory();
 
-	private final InFlight inFlight;
+	private final InFlightRequests inFlight;
 
 	private final LoadReports loads;
 
@@ -79,29 +79,30 @@
 
 	private final SimpleServer forwards;
 
-	RequestPath(NioReactor reactor, DaemonContext context, RequestsDuty.Known known, OwnershipReports reports) {
+	RequestPath(NioReactor reactor, DaemonContext context, RequestsDuty.SharedState known,
+			OwnershipReportSink reports) {
 		this.reactor = reactor;
 		this.known = known;
 		this.reports = reports;
 		this.outcomes = context.outcomes();
 		Settings settings = context.settings();
 		GuardTimes guards = new GuardTimes(known.catalog());
-		Suspects suspects = new Suspects(this.marks, context.events());
+		SuspectRequests suspects = new SuspectRequests(this.marks, context.events());
 		BackendCalls calls = new BackendCalls(reactor);
 		this.watch = new BackendWatch(reactor, calls, context.events());
 		this.grants = new GrantRenewal(calls, known.ownership(), known.catalog());
 		this.loads = new LoadReports(known.ownership(), reports, context.outcomes());
 		OrderRunner runner = new OrderRunner(reactor, new BackendClient(reactor, settings.limits().maxBodyBytes()),
-				calls, this.watch, this.grants, context.events(), guards, this.loads, suspects::partOfLoss);
+				calls, this.watch, this.grants, context.events(), guards, this.loads, suspects::recordCrash);
 		this.serverGate = new ServerGate(reactor, this.watch, this.grants, runner, known.catalog());
 		ForwardClient client = new ForwardClient(reactor, context, known.ownership(), guards);
-		this.inFlight = new InFlight(this.marks, reports, this.serverGate::granted);
-		ServerChoice choice = new ServerChoice(settings.instance(), this.serverGate, client, known.cell(),
+		this.inFlight = new InFlightRequests(this.marks, reports, this.serverGate::hasGrant);
+		BackendDispatcher choice = new BackendDispatcher(settings.instance(), this.serverGate, client, known.cell(),
 				known.catalog(), new BackendChooser(1, new SplittableRandom()), retries());
 		this.ownerGate = new OwnerGate(known.ownership(), desk(reactor, context), suspects, this.inFlight, choice::run,
 				context.events());
 		RequestRouter router = new RequestRouter(known.ownership(), this.ownerGate, client,
-				new RoutesWait(reactor, known.ownership()), RetryBudget.withDefaults(), context.events());
+				new RouteChangeWaiter(reactor, known.ownership()), RetryBudget.withDefaults(), context.events());
 		this.callerPort = new CallerPort(context, router, known.ownership(), known.catalog());
 		this.callers = this.callerPort.listenOn(reactor, context);
 		this.backends = HttpServer
@@ -137,7 +138,7 @@
 
 	private void tick() {
 		this.reactor.delayBackground(TICK_MILLIS, this::tick);
-		this.ownerGate.look();
+		this.ownerGate.updateLease();
 		this.inFlight.reportDrained();
 		this.watch.state()
 			.filter((state) -> state != BackendState.LOST && state != BackendState.STARTING)
@@ -175,7 +176,7 @@
 		return this.serverGate.view();
 	}
 
-	void leave() {
+	void startDraining() {
 		this.callerPort.leave();
 		this.callers.refuseNew();
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestRouter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestRouter.java
@@ -41,7 +41,7 @@
 
 	private final ForwardClient forwards;
 
-	private final RoutesWait routes;
+	private final RouteChangeWaiter routes;
 
 	private final RetryBudget budget;
 
@@ -56,8 +56,8 @@
 	 * @param budget what resends of unknown outcome are paid from
 	 * @param events the time line
 	 */
-	RequestRouter(Supplier<OwnershipSnapshot> ownership, OwnerGate owner, ForwardClient forwards, RoutesWait routes,
-			RetryBudget budget, EventLog events) {
+	RequestRouter(Supplier<OwnershipSnapshot> ownership, OwnerGate owner, ForwardClient forwards,
+			RouteChangeWaiter routes, RetryBudget budget, EventLog events) {
 		this.ownership = ownership;
 		this.owner = owner;
 		this.forwards = forwards;
@@ -122,7 +122,7 @@
 
 		private Promise<Outcome> send(Outcome.Owner known) {
 			int remaining = (int) ((this.deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI);
-			if (remaining <= 0 || this.cancellation.cancelled()) {
+			if (remaining <= 0 || this.cancellation.isCancelled()) {
 				return Promise.of(Outcome.failed(ErrorKind.DEADLINE_PASSED, "the deadline passed before it was sent"));
 			}
 			CallerRequest timed = this.request.withRemainingMillis(remaining);
@@ -159,7 +159,7 @@
 		}
 
 		private Promise<Outcome> next(Outcome.Owner sentTo, Optional<Assignment> route, Outcome outcome) {
-			if (!(outcome instanceof Outcome.Failed failed) || this.cancellation.cancelled()) {
+			if (!(outcome instanceof Outcome.Failed failed) || this.cancellation.isCancelled()) {
 				return Promise.of(outcome);
 			}
 			if (movedOn(sentTo, failed)) {
@@ -170,7 +170,7 @@
 			if (mayFindAnotherOwner(failed)) {
 				return later(route, failed);
 			}
-			if (mayBeSentAgain(failed) && (failed.resendPaid() || RequestRouter.this.budget.trySpend())) {
+			if (mayBeSentAgain(failed) && (failed.exemptFromBudget() || RequestRouter.this.budget.trySpend())) {
 				this.resent = true;
 				this.request = this.request.asRetry();
 				return failed.backendLost() ? later(route, failed) : attempt();
@@ -207,8 +207,9 @@
 			}
 			long until = Math.min(this.waitUntilNanos, now + this.pauseMillis * NANOS_PER_MILLI);
 			this.pauseMillis *= 2;
-			return RequestRouter.this.routes.changed(this.request, seen, until)
-				.then((woken) -> (woken && !this.cancellation.cancelled()) ? attempt() : Promise.of(givenUp(refusal)));
+			return RequestRouter.this.routes.awaitChange(this.request, seen, until)
+				.then((woken) -> (woken && !this.cancellation.isCancelled()) ? attempt()
+						: Promise.of(givenUp(refusal)));
 		}
 
 		private Outcome givenUp(Outcome.Failed refusal) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestsDuty.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestsDuty.java
@@ -39,9 +39,9 @@
 
 	private final DaemonContext context;
 
-	private final Known known;
+	private final SharedState known;
 
-	private volatile OwnershipReports reports = (report) -> true;
+	private volatile OwnershipReportSink reports = (report) -> true;
 
 	private @Nullable RequestPath path;
 
@@ -52,7 +52,7 @@
 	 * @param context what every duty needs
 	 * @param known what the other duties know
 	 */
-	public RequestsDuty(DaemonContext context, Known known) {
+	public RequestsDuty(DaemonContext context, SharedState known) {
 		this.context = context;
 		this.known = known;
 	}
@@ -69,7 +69,7 @@
 	 * Joins the thread of ownership; called before {@link #start()}.
 	 * @param ring the ring for reports; where it's full a report is offered again later
 	 */
-	public void joinOwnership(Ring<RequestsReport> ring) {
+	public void connectOwnership(Ring<RequestsReport> ring) {
 		this.reports = ring::offer;
 	}
 
@@ -110,10 +110,10 @@
 	/**
 	 * Sends callers elsewhere from now on; what they still ask is served.
 	 */
-	public void leave() {
+	public void startDraining() {
 		this.duty.execute(() -> {
 			if (this.path != null) {
-				this.path.leave();
+				this.path.startDraining();
 			}
 		});
 	}
@@ -150,7 +150,7 @@
 	 * @param cell the members of the cell
 	 * @param catalog the services as the document in force describes them
 	 */
-	public record Known(Supplier<OwnershipSnapshot> ownership, Supplier<CellView> cell,
+	public record SharedState(Supplier<OwnershipSnapshot> ownership, Supplier<CellView> cell,
 			Supplier<ServiceCatalog> catalog) {
 
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RoutesWait.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RouteChangeWaiter.java
@@ -18,7 +18,7 @@
  * about when the next owner is there. Bounded, since an outage must not fill the memory.
  * Belongs to the thread of requests.
  */
-final class RoutesWait {
+final class RouteChangeWaiter {
 
 	/** A second of one server's usual load; beyond it a longer outage is likely. */
 	private static final int MAX_WAITING = 1024;
@@ -33,14 +33,14 @@
 
 	private boolean looking;
 
-	RoutesWait(NioReactor reactor, Supplier<OwnershipSnapshot> ownership) {
+	RouteChangeWaiter(NioReactor reactor, Supplier<OwnershipSnapshot> ownership) {
 		this.reactor = reactor;
 		this.ownership = ownership;
 	}
 
 	// Completes with true when another owner is known or the time is over, with false at
 	// once if too many wait already.
-	Promise<Boolean> changed(CallerRequest request, Optional<Assignment> seen, long untilNanos) {
+	Promise<Boolean> awaitChange(CallerRequest request, Optional<Assignment> seen, long untilNanos) {
 		if (this.waiting.size() >= MAX_WAITING) {
 			return Promise.of(false);
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
@@ -76,7 +76,7 @@
 		return this.outcome;
 	}
 
-	Promise<Void> over() {
+	Promise<Void> settled() {
 		return this.over;
 	}
 
@@ -118,7 +118,7 @@
 
 	// The grant may have run out while the first try was silent.
 	private void handAgain() {
-		Promise<Boolean> granted = this.checksFences ? this.runner.acknowledged(this.order) : Promise.of(true);
+		Promise<Boolean> granted = this.checksFences ? this.runner.awaitGrant(this.order) : Promise.of(true);
 		granted.whenResult((acknowledged) -> {
 			long now = System.nanoTime();
 			if (acknowledged && !this.serverLost && !this.cancelled && this.order.remainingMillis(now) > 0) {
@@ -158,7 +158,7 @@
 			case BackendReply.Whole(var answer) -> {
 				this.runner.watch().heard();
 				this.runner.record(EventKind.REQUEST_ANSWERED, this.order, "status " + answer.status());
-				settle(new Outcome.Answered(answer, this.order.held().fence(), ""), RunOutcome.ANSWERED);
+				complete(new Outcome.Answered(answer, this.order.held().fence(), ""), RunOutcome.ANSWERED);
 			}
 			case BackendReply.Shed(Duration retryAfter) -> notRun(ErrorKind.OVERLOADED,
 					"the backend server shed the request", retryAfter.isZero() ? RETRY_SOON : retryAfter, shed());
@@ -187,7 +187,7 @@
 
 	private void notRun(ErrorKind kind, String detail, Duration retryAfter, RunOutcome slot) {
 		Outcome end = Outcome.failed(new Failure(kind, detail, retryAfter));
-		settle(this.secondTry ? Outcome.afterUnknown(end) : end, slot);
+		complete(this.secondTry ? Outcome.afterUnknown(end) : end, slot);
 	}
 
 	// A broken connection is the first sign of a crash. Whether the server is still there
@@ -201,8 +201,8 @@
 		}
 		this.runner.watch().answersNow().whenResult((answers) -> {
 			if (answers) {
-				this.runner.broke(this.order);
-				settle(Outcome.failed(kind, detail), RunOutcome.INTERRUPTED);
+				this.runner.onConnectionLost(this.order);
+				complete(Outcome.failed(kind, detail), RunOutcome.INTERRUPTED);
 			}
 			else {
 				lost(kind, detail);
@@ -211,21 +211,21 @@
 	}
 
 	private void lost(ErrorKind kind, String detail) {
-		settle(new Outcome.Failed(Failure.of(kind, detail), "", Optional.empty(), true), RunOutcome.INTERRUPTED);
+		complete(new Outcome.Failed(Failure.of(kind, detail), "", Optional.empty(), true), RunOutcome.INTERRUPTED);
 	}
 
 	private void timedOut() {
 		this.runner.calls().cancel(this.order.request().id());
 		this.runner.record(EventKind.REQUEST_UNKNOWN, this.order, "the deadline passed while it ran");
-		settle(Outcome.failed(ErrorKind.TIMED_OUT, "the deadline passed while the request ran"),
+		complete(Outcome.failed(ErrorKind.TIMED_OUT, "the deadline passed while the request ran"),
 				RunOutcome.INTERRUPTED);
 	}
 
-	private void settle(Outcome end, RunOutcome slot) {
+	private void complete(Outcome end, RunOutcome slot) {
 		if (!this.outcome.trySet(end)) {
 			return;
 		}
-		this.runner.ended(this, this.order, System.nanoTime() - this.handedNanos);
+		this.runner.onEnded(this, this.order, System.nanoTime() - this.handedNanos);
 		this.slotFree.accept(slot);
 		long runsOnFor = runsOnForNanos(slot);
 		overAt(System.nanoTime() + runsOnFor + ((runsOnFor > 0) ? ROUNDING_NANOS : 0));
@@ -260,7 +260,7 @@
 
 	// The caller is gone. Postings are left to end, since their outcome is remembered for
 	// a resend; the server may still choose not to run them.
-	void callerGone() {
+	void onCallerGone() {
 		if (this.outcome.isComplete()) {
 			return;
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
@@ -100,7 +100,7 @@
 		Optional<BackendAnnouncement> server = this.watch.announcement()
 			.filter((known) -> known.service().equals(order.request().service()));
 		if (server.isEmpty() || !servable()) {
-			return OrderRun.ended(noBackend("the backend server beside the owner can't serve now"));
+			return OrderRun.completed(noBackend("the backend server beside the owner can't serve now"));
 		}
 		if (server.get().checksFences() && !this.grants.acknowledged(order.held(), System.nanoTime())) {
 			return afterGrant(order, cancellation);
@@ -121,10 +121,10 @@
 
 	private OrderRun afterGrant(Order order, Cancellation cancellation) {
 		SettablePromise<Void> over = new SettablePromise<>();
-		Promise<Outcome> outcome = this.runner.acknowledged(order).then((acknowledged) -> {
+		Promise<Outcome> outcome = this.runner.awaitGrant(order).then((acknowledged) -> {
 			OrderRun run = acknowledged ? offer(order, cancellation)
-					: OrderRun.ended(noBackend("the backend server has not acknowledged its grant"));
-			run.over().whenComplete(() -> over.set(null));
+					: OrderRun.completed(noBackend("the backend server has not acknowledged its grant"));
+			run.settled().whenComplete(() -> over.set(null));
 			return run.outcome();
 		});
 		return new OrderRun(outcome, over);
@@ -137,7 +137,7 @@
 	 * @param held the range with its fence
 	 * @return false if no grant of it is valid any more
 	 */
-	boolean granted(HeldRange held) {
+	boolean hasGrant(HeldRange held) {
 		boolean byId = this.catalog.get().dividedByRequestId(held.service());
 		boolean checksFences = this.watch.announcement().filter(BackendAnnouncement::checksFences).isPresent();
 		return checksFences && !byId && !this.watch.gone() && this.grants.remainingNanos(held, System.nanoTime()) > 0;
@@ -165,8 +165,8 @@
 				yield enqueue(number, order, cancellation);
 			}
 			case AdmissionDecision.Refuse refuse -> {
-				this.runner.refused(order);
-				yield OrderRun.ended(Outcome.failed(refuse.failure()));
+				this.runner.onRefused(order);
+				yield OrderRun.completed(Outcome.failed(refuse.failure()));
 			}
 		};
 	}
@@ -174,7 +174,7 @@
 	private OrderRun enqueue(long number, Order order, Cancellation cancellation) {
 		Waiting queued = new Waiting(order, cancellation, new SettablePromise<>(), new SettablePromise<>());
 		this.waiting.put(number, queued);
-		cancellation.whenCancelled(() -> {
+		cancellation.addCancelListener(() -> {
 			if (this.admission.cancelWaiting(number)) {
 				refuse(new RefusedRequest(number, Failure.of(ErrorKind.DEADLINE_PASSED, "the caller is gone")));
 			}
@@ -201,7 +201,7 @@
 			}
 			OrderRun run = start(number, queued.order, queued.cancellation);
 			run.outcome().whenResult(queued.outcome::trySet);
-			run.over().whenComplete(() -> queued.over.trySet(null));
+			run.settled().whenComplete(() -> queued.over.trySet(null));
 		});
 	}
 
@@ -242,7 +242,7 @@
 			List<RefusedRequest> refused = this.admission
 				.refuseWaiting(new Failure(ErrorKind.NO_BACKEND, "the backend server is lost", RETRY_SOON));
 			refused.forEach(this::refuse);
-			this.runner.serverLost();
+			this.runner.onServerLost();
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/Suspects.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/SuspectRequests.java
@@ -15,7 +15,7 @@
  * The requests that were part of losses of backend servers, as this instance knows them.
  * Belongs to the thread of requests.
  */
-final class Suspects {
+final class SuspectRequests {
 
 	private final CrashHistory marks;
 
@@ -25,7 +25,7 @@
 
 	private List<MarkedRange> followed = List.of();
 
-	Suspects(CrashHistory marks, EventLog events) {
+	SuspectRequests(CrashHistory marks, EventLog events) {
 		this.marks = marks;
 		this.events = events;
 	}
@@ -34,7 +34,7 @@
 	// the very snapshot that gives its range away, before the earlier owners' marks are
 	// known here: they are part of that snapshot and taken before anything of it is
 	// served. Once for each grant, or what has ended well since would be suspect again.
-	void follow(List<MarkedRange> marked) {
+	void mergeMarks(List<MarkedRange> marked) {
 		if (marked == this.followed) {
 			return;
 		}
@@ -45,23 +45,23 @@
 		this.taken.retainAll(marked.stream().map(MarkedRange::held).toList());
 	}
 
-	void partOfLoss(CallerRequest request) {
+	void recordCrash(CallerRequest request) {
 		int crashes = this.marks.recordCrash(request.crashFingerprint(), request.keyHash());
 		this.events.record(EventKind.REQUEST_SUSPECT, request, "part of %d losses".formatted(crashes));
 	}
 
-	void endedWell(CallerRequest request) {
+	void recordSuccess(CallerRequest request) {
 		if (!this.marks.isEmpty()) {
 			this.marks.recordSuccess(request.crashFingerprint());
 		}
 	}
 
-	boolean contains(CallerRequest request) {
+	boolean isSuspect(CallerRequest request) {
 		return !this.marks.isEmpty() && this.marks.crashCount(request.crashFingerprint()) > 0;
 	}
 
 	// Whether it must not reach another backend server.
-	boolean keptAway(CallerRequest request) {
+	boolean isBlocked(CallerRequest request) {
 		return !this.marks.isEmpty() && this.marks.crashCount(request.crashFingerprint()) >= CrashHistory.MAX_CRASHES;
 	}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopServerStandIn.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopServerStandIn.java
@@ -51,7 +51,7 @@
 	private void accept(ITcpSocket socket) {
 		AtomicReference<HopSender> opened = new AtomicReference<>();
 		opened.set(new HopSender(
-				PeerConnection.unproven(socket, HopLink.MAX_FRAME_BYTES, (frame) -> answer(opened.get(), frame)),
+				PeerConnection.unauthenticated(socket, HopLink.MAX_FRAME_BYTES, (frame) -> answer(opened.get(), frame)),
 				HopCodec::encodeCompressed));
 	}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/HeldUpOrderTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/DelayedOrderTests.java
@@ -22,7 +22,7 @@
  * Orders of a service without keys, which one daemon admits and another one's backend
  * server runs.
  */
-class HeldUpOrderTests {
+class DelayedOrderTests {
 
 	private final PathFixture fixture = new PathFixture();
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/NarrowForwardTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/LowBandwidthForwardTests.java
@@ -13,7 +13,7 @@
 /**
  * A large answer between two daemons whose network carries ten megabits a second.
  */
-class NarrowForwardTests {
+class LowBandwidthForwardTests {
 
 	private static final int MEGABITS = 10;
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/PathFixture.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/PathFixture.java
@@ -133,11 +133,11 @@
 			this.snapshot = new OwnershipSnapshot(instance, RouteTable.EMPTY, RouteTable.EMPTY, System.nanoTime(),
 					new PeerAddresses(Map.of()));
 			DaemonContext context = new DaemonContext(settings(), this.events, this.metrics);
-			this.requests = new RequestsDuty(context, new RequestsDuty.Known(() -> this.snapshot,
+			this.requests = new RequestsDuty(context, new RequestsDuty.SharedState(() -> this.snapshot,
 					PathFixture.this::cell, () -> PathFixture.this.catalog));
 			Duty sink = new Duty("reports");
 			sink.start();
-			this.requests.joinOwnership(new Ring<>(1024, sink, this.reports::add));
+			this.requests.connectOwnership(new Ring<>(1024, sink, this.reports::add));
 			this.requests.start();
 		}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/PeerClockTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/PeerClockTests.java
@@ -29,9 +29,9 @@
 		for (int i = 0; i < 1000; i++) {
 			long pongSent = now + random.nextLong(SPARSE_NANOS);
 			now = pongSent + random.nextLong(400_000_000);
-			assertThat(clock.at((long) (now * ownRate))).isAtMost((long) (now * peerRate));
-			clock = PeerClock.heard((long) (pongSent * peerRate), (long) (now * ownRate));
-			assertThat(clock.at((long) (now * ownRate))).isAtMost((long) (now * peerRate));
+			assertThat(clock.peerNanosAt((long) (now * ownRate))).isAtMost((long) (now * peerRate));
+			clock = PeerClock.measured((long) (pongSent * peerRate), (long) (now * ownRate));
+			assertThat(clock.peerNanosAt((long) (now * ownRate))).isAtMost((long) (now * peerRate));
 		}
 	}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/SuspectsTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/SuspectRequestsTests.java
@@ -20,13 +20,13 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class SuspectsTests {
+class SuspectRequestsTests {
 
 	private static final CallerRequest KILLER = new CallerRequest(new ServiceName("hullbook"), Optional.of("hull-7"),
 			true, new RequestIdentity(new RequestId("killer"), false, false, Optional.empty()), RequestClass.LOOKUP,
 			new CallerId("office"), 1000, new CallerRequest.Target("GET", "/x"), List.of(), new byte[0]);
 
-	private final Suspects suspects = new Suspects(new CrashHistory(), new EventLog(10));
+	private final SuspectRequests suspects = new SuspectRequests(new CrashHistory(), new EventLog(10));
 
 	// A request has crashed two servers and waits at a daemon for the next owner. That
 	// daemon gets the range, and the request is woken by the snapshot that says so. While
@@ -34,26 +34,26 @@
 	// (in 2 of 300 tries); now they are part of the snapshot.
 	@Test
 	void marksHoldFromTheSnapshotThatGivesTheirRange() {
-		this.suspects.follow(List.of(marked(8, CrashHistory.MAX_CRASHES)));
-		assertThat(this.suspects.keptAway(KILLER)).isTrue();
+		this.suspects.mergeMarks(List.of(marked(8, CrashHistory.MAX_CRASHES)));
+		assertThat(this.suspects.isBlocked(KILLER)).isTrue();
 	}
 
 	// A suspect that has ended well since the range came is no longer suspect, however
 	// often the same grant is published again with each renewed lease.
 	@Test
 	void marksOfOneGrantAreTakenOnce() {
-		this.suspects.follow(List.of(marked(8, 1)));
-		this.suspects.endedWell(KILLER);
-		this.suspects.follow(List.of(marked(8, 1)));
-		assertThat(this.suspects.contains(KILLER)).isFalse();
+		this.suspects.mergeMarks(List.of(marked(8, 1)));
+		this.suspects.recordSuccess(KILLER);
+		this.suspects.mergeMarks(List.of(marked(8, 1)));
+		assertThat(this.suspects.isSuspect(KILLER)).isFalse();
 	}
 
 	@Test
 	void marksOfALaterGrantAreTakenAgain() {
-		this.suspects.follow(List.of(marked(8, 1)));
-		this.suspects.endedWell(KILLER);
-		this.suspects.follow(List.of(marked(9, CrashHistory.MAX_CRASHES)));
-		assertThat(this.suspects.keptAway(KILLER)).isTrue();
+		this.suspects.mergeMarks(List.of(marked(8, 1)));
+		this.suspects.recordSuccess(KILLER);
+		this.suspects.mergeMarks(List.of(marked(9, CrashHistory.MAX_CRASHES)));
+		assertThat(this.suspects.isBlocked(KILLER)).isTrue();
 	}
 
 	private static MarkedRange marked(long fence, int crashes) {
