--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/BackendDispatcher.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/BackendDispatcher.java
@@ -23,15 +23,15 @@
 import org.brasspier.daemon.internal.ownership.CellView;
 
 /**
- * Hands an admitted request to a backend server: the one beside this daemon where the
- * service is divided by key, else the one that was chosen. Belongs to the thread of
- * requests.
+ * Runs an admitted request on a backend server: on this instance's server if the service
+ * is divided by key, otherwise on a chosen one, with further attempts on other servers.
+ * Not thread-safe; used in the request thread only.
  */
 final class BackendDispatcher {
 
-	private static final int MAX_TRIES = 3;
+	private static final int MAX_ATTEMPTS = 3;
 
-	private static final String MAY_OWN = MemberPhase.ACTIVE.name();
+	private static final String ACTIVE_PHASE = MemberPhase.ACTIVE.name();
 
 	private final InstanceId self;
 
@@ -67,18 +67,18 @@
 	private OrderRun choose(OwnerGate.Admitted admitted) {
 		List<Promise<Void>> runs = new ArrayList<>();
 		Promise<Outcome> outcome = attempt(admitted, new HashSet<>(), runs);
-		SettablePromise<Void> over = new SettablePromise<>();
-		outcome.whenComplete(() -> Promises.all(runs).whenComplete(() -> over.set(null)));
-		return new OrderRun(outcome, over);
+		SettablePromise<Void> settled = new SettablePromise<>();
+		outcome.whenComplete(() -> Promises.all(runs).whenComplete(() -> settled.set(null)));
+		return new OrderRun(outcome, settled);
 	}
 
-	// Also a try that was followed by another may still take effect where it was sent.
+	// An attempt that was followed by another may still take effect on its server.
 	private Promise<Outcome> attempt(OwnerGate.Admitted admitted, Set<InstanceId> tried, List<Promise<Void>> runs) {
 		Order order = admitted.order();
 		RequestClass requestClass = order.request().requestClass();
-		long begun = System.nanoTime();
+		long startedNanos = System.nanoTime();
 		Optional<InstanceId> chosen = this.chooser.choose(candidates(order.request().service(), tried), requestClass,
-				begun);
+				startedNanos);
 		if (chosen.isEmpty()) {
 			return Promise.of(ServerGate.noBackend("no backend server of the service can take the request"));
 		}
@@ -88,8 +88,9 @@
 		runs.add(run.settled());
 		return run.outcome().then((outcome) -> {
 			boolean failed = outcome instanceof Outcome.Failed;
-			this.chooser.onEnded(chosen.get(), requestClass, System.nanoTime() - begun, failed);
-			if (outcome instanceof Outcome.Failed failure && again(order, failure, tried, admitted.cancellation())) {
+			this.chooser.onEnded(chosen.get(), requestClass, System.nanoTime() - startedNanos, failed);
+			if (outcome instanceof Outcome.Failed failure
+					&& shouldRetry(order, failure, tried, admitted.cancellation())) {
 				Promise<Outcome> next = attempt(admitted, tried, runs);
 				return failure.certainlyNotRun() ? next : next.map(Outcome::afterUnknown);
 			}
@@ -97,12 +98,13 @@
 		});
 	}
 
-	// Another server only for what certainly did not run, or may run twice.
-	private boolean again(Order order, Outcome.Failed failed, Set<InstanceId> tried, Cancellation cancellation) {
+	// Tries another server only for requests that certainly did not run or are
+	// idempotent.
+	private boolean shouldRetry(Order order, Outcome.Failed failed, Set<InstanceId> tried, Cancellation cancellation) {
 		Ran ran = failed.backendLost() ? Ran.RAN : failed.failure().kind().ran();
 		Duration remaining = Duration.ofMillis(order.remainingMillis(System.nanoTime()));
 		RequestClass requestClass = order.request().requestClass();
-		return tried.size() < MAX_TRIES && !cancellation.isCancelled()
+		return tried.size() < MAX_ATTEMPTS && !cancellation.isCancelled()
 				&& (failed.exemptFromBudget() ? this.retries.mayRetry(requestClass, ran, remaining)
 						: this.retries.tryRetry(requestClass, ran, remaining));
 	}
@@ -114,15 +116,15 @@
 			.filter((member) -> member.service().filter(service::equals).isPresent())
 			.filter((member) -> !tried.contains(member.instance()))
 			.toList();
-		boolean anyActive = untried.stream().anyMatch((member) -> member.phase().equals(MAY_OWN));
+		boolean anyActive = untried.stream().anyMatch((member) -> member.phase().equals(ACTIVE_PHASE));
 		return untried.stream()
-			.filter((member) -> anyActive ? member.phase().equals(MAY_OWN) : member.instance().equals(this.self))
-			.map((member) -> new Candidate(member.instance(), distance(member.instance()), Math.max(1, member.slots()),
+			.filter((member) -> anyActive ? member.phase().equals(ACTIVE_PHASE) : member.instance().equals(this.self))
+			.map((member) -> new Candidate(member.instance(), roundTrip(member.instance()), Math.max(1, member.slots()),
 					1.0))
 			.toList();
 	}
 
-	private Duration distance(InstanceId instance) {
+	private Duration roundTrip(InstanceId instance) {
 		return instance.equals(this.self) ? Duration.ZERO : this.others.roundTrip(instance);
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/Cancellation.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/Cancellation.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Tells whoever is at a request that its caller is gone. Belongs to the thread of
- * requests.
+ * Notifies listeners once the caller of a request has disconnected. Not thread-safe; used
+ * in the request thread only.
  */
 public final class Cancellation {
 
@@ -14,7 +14,7 @@
 	private boolean cancelled;
 
 	/**
-	 * Tells all who listen, once.
+	 * Calls all listeners. Has no effect after the first call.
 	 */
 	public void cancel() {
 		if (this.cancelled) {
@@ -26,8 +26,9 @@
 	}
 
 	/**
-	 * Calls a listener when the caller is gone, or at once if it already is.
-	 * @param listener the listener
+	 * Registers a listener that is called when the caller disconnects, or at once if it
+	 * already has.
+	 * @param listener called in the request thread
 	 */
 	public void addCancelListener(Runnable listener) {
 		if (this.cancelled) {
@@ -39,8 +40,8 @@
 	}
 
 	/**
-	 * Whether the caller is gone.
-	 * @return true from the cancellation on
+	 * Returns whether the caller has disconnected.
+	 * @return true once {@link #cancel()} was called
 	 */
 	public boolean isCancelled() {
 		return this.cancelled;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardClient.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardClient.java
@@ -23,11 +23,12 @@
 import org.brasspier.wire.ForwardMessage;
 
 /**
- * Sends requests to other daemons, one link for each. Belongs to the thread of requests.
+ * Sends requests to other daemons over one link per daemon. Not thread-safe; used in the
+ * request thread only.
  */
 public final class ForwardClient {
 
-	private static final Duration RETRY_SOON = Duration.ofMillis(100);
+	private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -49,10 +50,11 @@
 
 	/**
 	 * Creates a client with no connections.
-	 * @param reactor the reactor of the thread of requests
-	 * @param context this instance, the shared keys and the time line
-	 * @param ownership where instances are
-	 * @param guards how long orders may outlast the lease they were given under
+	 * @param reactor the reactor of the request thread
+	 * @param context this instance, the shared keys and the event log
+	 * @param ownership current addresses of the instances
+	 * @param guards how long an order may take effect after the end of the lease it was
+	 * admitted under
 	 */
 	ForwardClient(NioReactor reactor, DaemonContext context, Supplier<OwnershipSnapshot> ownership, GuardTimes guards) {
 		this.reactor = reactor;
@@ -65,10 +67,10 @@
 
 	/**
 	 * Forwards a request to its owner.
-	 * @param owner who owns it
-	 * @param request the request, with the time that is left
-	 * @param cancellation tells when its caller is gone
-	 * @return how it ended; never an exception
+	 * @param owner the owner of the request
+	 * @param request the request, with its remaining time
+	 * @param cancellation notified when the caller disconnects
+	 * @return the outcome; never completes exceptionally
 	 */
 	public Promise<Outcome> forward(InstanceId owner, CallerRequest request, Cancellation cancellation) {
 		return exchange(owner, (number, sentNanos) -> new ForwardMessage.Forward(number, request),
@@ -76,25 +78,27 @@
 	}
 
 	/**
-	 * Hands an admitted request to the daemon beside the chosen backend server.
+	 * Sends an admitted request to the daemon on the instance of the chosen backend
+	 * server.
 	 * @param chosen the instance
 	 * @param order the order
-	 * @param cancellation tells when its caller is gone
-	 * @return its run
+	 * @param cancellation notified when the caller disconnects
+	 * @return the execution of the order
 	 */
 	OrderRun execute(InstanceId chosen, Order order, Cancellation cancellation) {
 		long now = System.nanoTime();
 		long leaseEnd = order.leaseEndNanos().getAsLong();
 		if (leaseEnd - now <= 0) {
-			return OrderRun
-				.completed(Outcome.failed(new Failure(ErrorKind.NO_OWNER, "the owner's lease ran out", RETRY_SOON)));
+			return OrderRun.completed(
+					Outcome.failed(new Failure(ErrorKind.NO_OWNER, "the owner's lease has expired", RETRY_AFTER)));
 		}
 		Promise<Outcome> outcome = exchange(chosen, (number, sentNanos) -> execute(order, leaseEnd, number, sentNanos),
 				order.remainingMillis(now), cancellation);
-		return new OrderRun(outcome, over(order, leaseEnd, outcome));
+		return new OrderRun(outcome, settled(order, leaseEnd, outcome));
 	}
 
-	// Made when it is sent: its connection may have taken most of a lease to open.
+	// Computes the remaining times when the message is sent: opening the connection may
+	// have taken most of a lease.
 	private static ForwardMessage execute(Order order, long leaseEndNanos, long exchange, long sentNanos) {
 		long now = System.nanoTime();
 		CallerRequest request = order.request().withRemainingMillis(order.remainingMillis(now));
@@ -103,25 +107,25 @@
 				OptionalLong.of(sentNanos));
 	}
 
-	// An order whose outcome is unknown may still take effect there: a read without a key
-	// until its deadline, any other until the lease it was given under has ended, with
-	// the guard.
-	private Promise<Void> over(Order order, long leaseEndNanos, Promise<Outcome> outcome) {
-		SettablePromise<Void> over = new SettablePromise<>();
+	// An order whose outcome is unknown may still take effect on the other instance: a
+	// read without a key until its deadline, any other order until the end of the lease
+	// it was admitted under plus the guard time.
+	private Promise<Void> settled(Order order, long leaseEndNanos, Promise<Outcome> outcome) {
+		SettablePromise<Void> settled = new SettablePromise<>();
 		outcome.whenResult((end) -> {
 			long authorityEnd = leaseEndNanos + this.guards.nanos(order.request().service());
 			boolean read = !order.request().sharded() && order.request().requestClass().idempotent();
 			long until = read ? order.deadlineNanos() : Math.min(order.deadlineNanos(), authorityEnd);
-			long rest = (until - System.nanoTime()) / NANOS_PER_MILLI;
+			long restMillis = (until - System.nanoTime()) / NANOS_PER_MILLI;
 			boolean certain = !(end instanceof Outcome.Failed failed) || failed.certainlyNotRun();
-			if (certain || rest <= 0) {
-				over.set(null);
+			if (certain || restMillis <= 0) {
+				settled.set(null);
 			}
 			else {
-				this.reactor.delay(Duration.ofMillis(rest + 1), () -> over.set(null));
+				this.reactor.delay(Duration.ofMillis(restMillis + 1), () -> settled.set(null));
 			}
 		});
-		return over;
+		return settled;
 	}
 
 	private Promise<Outcome> exchange(InstanceId peer, ForwardLink.MessageFactory message, int waitMillis,
@@ -130,18 +134,19 @@
 		if (address.isEmpty()) {
 			return Promise.of(unreachable("the address of %s is unknown".formatted(peer)));
 		}
-		ForwardLink known = this.links.get(peer);
-		if (known == null || known.isClosed() || !known.address().equals(address.get())) {
-			known = new ForwardLink(this, peer, address.get());
-			this.links.put(peer, known);
+		ForwardLink link = this.links.get(peer);
+		if (link == null || link.isClosed() || !link.address().equals(address.get())) {
+			link = new ForwardLink(this, peer, address.get());
+			this.links.put(peer, link);
 		}
-		return known.exchange(message, waitMillis, cancellation);
+		return link.exchange(message, waitMillis, cancellation);
 	}
 
 	/**
-	 * The time to an instance and back, as its link measured it last.
+	 * Returns the last round-trip time that was measured on the link to an instance.
 	 * @param instance the instance
-	 * @return a millisecond if nothing was measured yet, as between failure domains
+	 * @return the time, or 1 ms, as is usual between failure domains, if none was
+	 * measured yet
 	 */
 	Duration roundTrip(InstanceId instance) {
 		return this.roundTrips.getOrDefault(instance, Duration.ofMillis(1));
@@ -172,7 +177,7 @@
 	}
 
 	static Outcome unreachable(String detail) {
-		return Outcome.failed(new Failure(ErrorKind.NO_OWNER, detail, RETRY_SOON));
+		return Outcome.failed(new Failure(ErrorKind.NO_OWNER, detail, RETRY_AFTER));
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardLink.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardLink.java
@@ -28,34 +28,34 @@
 import org.brasspier.wire.WireException;
 
 /**
- * The connection to one daemon, with what waits for an answer on it.
+ * The connection to one daemon, with the exchanges that wait for an answer on it.
  *
  * <p>
- * It guards against a connection that goes silent for good while new ones work, because
- * something between the ends has lost track of it. It shows as an answer that never comes
- * with no error at either end. While anything waits, a ping goes out every 100 ms; if
- * nothing at all has come for 300 ms the connection is given up, and the next exchange
- * opens a new one, so that a lookup with a second to go is still answered. A daemon that
- * is alive answers pings at once whatever its backend server does, so silence is the
- * connection's or the daemon's. Belongs to the thread of requests.
+ * Detects half-open connections: a device on the path has lost the state of the
+ * connection, so no answer ever arrives and neither end sees an error, while new
+ * connections work. As long as any exchange is pending, a ping is sent every 100 ms. If
+ * no bytes arrive for 300 ms, the connection is closed and the next exchange opens a new
+ * one, so that a lookup with one second left is still answered. A running daemon answers
+ * pings at once regardless of its backend server, so silence means that the connection or
+ * the daemon has failed. Not thread-safe; used in the request thread only.
  */
 final class ForwardLink {
 
-	/** Room for the header fields that travel with the largest body. */
-	private static final int ROOM_FOR_HEADERS = 1 << 18;
+	/** Allowance for the header fields that are sent with a body of maximum size. */
+	private static final int HEADER_ALLOWANCE_BYTES = 1 << 18;
 
 	private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
 
 	private static final Duration HANDSHAKE_TIMEOUT = Duration.ofMillis(500);
 
-	private static final Duration PING_EVERY = Duration.ofMillis(100);
+	private static final Duration PING_INTERVAL = Duration.ofMillis(100);
 
-	private static final long SILENCE_NANOS = 300_000_000;
+	private static final long SILENCE_TIMEOUT_NANOS = 300_000_000;
 
-	/** What may wait to be sent before new requests are refused. */
+	/** Limit of unsent data; beyond it new requests are refused. */
 	private static final int MAX_UNSENT_BYTES = 4 << 20;
 
-	private static final Duration RETRY_SOON = Duration.ofMillis(100);
+	private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
 	private final ForwardClient client;
 
@@ -73,11 +73,11 @@
 
 	private long openedNanos;
 
-	private long heardNanos;
+	private long lastFrameNanos;
 
 	private PeerClock peerClock = PeerClock.openedAt(0);
 
-	private long pingedNanos;
+	private long pingSentNanos;
 
 	private boolean pinging;
 
@@ -94,7 +94,7 @@
 				.timeout(HANDSHAKE_TIMEOUT, PeerConnection.connector(socket,
 						handshake(client.settings(), client.secrets()), maxFrameBytes(client.settings())))
 				.whenException(socket::closeEx));
-		this.connection = opening.map(this::ready).whenException((ex) -> gone());
+		this.connection = opening.map(this::onConnected).whenException((ex) -> markClosed());
 	}
 
 	static Handshake handshake(Settings settings, CurrentSecrets secrets) {
@@ -103,7 +103,7 @@
 
 	// The largest frame between daemons.
 	static int maxFrameBytes(Settings settings) {
-		return settings.limits().maxBodyBytes() + ROOM_FOR_HEADERS;
+		return settings.limits().maxBodyBytes() + HEADER_ALLOWANCE_BYTES;
 	}
 
 	PeerAddress address() {
@@ -114,24 +114,24 @@
 		return this.closed;
 	}
 
-	private PeerConnection ready(PeerConnection.Opened opened) {
+	private PeerConnection onConnected(PeerConnection.Opened opened) {
 		this.client.events().record(EventKind.PEER_CONNECTED, this.peer, "forwarding to it");
 		this.open = Optional.of(opened.connection());
 		this.openedNanos = System.nanoTime();
-		this.heardNanos = this.openedNanos;
+		this.lastFrameNanos = this.openedNanos;
 		this.peerClock = PeerClock.openedAt(this.openedNanos);
 		opened.connection().onFrame(this::receive);
-		opened.connection().closed().whenResult(this::lost);
+		opened.connection().closed().whenResult(this::onConnectionLost);
 		return opened.connection();
 	}
 
 	Promise<Outcome> exchange(MessageFactory message, int waitMillis, Cancellation cancellation) {
 		SettablePromise<Outcome> outcome = new SettablePromise<>();
 		long deadlineNanos = System.nanoTime() + Duration.ofMillis(waitMillis).toNanos();
-		ScheduledRunnable unsent = whenOver(deadlineNanos, () -> outcome
-			.trySet(Outcome.failed(ErrorKind.DEADLINE_PASSED, "the deadline passed before it was sent")));
+		ScheduledRunnable connectTimeout = scheduleAtDeadline(deadlineNanos, () -> outcome
+			.trySet(Outcome.failed(ErrorKind.DEADLINE_PASSED, "the deadline passed before the request was sent")));
 		this.connection.whenComplete((ready, ex) -> {
-			unsent.cancel();
+			connectTimeout.cancel();
 			if (outcome.isComplete()) {
 				return;
 			}
@@ -140,7 +140,7 @@
 			}
 			else if (ready.unsentBytes() > MAX_UNSENT_BYTES) {
 				outcome.trySet(Outcome.failed(new Failure(ErrorKind.OVERLOADED,
-						"the connection to %s is full".formatted(this.peer), RETRY_SOON)));
+						"the connection to %s is full".formatted(this.peer), RETRY_AFTER)));
 			}
 			else {
 				send(ready, message, deadlineNanos, cancellation, outcome);
@@ -149,7 +149,7 @@
 		return outcome;
 	}
 
-	private ScheduledRunnable whenOver(long deadlineNanos, Runnable action) {
+	private ScheduledRunnable scheduleAtDeadline(long deadlineNanos, Runnable action) {
 		Duration rest = Duration.ofNanos(Math.max(0, deadlineNanos - System.nanoTime()));
 		return this.client.reactor().delay(rest.plusMillis(1), action);
 	}
@@ -158,7 +158,7 @@
 			SettablePromise<Outcome> outcome) {
 		long exchange = this.nextExchange++;
 		if (this.waiting.isEmpty()) {
-			this.heardNanos = System.nanoTime();
+			this.lastFrameNanos = System.nanoTime();
 		}
 		this.waiting.put(exchange, outcome);
 		long now = System.nanoTime();
@@ -166,7 +166,7 @@
 		if (this.peerClock.isStale(now)) {
 			sendPing(ready, now);
 		}
-		ScheduledRunnable timeout = whenOver(deadlineNanos, () -> settle(exchange,
+		ScheduledRunnable timeout = scheduleAtDeadline(deadlineNanos, () -> settle(exchange,
 				Outcome.failed(ErrorKind.TIMED_OUT, "the deadline passed while the owner had the request")));
 		outcome.whenResult(timeout::cancel);
 		cancellation.addCancelListener(() -> {
@@ -174,19 +174,19 @@
 				send(ready, new ForwardMessage.Cancel(exchange));
 			}
 		});
-		keepPinging();
+		schedulePing();
 	}
 
 	private void send(PeerConnection ready, ForwardMessage message) {
 		ready.send(ForwardCodec.encode(message, this.client.events().stamp()));
 	}
 
-	private void keepPinging() {
+	private void schedulePing() {
 		if (this.pinging) {
 			return;
 		}
 		this.pinging = true;
-		this.client.reactor().delay(PING_EVERY, () -> {
+		this.client.reactor().delay(PING_INTERVAL, () -> {
 			this.pinging = false;
 			if (!this.closed && !this.waiting.isEmpty()) {
 				ping();
@@ -196,30 +196,29 @@
 
 	private void ping() {
 		long now = System.nanoTime();
-		if (silentNanos(now) >= SILENCE_NANOS) {
+		if (silentNanos(now) >= SILENCE_TIMEOUT_NANOS) {
 			this.open.ifPresent((ready) -> ready
-				.close(new WireException("nothing came for %d ms".formatted(SILENCE_NANOS / 1_000_000))));
+				.close(new WireException("nothing came for %d ms".formatted(SILENCE_TIMEOUT_NANOS / 1_000_000))));
 			return;
 		}
 		this.open.ifPresent((ready) -> sendPing(ready, now));
-		keepPinging();
+		schedulePing();
 	}
 
-	// Any bytes count: a large answer takes longer to come on a narrow network than a
-	// link
-	// may be silent.
+	// Any received bytes count: on a low-bandwidth network a large answer takes longer
+	// to arrive than the silence timeout.
 	private long silentNanos(long now) {
-		long received = this.open.map(PeerConnection::receivedNanos).orElse(this.heardNanos);
-		return Math.min(now - received, now - this.heardNanos);
+		long received = this.open.map(PeerConnection::receivedNanos).orElse(this.lastFrameNanos);
+		return Math.min(now - received, now - this.lastFrameNanos);
 	}
 
 	private void sendPing(PeerConnection ready, long nowNanos) {
-		this.pingedNanos = nowNanos;
+		this.pingSentNanos = nowNanos;
 		send(ready, new ForwardMessage.Ping(this.nextExchange++));
 	}
 
 	private void receive(FrameReader frame) throws WireException {
-		this.heardNanos = System.nanoTime();
+		this.lastFrameNanos = System.nanoTime();
 		ForwardCodec.Stamped received = ForwardCodec.decode(frame);
 		this.client.events().receive(received.stamp());
 		switch (received.message()) {
@@ -227,8 +226,8 @@
 				settle(message.exchange(), new Outcome.Answered(message.answer(), message.fence(), message.ticket()));
 			case ForwardMessage.Failed message -> settle(message.exchange(), failed(message));
 			case ForwardMessage.Pong pong -> {
-				this.client.onRoundTripMeasured(this.peer, Duration.ofNanos(this.heardNanos - this.pingedNanos));
-				pong.sentNanos().ifPresent((sent) -> this.peerClock = PeerClock.measured(sent, this.heardNanos));
+				this.client.onRoundTripMeasured(this.peer, Duration.ofNanos(this.lastFrameNanos - this.pingSentNanos));
+				pong.sentNanos().ifPresent((sent) -> this.peerClock = PeerClock.measured(sent, this.lastFrameNanos));
 			}
 			case ForwardMessage.Forward message -> throw unexpected(message);
 			case ForwardMessage.Execute message -> throw unexpected(message);
@@ -247,7 +246,7 @@
 		return new WireException("exchange %d was opened by the wrong side".formatted(message.exchange()));
 	}
 
-	// Late answers find nobody waiting under their number and are dropped.
+	// Drops late answers: their exchange is no longer pending.
 	private void settle(long exchange, Outcome outcome) {
 		SettablePromise<Outcome> promise = this.waiting.remove(exchange);
 		if (promise != null) {
@@ -255,11 +254,11 @@
 		}
 	}
 
-	private void lost(Exception reason) {
-		gone();
+	private void onConnectionLost(Exception reason) {
+		markClosed();
 		this.client.events().record(EventKind.PEER_LOST, this.peer, String.valueOf(reason.getMessage()));
-		Duration used = Duration.ofNanos(this.heardNanos - this.openedNanos);
-		Duration silent = Duration.ofNanos(System.nanoTime() - this.heardNanos);
+		Duration used = Duration.ofNanos(this.lastFrameNanos - this.openedNanos);
+		Duration silent = Duration.ofNanos(System.nanoTime() - this.lastFrameNanos);
 		Failure failure = Failure.of(ErrorKind.OUTCOME_UNKNOWN,
 				"the connection to %s broke: %s".formatted(this.peer, reason.getMessage()));
 		Outcome outcome = new Outcome.Failed(failure, "", Optional.empty(), false,
@@ -269,20 +268,20 @@
 		all.forEach((promise) -> promise.trySet(outcome));
 	}
 
-	private void gone() {
+	private void markClosed() {
 		this.closed = true;
 		this.client.onLinkClosed(this.peer, this);
 	}
 
 	/**
-	 * A message that gets the number of its exchange when it is sent.
+	 * Creates a message once the number of its exchange is known.
 	 */
 	interface MessageFactory {
 
 		/**
-		 * The message.
+		 * Creates the message.
 		 * @param exchange the number of its exchange
-		 * @param sentNanos when it is sent, see {@link PeerClock}
+		 * @param sentNanos the send time on the clock of the peer, see {@link PeerClock}
 		 * @return the message to encode
 		 */
 		ForwardMessage create(long exchange, long sentNanos);
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardServer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardServer.java
@@ -31,9 +31,9 @@
 import org.brasspier.wire.WireException;
 
 /**
- * Takes requests that other daemons forward to this one. It never forwards again, so
- * stale route tables can't make a request travel in circles. Belongs to the thread of
- * requests.
+ * Accepts requests that other daemons forward to this one. Never forwards a request
+ * again, so stale route tables can't cause a routing loop. Not thread-safe; used in the
+ * request thread only.
  */
 public final class ForwardServer {
 
@@ -41,7 +41,7 @@
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	private static final Duration RETRY_SOON = Duration.ofMillis(100);
+	private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
 	private final Settings settings;
 
@@ -61,11 +61,11 @@
 
 	/**
 	 * Creates a server that does not listen yet.
-	 * @param context this instance, the shared keys, where to listen, the time line and
-	 * the metrics
-	 * @param owner the way for requests that this instance owns
-	 * @param servers the way for orders that other owners give
-	 * @param ownership what is known of other owners
+	 * @param context this instance, the shared keys, the listen address, the event log
+	 * and the metrics
+	 * @param owner serves requests that this instance owns
+	 * @param servers runs orders that other owners have admitted
+	 * @param ownership the current owners
 	 */
 	ForwardServer(DaemonContext context, OwnerGate owner, ServerGate servers, Supplier<OwnershipSnapshot> ownership) {
 		this.settings = context.settings();
@@ -79,14 +79,14 @@
 
 	/**
 	 * Builds the listening server.
-	 * @param reactor the reactor of the thread of requests
-	 * @return a server to be told to listen
+	 * @param reactor the reactor of the request thread
+	 * @return a server that does not listen yet
 	 */
 	public SimpleServer listenOn(NioReactor reactor) {
 		return SimpleServer.builder(reactor, this::accept).withListenAddress(this.settings.listen().forwards()).build();
 	}
 
-	// When another daemon last sent a request or an order.
+	// The time of the last request or order from another daemon, on the steady clock.
 	long latestRequestNanos() {
 		return this.latestRequestNanos;
 	}
@@ -104,7 +104,7 @@
 			});
 	}
 
-	private Promise<Outcome> execute(ForwardMessage.Execute message, long heldUpNanos, Cancellation cancellation) {
+	private Promise<Outcome> execute(ForwardMessage.Execute message, long delayNanos, Cancellation cancellation) {
 		CallerRequest request = message.request();
 		Fence known = this.ownership.get()
 			.routes()
@@ -113,15 +113,15 @@
 			.orElse(Fence.NONE);
 		if (message.fence().olderThan(known)) {
 			return Promise.of(Outcome.failed(new Failure(ErrorKind.NO_OWNER,
-					"the id's range has a newer owner than the one who sent this", RETRY_SOON)));
+					"the range of the request id has a newer owner than the sender", RETRY_AFTER)));
 		}
-		long sent = System.nanoTime() - heldUpNanos;
+		long sent = System.nanoTime() - delayNanos;
 		long leaseEnd = sent + message.authorityMillis() * NANOS_PER_MILLI;
 		if (leaseEnd - System.nanoTime() <= 0) {
-			String detail = "it was held up for %d ms between daemons, longer than its owner's lease"
-				.formatted(heldUpNanos / NANOS_PER_MILLI);
+			String detail = "the order was delayed for %d ms between daemons, longer than its owner's lease"
+				.formatted(delayNanos / NANOS_PER_MILLI);
 			this.events.record(EventKind.REQUEST_REFUSED, request, detail);
-			return Promise.of(Outcome.failed(new Failure(ErrorKind.NO_OWNER, detail, RETRY_SOON)));
+			return Promise.of(Outcome.failed(new Failure(ErrorKind.NO_OWNER, detail, RETRY_AFTER)));
 		}
 		HeldRange held = new HeldRange(request.service(), message.range(), message.fence());
 		Order order = new Order(request, held, sent + request.remainingMillis() * NANOS_PER_MILLI, () -> leaseEnd);
@@ -129,7 +129,7 @@
 	}
 
 	/**
-	 * What one connection asked for and waits for.
+	 * The exchanges of one connection.
 	 */
 	private final class Exchanges {
 
@@ -161,7 +161,7 @@
 				case ForwardMessage.Forward(long exchange, CallerRequest request) ->
 					answer(exchange, ForwardServer.this.owner.serve(request, begin(exchange)));
 				case ForwardMessage.Execute message ->
-					answer(message.exchange(), execute(message, heldUpNanos(message), begin(message.exchange())));
+					answer(message.exchange(), execute(message, delayNanos(message), begin(message.exchange())));
 				case ForwardMessage.Cancel(long exchange) ->
 					Optional.ofNullable(this.running.get(exchange)).ifPresent(Cancellation::cancel);
 				case ForwardMessage.Ping(long exchange) ->
@@ -176,8 +176,10 @@
 			return System.nanoTime() - this.openedNanos;
 		}
 
-		// At most: the sender's count of this side's time lags by a message's way.
-		private long heldUpNanos(ForwardMessage.Execute message) {
+		// An upper bound: the sender's estimate of this daemon's clock lags by the
+		// one-way
+		// delay of a message.
+		private long delayNanos(ForwardMessage.Execute message) {
 			long now = sinceOpenedNanos();
 			return Math.max(0, now - message.sentNanos().orElse(now));
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/GateView.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/GateView.java
@@ -7,14 +7,14 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * What the gate to the backend server beside this daemon has to do, for operators.
- * Immutable and thread-safe.
+ * The load of the gate, which is this daemon's admission control in front of its backend
+ * server, as shown to operators. Immutable and thread-safe.
  *
  * @param classes one entry for each class of request
  */
 public record GateView(List<GateView.Load> classes) {
 
-	/** The gate has not told yet. */
+	/** Nothing was published yet. */
 	public static final GateView IDLE = of((requestClass) -> 0, (requestClass) -> 0);
 
 	/**
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/GuardTimes.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/GuardTimes.java
@@ -7,8 +7,9 @@
 import org.brasspier.core.document.ServicePolicy;
 
 /**
- * How long after the end of its owner's lease an order may still take effect on a backend
- * server that checks no fences; its range rests for as long before it moves. Thread-safe.
+ * The guard time of each service: how long after the end of its owner's lease an order
+ * may still take effect on a backend server that does not check fences. A range is not
+ * given to another owner before this time has passed. Thread-safe.
  */
 final class GuardTimes {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/InFlightRequests.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/InFlightRequests.java
@@ -14,8 +14,9 @@
 import org.brasspier.daemon.internal.ownership.RequestsReport;
 
 /**
- * What this instance has admitted as owner and what may still take effect, and the ranges
- * that wait to be drained of it. Belongs to the thread of requests.
+ * The requests that this instance has admitted as owner and that may still take effect,
+ * and the ranges that wait until none of these is left. Not thread-safe; used in the
+ * request thread only.
  */
 final class InFlightRequests {
 
@@ -29,8 +30,9 @@
 
 	private final List<HeldRange> draining = new ArrayList<>();
 
-	// The reports are offered to a ring, which may be full; then they are offered again.
-	// A backend server that may still go by a grant, as after a pause, keeps its range.
+	// Reports are offered to a ring; if it is full they are offered again later. A range
+	// is not reported drained while the backend server may still use a grant of it, for
+	// example when it resumes after a pause.
 	InFlightRequests(CrashHistory marks, OwnershipReportSink reports, Predicate<HeldRange> granted) {
 		this.marks = marks;
 		this.reports = reports;
@@ -57,7 +59,7 @@
 		reportDrained();
 	}
 
-	// Also called each few milliseconds, for reports that the ring did not take.
+	// Also called every 20 ms, for reports that the ring had no room for.
 	void reportDrained() {
 		this.draining.removeIf((held) -> this.entries.stream().noneMatch((entry) -> entry.belongsTo(held))
 				&& !this.granted.test(held)
@@ -69,7 +71,7 @@
 	}
 
 	/**
-	 * One admitted request. Told from others by identity.
+	 * One admitted request. Compared by identity.
 	 */
 	static final class Entry {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/LeaseContinuity.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/LeaseContinuity.java
@@ -3,15 +3,16 @@
 import org.brasspier.core.routing.OwnershipSnapshot;
 
 /**
- * Tells whether this instance's lease has run without a gap since a request was admitted.
- * Ranges leave a member only after it has reported them drained or after its lease has
- * lapsed, so a request whose admission lies in the same unbroken run of the lease may go
- * on, also while its range is being handed over. Belongs to the thread of requests.
+ * Determines whether this instance's lease has been valid without a gap since a request
+ * was admitted. A member loses a range only after it has reported the range drained or
+ * after its lease has expired. So a request that was admitted in the same uninterrupted
+ * lease period may continue, even while its range is being handed over. Not thread-safe;
+ * used in the request thread only.
  *
  * <p>
- * Looked at each few milliseconds: a lease whose last seen end has passed counts as
- * lapsed even if a renewal came meanwhile, since then this process was paused for most of
- * a lease.
+ * Updated every few milliseconds. A lease whose last seen end has passed counts as
+ * expired even if it was renewed in the meantime, because this process was then paused
+ * for most of a lease.
  */
 final class LeaseContinuity {
 
@@ -23,7 +24,7 @@
 		this.endNanos = nowNanos;
 	}
 
-	// The number of the present run of the lease, which changes with each gap.
+	// Returns the number of the current lease period, which changes with each gap.
 	long update(OwnershipSnapshot snapshot, long nowNanos) {
 		if (nowNanos - this.endNanos >= 0) {
 			this.run++;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/LoadReports.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/LoadReports.java
@@ -20,16 +20,21 @@
 import org.brasspier.daemon.internal.ownership.RequestsReport;
 
 /**
- * Measures the load of the ranges held here and reports it. Belongs to the thread of
- * requests.
+ * Measures the load of the ranges that this instance holds and reports it. Not
+ * thread-safe; used in the request thread only.
  */
 final class LoadReports {
 
-	/** Hot keys change within minutes; this follows them within tens of seconds. */
+	/**
+	 * Hot keys change within minutes; this window follows them within tens of seconds.
+	 */
 	private static final long WINDOW_NANOS = Duration.ofSeconds(10).toNanos();
 
-	/** A refused request is taken for the mean of about so many that ran. */
-	private static final int USUAL_OVER = 32;
+	/**
+	 * Weight of the moving average of run times: a refused request counts as the mean of
+	 * about this many requests that ran.
+	 */
+	private static final int MEAN_RUN_WEIGHT = 32;
 
 	private final Supplier<OwnershipSnapshot> ownership;
 
@@ -41,7 +46,7 @@
 
 	private final Map<ServiceName, Map<Fence, Long>> heldSince = new HashMap<>();
 
-	private long usualNanos;
+	private long meanRunNanos;
 
 	LoadReports(Supplier<OwnershipSnapshot> ownership, OwnershipReportSink reports, OutcomeMeter outcomes) {
 		this.outcomes = outcomes;
@@ -49,17 +54,17 @@
 		this.reports = reports;
 	}
 
-	// A request kept a slot busy.
+	// Records a request that occupied a slot.
 	void recordRun(CallerRequest request, long busyNanos) {
 		this.outcomes.ran(request.service(), busyNanos);
-		this.usualNanos += (busyNanos - this.usualNanos) / USUAL_OVER;
+		this.meanRunNanos += (busyNanos - this.meanRunNanos) / MEAN_RUN_WEIGHT;
 		record(request, busyNanos);
 	}
 
-	// A request would have kept a slot busy: demand is what must be spread, and a full
-	// server serves no more than its slots whatever is asked of it.
+	// Records a refused request with the mean run time: balancing must spread the demand,
+	// and a full server runs no more than its slots however high the demand is.
 	void recordRefused(CallerRequest request) {
-		record(request, this.usualNanos);
+		record(request, this.meanRunNanos);
 	}
 
 	private void record(CallerRequest request, long busyNanos) {
@@ -72,7 +77,8 @@
 		return new RangeLoad(range, meter.busySlots(range, since, now), meter.hottest(range, since, now));
 	}
 
-	// By fence: a range that is cut keeps its fence, and its load was seen all along.
+	// Keyed by fence: a range that is split keeps its fence, and its load was measured
+	// without interruption.
 	private Map<Fence, Long> since(ServiceName service, LoadMeter meter, List<Assignment> held, long now) {
 		Map<Fence, Long> since = this.heldSince.computeIfAbsent(service, (key) -> new HashMap<>());
 		Set<Fence> present = held.stream().map(Assignment::fence).collect(Collectors.toSet());
@@ -82,8 +88,8 @@
 		return since;
 	}
 
-	// A report that the ring does not take is lost; the next one, a second later, says
-	// all again.
+	// A report that does not fit in the ring is lost; the next one, a second later, is
+	// complete again.
 	void report() {
 		OwnershipSnapshot snapshot = this.ownership.get();
 		long now = System.nanoTime();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/Order.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/Order.java
@@ -6,22 +6,22 @@
 import org.brasspier.core.request.CallerRequest;
 
 /**
- * A request that its owner has admitted, on its way to a backend server. Immutable; its
- * lease is asked in the thread of requests.
+ * A request that its owner has admitted and that is to be run by a backend server.
+ * Immutable; the end of the lease is read in the request thread only.
  *
  * @param request the request
  * @param held the owner's range with its fence
- * @param deadlineNanos when its caller stops waiting, as {@link System#nanoTime()} counts
- * @param leaseEndNanos until when the owner's lease runs as known now, as
- * {@link System#nanoTime()} counts; in the past if it no longer holds the range
+ * @param deadlineNanos deadline of the caller, on the clock of {@link System#nanoTime()}
+ * @param leaseEndNanos supplies the currently known end of the owner's lease, on the
+ * clock of {@link System#nanoTime()}; in the past if the owner no longer holds the range
  */
 public record Order(CallerRequest request, HeldRange held, long deadlineNanos, LongSupplier leaseEndNanos) {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
 	/**
-	 * The time until the deadline.
-	 * @param nowNanos the time, as {@link System#nanoTime()} counts
+	 * Returns the time until the deadline.
+	 * @param nowNanos current time, on the clock of {@link System#nanoTime()}
 	 * @return milliseconds, at least 0
 	 */
 	public int remainingMillis(long nowNanos) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRun.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRun.java
@@ -3,11 +3,12 @@
 import io.activej.promise.Promise;
 
 /**
- * An order that was handed to a gate. Belongs to the thread of requests.
+ * The execution of an order. Not thread-safe; used in the request thread only.
  *
- * @param outcome how it ended for its caller; never an exception
- * @param settled completes once it certainly can't take effect any more, which may be
- * later: a server that checks no fences may be frozen with the order in its hands
+ * @param outcome the outcome for the caller; never completes exceptionally
+ * @param settled completes once the order can no longer take effect, which may be later
+ * than the outcome: a server that does not check fences may have been paused after it
+ * received the order
  */
 record OrderRun(Promise<Outcome> outcome, Promise<Void> settled) {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRunner.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRunner.java
@@ -24,19 +24,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Hands orders that have a slot to the backend server. Belongs to the thread of requests.
+ * Sends orders that have a slot to the backend server. Not thread-safe; used in the
+ * request thread only.
  */
 final class OrderRunner {
 
-	/** A server that is lost this soon after a connection broke broke it by its end. */
+	/**
+	 * If the server is lost within this time after a connection broke, the connection
+	 * broke because the server ended.
+	 */
 	private static final long SAME_LOSS_NANOS = 1_000_000_000;
 
-	private static final int MAX_BREAKS = 64;
+	private static final int MAX_CONNECTION_LOSSES = 64;
 
-	/** A silent call of grants ends sooner than this, and the next one is answered. */
+	/** Longer than the timeout of a grant call, so that the next call can be answered. */
 	private static final long GRANT_WAIT_NANOS = 500_000_000;
 
-	private static final Duration LOOK_AGAIN = Duration.ofMillis(5);
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(5);
 
 	private final NioReactor reactor;
 
@@ -58,7 +62,7 @@
 
 	private final Set<RunningOrder> running = new HashSet<>();
 
-	private final Deque<Break> breaks = new ArrayDeque<>();
+	private final Deque<ConnectionLoss> connectionLosses = new ArrayDeque<>();
 
 	OrderRunner(NioReactor reactor, BackendClient client, BackendCalls calls, BackendWatch watch, GrantRenewal grants,
 			EventLog events, GuardTimes guards, LoadReports loads, Consumer<CallerRequest> suspects) {
@@ -73,12 +77,12 @@
 		this.suspects = suspects;
 	}
 
-	// Hands an order over and tells once when its slot is free again.
+	// Sends an order and reports, exactly once, when its slot is free again.
 	OrderRun start(Order order, Cancellation cancellation, Consumer<RunOutcome> slotFree) {
 		long now = System.nanoTime();
 		Outcome refusal = refusal(order, cancellation, now);
 		if (refusal != null) {
-			// The slot may only be taken back after the caller has taken note of it.
+			// Posted, so that the slot is released only after this method has returned.
 			this.reactor.post(() -> slotFree.accept(RunOutcome.NOT_STARTED));
 			return OrderRun.completed(refusal);
 		}
@@ -91,23 +95,24 @@
 		return new OrderRun(started.outcome(), started.settled());
 	}
 
-	// The last check before the order leaves: a pause while it waited may have cost the
-	// lease, and then another owner may already be at work.
+	// The last check before the order is sent: the lease may have expired during a pause
+	// while the order was queued, and another owner may already be active.
 	private static @Nullable Outcome refusal(Order order, Cancellation cancellation, long nowNanos) {
 		if (cancellation.isCancelled()) {
 			return Outcome.failed(ErrorKind.DEADLINE_PASSED, "the caller is gone");
 		}
 		if (order.deadlineNanos() - nowNanos <= 0) {
-			return Outcome.failed(ErrorKind.DEADLINE_PASSED, "the deadline passed while the request waited");
+			return Outcome.failed(ErrorKind.DEADLINE_PASSED, "the deadline passed while the request was queued");
 		}
 		if (order.leaseEndNanos().getAsLong() - nowNanos <= 0) {
-			return Outcome.failed(new Failure(ErrorKind.NO_OWNER, "the owner's lease ran out", Duration.ofMillis(100)));
+			return Outcome
+				.failed(new Failure(ErrorKind.NO_OWNER, "the owner's lease has expired", Duration.ofMillis(100)));
 		}
 		return null;
 	}
 
-	// Waits until the server has acknowledged the order's grant, and tells whether it
-	// has.
+	// Waits for the server to acknowledge the grant of the order. Completes with false on
+	// a timeout.
 	Promise<Boolean> awaitGrant(Order order) {
 		return awaitGrant(order, Math.min(order.deadlineNanos(), System.nanoTime() + GRANT_WAIT_NANOS));
 	}
@@ -117,7 +122,7 @@
 		if (this.grants.acknowledged(order.held(), now) || now - giveUpNanos >= 0) {
 			return Promise.of(now - giveUpNanos < 0);
 		}
-		return Promises.delay(LOOK_AGAIN).then(() -> awaitGrant(order, giveUpNanos));
+		return Promises.delay(POLL_INTERVAL).then(() -> awaitGrant(order, giveUpNanos));
 	}
 
 	void onEnded(RunningOrder running, Order order, long busyNanos) {
@@ -129,23 +134,24 @@
 		this.loads.recordRefused(order.request());
 	}
 
-	// Frozen or gone: nothing more comes of what it was at.
+	// The server is paused or has ended: no order that it runs will be answered.
 	void onServerLost() {
 		this.client.forgetConnections();
 		List.copyOf(this.running).forEach((order) -> order.abandon("the backend server is lost"));
 		long now = System.nanoTime();
-		this.breaks.stream()
-			.filter((broken) -> now - broken.atNanos < SAME_LOSS_NANOS)
-			.forEach((broken) -> this.suspects.accept(broken.request));
-		this.breaks.clear();
+		this.connectionLosses.stream()
+			.filter((loss) -> now - loss.atNanos < SAME_LOSS_NANOS)
+			.forEach((loss) -> this.suspects.accept(loss.request));
+		this.connectionLosses.clear();
 	}
 
-	// The connection broke, yet the server still answered; it may be on its way down.
+	// The connection broke although the server still answers a probe; it may be about to
+	// end.
 	void onConnectionLost(Order order) {
-		if (this.breaks.size() == MAX_BREAKS) {
-			this.breaks.removeFirst();
+		if (this.connectionLosses.size() == MAX_CONNECTION_LOSSES) {
+			this.connectionLosses.removeFirst();
 		}
-		this.breaks.addLast(new Break(order.request(), System.nanoTime()));
+		this.connectionLosses.addLast(new ConnectionLoss(order.request(), System.nanoTime()));
 	}
 
 	NioReactor reactor() {
@@ -176,7 +182,7 @@
 		this.events.record(kind, order.request(), detail);
 	}
 
-	private record Break(CallerRequest request, long atNanos) {
+	private record ConnectionLoss(CallerRequest request, long atNanos) {
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/Outcome.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/Outcome.java
@@ -11,28 +11,28 @@
 import org.brasspier.core.retry.LostConnectionRetries;
 
 /**
- * How a request ended, as it is relayed towards its caller. Immutable and thread-safe.
+ * The outcome of a request, as it is relayed to its caller. Immutable and thread-safe.
  */
 public sealed interface Outcome {
 
 	/**
-	 * The ticket for the caller's next posting to this range or, after a failure, to
-	 * resend with.
-	 * @return empty if none
+	 * Returns the ticket for the caller's next posting to this range or, after a failure,
+	 * for its retry.
+	 * @return the ticket, or an empty string if there is none
 	 */
 	String ticket();
 
 	/**
-	 * The same outcome with a ticket.
+	 * Returns a copy of this outcome with a ticket.
 	 * @param newTicket the ticket's text
 	 * @return the copy
 	 */
 	Outcome withTicket(String newTicket);
 
 	/**
-	 * A failure with nothing more to tell.
-	 * @param kind what went wrong
-	 * @param detail one sentence for a person
+	 * Creates a failure without a ticket or a known owner.
+	 * @param kind the kind of error
+	 * @param detail one sentence for people
 	 * @return the outcome
 	 */
 	static Failed failed(ErrorKind kind, String detail) {
@@ -40,8 +40,8 @@
 	}
 
 	/**
-	 * A failure with nothing more to tell.
-	 * @param failure why
+	 * Creates a failure without a ticket or a known owner.
+	 * @param failure the cause
 	 * @return the outcome
 	 */
 	static Failed failed(Failure failure) {
@@ -49,10 +49,11 @@
 	}
 
 	/**
-	 * What is to be said of a request of which an earlier try may have run: a later try
-	 * that certainly did not run says nothing of the earlier one.
-	 * @param last how the last try ended
-	 * @return the last end, or that the outcome is unknown
+	 * Returns the outcome of a request of which an earlier attempt may have run: that the
+	 * last attempt certainly did not run says nothing about the earlier one.
+	 * @param last the outcome of the last attempt
+	 * @return the last outcome, or {@code OUTCOME_UNKNOWN} if the last attempt did not
+	 * run
 	 */
 	static Outcome afterUnknown(Outcome last) {
 		if (!(last instanceof Failed failed) || !failed.certainlyNotRun()) {
@@ -66,8 +67,8 @@
 	/**
 	 * The backend server answered.
 	 *
-	 * @param answer its whole answer
-	 * @param fence the fence it was given under
+	 * @param answer its complete answer
+	 * @param fence the fence that the request ran under
 	 * @param ticket the ticket for the next posting
 	 */
 	record Answered(Answer answer, Fence fence, String ticket) implements Outcome {
@@ -82,11 +83,11 @@
 	/**
 	 * The request was refused or failed.
 	 *
-	 * @param failure why
-	 * @param ticket the ticket to resend with, empty if none
-	 * @param owner who owns the request as far as the answering daemon knows
-	 * @param backendLost whether it ran when its backend server was lost
-	 * @param exemptFromBudget whether sending it again needs no retry budget, see
+	 * @param failure the cause
+	 * @param ticket the ticket for the retry, empty if none
+	 * @param owner the owner of the request as known to the answering daemon
+	 * @param backendLost whether the request was running when its backend server was lost
+	 * @param exemptFromBudget whether a retry is not charged to the retry budget, see
 	 * {@link LostConnectionRetries}
 	 */
 	record Failed(Failure failure, String ticket, Optional<Owner> owner, boolean backendLost,
@@ -102,7 +103,7 @@
 		}
 
 		/**
-		 * Whether this send certainly did not run and will not.
+		 * Returns whether this attempt certainly did not run and will not run.
 		 * @return false if it may have run
 		 */
 		public boolean certainlyNotRun() {
@@ -112,7 +113,7 @@
 	}
 
 	/**
-	 * Who owns a request.
+	 * The owner of a request.
 	 *
 	 * @param instance the instance
 	 * @param fence the fence of its range
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OwnerGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OwnerGate.java
@@ -19,20 +19,23 @@
 import org.brasspier.daemon.internal.event.EventLog;
 
 /**
- * The owner's side of a request: lets it pass if this instance holds its point, at most
- * once if it is a posting, and relays the answer only if the lease has held meanwhile.
- * Belongs to the thread of requests.
+ * Admits requests on behalf of the owner of their key: runs a request if this instance
+ * holds its key hash, runs a posting at most once, and relays the answer only if the
+ * lease was valid throughout. Not thread-safe; used in the request thread only.
  */
 public final class OwnerGate {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	private static final Duration RETRY_SOON = Duration.ofMillis(100);
+	private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
-	/** A caller is told sooner than its deadline, and gets the answer by a resend. */
+	/**
+	 * How long an answer waits for the renewal of an expired lease. Shorter than a usual
+	 * deadline, so that the caller is told in time and gets the answer by a retry.
+	 */
 	private static final long RENEWAL_WAIT_NANOS = 1_000_000_000;
 
-	private static final Duration LOOK_AGAIN = Duration.ofMillis(5);
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(5);
 
 	private final Supplier<OwnershipSnapshot> ownership;
 
@@ -48,16 +51,16 @@
 
 	private final LeaseContinuity continuity = new LeaseContinuity(System.nanoTime());
 
-	private Promise<Void> suspectsTurn = Promise.complete();
+	private Promise<Void> lastSuspectTurn = Promise.complete();
 
 	/**
 	 * Creates a gate.
-	 * @param ownership what this instance holds now
-	 * @param postings what was admitted before
-	 * @param suspects which requests were part of losses
-	 * @param inFlight what this instance has admitted
-	 * @param servers hands an admitted request to a backend server
-	 * @param events the time line
+	 * @param ownership the ranges that this instance currently holds
+	 * @param postings runs postings at most once
+	 * @param suspects the requests suspected of crashing backend servers
+	 * @param inFlight the requests that this instance has admitted
+	 * @param servers runs an admitted request on a backend server
+	 * @param events the event log
 	 */
 	OwnerGate(Supplier<OwnershipSnapshot> ownership, PostingExecutor postings, SuspectRequests suspects,
 			InFlightRequests inFlight, Function<Admitted, OrderRun> servers, EventLog events) {
@@ -72,8 +75,8 @@
 	/**
 	 * Serves a request if this instance owns it.
 	 * @param request the request
-	 * @param cancellation tells when its caller is gone
-	 * @return how it ended; never an exception
+	 * @param cancellation notified when the caller disconnects
+	 * @return the outcome; never completes exceptionally
 	 */
 	public Promise<Outcome> serve(CallerRequest request, Cancellation cancellation) {
 		long now = System.nanoTime();
@@ -86,12 +89,12 @@
 		HeldRange held = new HeldRange(request.service(), owned.get().range(), owned.get().fence());
 		this.suspects.mergeMarks(snapshot.marked());
 		if (this.suspects.isBlocked(request)) {
-			this.events.record(EventKind.REQUEST_KEPT_AWAY, request, "it was part of losses of backend servers");
+			this.events.record(EventKind.REQUEST_KEPT_AWAY, request, "it was running when backend servers were lost");
 			return Promise.of(Outcome.failed(ErrorKind.CRASHED_BACKENDS,
 					"backend servers were lost each time they ran this request"));
 		}
 		Admitted admitted = new Admitted(order(request, held, leaseRun, now), cancellation);
-		return ended(admitted, now).then((outcome) -> relay(admitted.order(), leaseRun, outcome));
+		return execute(admitted, now).then((outcome) -> relay(admitted.order(), leaseRun, outcome));
 	}
 
 	private Order order(CallerRequest request, HeldRange held, long leaseRun, long receivedNanos) {
@@ -99,50 +102,51 @@
 		return new Order(request, held, deadline, () -> leaseEnd(leaseRun));
 	}
 
-	// A posting's answer is remembered also if it may not be relayed now: a resend under
-	// the same fence gets it.
-	private Promise<Outcome> ended(Admitted admitted, long nowNanos) {
+	// The answer to a posting is recorded even if it may not be relayed now: a retry
+	// under the same fence gets it.
+	private Promise<Outcome> execute(Admitted admitted, long nowNanos) {
 		CallerRequest request = admitted.order().request();
 		HeldRange held = admitted.order().held();
 		if (request.requestClass() == RequestClass.POSTING) {
-			return this.postings.admit(request, held, nowNanos, () -> turn(admitted));
+			return this.postings.admit(request, held, nowNanos, () -> runInTurn(admitted));
 		}
-		return turn(admitted).map((outcome) -> this.postings.withTicket(outcome, held));
+		return runInTurn(admitted).map((outcome) -> this.postings.withTicket(outcome, held));
 	}
 
 	/**
-	 * Looks at the lease, as must be done each few milliseconds.
+	 * Updates the lease period. Must be called every few milliseconds.
 	 */
 	void updateLease() {
 		this.continuity.update(this.ownership.get(), System.nanoTime());
 	}
 
-	// Suspects run one at a time, beside any others. So the innocent ones, which clear
-	// themselves by ending well, are not part of the culprit's second crash.
-	private Promise<Outcome> turn(Admitted admitted) {
+	// Suspect requests run one at a time, concurrently with any others. So harmless ones,
+	// which are cleared when they succeed, are not running when the request that caused
+	// the first crash causes the second.
+	private Promise<Outcome> runInTurn(Admitted admitted) {
 		CallerRequest request = admitted.order().request();
 		if (!this.suspects.isSuspect(request)) {
-			return hand(admitted);
+			return dispatch(admitted);
 		}
 		SettablePromise<Void> next = new SettablePromise<>();
-		Promise<Void> before = this.suspectsTurn;
-		this.suspectsTurn = next;
-		return before.then(() -> this.suspects.isBlocked(request)
-				? Promise.of(Outcome.failed(ErrorKind.CRASHED_BACKENDS, "it was part of one more loss"))
-				: hand(admitted))
+		Promise<Void> before = this.lastSuspectTurn;
+		this.lastSuspectTurn = next;
+		return before
+			.then(() -> this.suspects.isBlocked(request) ? Promise.of(Outcome.failed(ErrorKind.CRASHED_BACKENDS,
+					"one more backend server was lost while it ran the request")) : dispatch(admitted))
 			.whenComplete(() -> next.set(null));
 	}
 
-	private Promise<Outcome> hand(Admitted admitted) {
+	private Promise<Outcome> dispatch(Admitted admitted) {
 		CallerRequest request = admitted.order().request();
 		InFlightRequests.Entry entry = this.inFlight.begin(request.service(), request.keyHash(),
 				admitted.order().held().fence());
 		OrderRun run = this.servers.apply(admitted);
 		run.settled().whenComplete(() -> this.inFlight.end(entry));
-		return run.outcome().whenResult((outcome) -> followSuspect(request, outcome));
+		return run.outcome().whenResult((outcome) -> updateSuspects(request, outcome));
 	}
 
-	private void followSuspect(CallerRequest request, Outcome outcome) {
+	private void updateSuspects(CallerRequest request, Outcome outcome) {
 		switch (outcome) {
 			case Outcome.Answered ignored -> this.suspects.recordSuccess(request);
 			case Outcome.Failed failed when failed.backendLost() -> this.suspects.recordCrash(request);
@@ -165,23 +169,23 @@
 		return Promise.of(outcome);
 	}
 
-	// While the lease had run out another owner may have changed what the answer says. It
-	// has not if the lease runs again and the range is held under the same fence: each
-	// other owner would have had a higher one.
+	// While the lease was expired, another owner may have changed the data in the answer.
+	// That is ruled out if the lease is valid again and the range is held under the same
+	// fence, because any other owner would have had a higher fence.
 	private Promise<Outcome> afterLapse(Order order, Outcome answered, long waitUntilNanos) {
 		OwnershipSnapshot snapshot = this.ownership.get();
 		long now = System.nanoTime();
-		if (snapshot.isLeaseValid(now) && heldAlone(order, snapshot)) {
+		if (snapshot.isLeaseValid(now) && heldUnderSameFence(order, snapshot)) {
 			return Promise.of(answered);
 		}
 		if (snapshot.isLeaseValid(now) || now - waitUntilNanos >= 0) {
 			return Promise.of(Outcome.failed(ErrorKind.OUTCOME_UNKNOWN, "the lease ran out while the request ran")
 				.withTicket(answered.ticket()));
 		}
-		return Promises.delay(LOOK_AGAIN).then(() -> afterLapse(order, answered, waitUntilNanos));
+		return Promises.delay(POLL_INTERVAL).then(() -> afterLapse(order, answered, waitUntilNanos));
 	}
 
-	private static boolean heldAlone(Order order, OwnershipSnapshot snapshot) {
+	private static boolean heldUnderSameFence(Order order, OwnershipSnapshot snapshot) {
 		return snapshot.routes()
 			.find(order.request().service(), order.request().keyHash())
 			.filter((route) -> route.owner().equals(snapshot.self()) && route.fence().equals(order.held().fence()))
@@ -193,14 +197,14 @@
 			.find(request.service(), request.keyHash())
 			.map((route) -> new Outcome.Owner(route.owner(), route.fence()));
 		String detail = "this instance does not own this key of %s now".formatted(request.service());
-		return new Outcome.Failed(new Failure(ErrorKind.NOT_OWNER, detail, RETRY_SOON), "", known, false);
+		return new Outcome.Failed(new Failure(ErrorKind.NOT_OWNER, detail, RETRY_AFTER), "", known, false);
 	}
 
 	/**
-	 * A request that its owner lets run.
+	 * A request that its owner has admitted.
 	 *
 	 * @param order the order
-	 * @param cancellation tells when its caller is gone
+	 * @param cancellation notified when the caller disconnects
 	 */
 	record Admitted(Order order, Cancellation cancellation) {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OwnershipReportSink.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OwnershipReportSink.java
@@ -3,14 +3,14 @@
 import org.brasspier.daemon.internal.ownership.RequestsReport;
 
 /**
- * The way of reports to the thread of ownership. Thread-safe.
+ * Takes reports for the ownership thread. Thread-safe.
  */
 interface OwnershipReportSink {
 
 	/**
-	 * Passes a report on.
+	 * Offers a report.
 	 * @param report the report
-	 * @return false if the ring is full and the report was not taken
+	 * @return false if the ring is full and the report was dropped
 	 */
 	boolean offer(RequestsReport report);
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/PeerClock.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/PeerClock.java
@@ -5,21 +5,21 @@
 import org.brasspier.core.ownership.Timing;
 
 /**
- * A peer's time as this side can tell it: the peer's nanoseconds since it took the
- * connection, never more than they truly are. A message that carries it can't seem
- * younger than it is, however long it or anything before it was held up on the way. The
- * two monotonic clocks need not agree, and may drift apart a little. Immutable and
- * thread-safe.
+ * A lower bound for a peer's clock, which counts nanoseconds since the peer accepted the
+ * connection. A message that carries this time never appears younger than it is, however
+ * long the message or any earlier one was delayed on the network. The two monotonic
+ * clocks need not agree and may drift apart slightly. Immutable and thread-safe.
  *
- * @param peerNanos a time of the peer
- * @param measuredNanos when it was known here, as {@link System#nanoTime()} counts
+ * @param peerNanos a time on the peer's clock
+ * @param measuredNanos when that time was received, on the clock of
+ * {@link System#nanoTime()}
  */
 record PeerClock(long peerNanos, long measuredNanos) {
 
-	/** By then the allowance for drift is 20 ms, a thirtieth of a lease. */
+	/** At this age the allowance for drift is 20 ms, a thirtieth of a lease. */
 	private static final long STALE_NANOS = Duration.ofSeconds(2).toNanos();
 
-	// The peer took the connection before this side knew that it is open.
+	// The peer accepts the connection before this side sees it open.
 	static PeerClock openedAt(long nanos) {
 		return new PeerClock(0, nanos);
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/PostingExecutor.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/PostingExecutor.java
@@ -23,8 +23,9 @@
 import org.brasspier.daemon.internal.event.EventLog;
 
 /**
- * Runs each posting at most once: asks the ledger, lets resends wait for the first send's
- * run and gives each the whole answer. Belongs to the thread of requests.
+ * Runs each posting at most once, as the ledger decides. A retry waits for the first
+ * attempt that is still running and gets its complete answer. Not thread-safe; used in
+ * the request thread only.
  */
 final class PostingExecutor {
 
@@ -53,19 +54,19 @@
 		Promise<Outcome> outcome = switch (admission) {
 			case LedgerDecision.Run ignored -> run(posting, run);
 			case LedgerDecision.Join ignored -> join(posting, request);
-			case LedgerDecision.Completed(var end) -> again(request,
+			case LedgerDecision.Completed(var end) -> repeat(request,
 					end.<Outcome>fold(Outcome::failed, (answer) -> new Outcome.Answered(answer, held.fence(), "")));
 			case LedgerDecision.Refused(var failure) -> Promise.of(Outcome.failed(failure));
 		};
 		return outcome.map((end) -> withTicket(end, held));
 	}
 
-	// Each answer carries a ticket, so that the next posting needs no extra round trip.
+	// Every answer carries a ticket, so that the next posting needs no extra round trip.
 	Outcome withTicket(Outcome outcome, HeldRange held) {
-		return outcome.withTicket(issue(held).text());
+		return outcome.withTicket(issueTicket(held).text());
 	}
 
-	private Ticket issue(HeldRange held) {
+	private Ticket issueTicket(HeldRange held) {
 		return this.ledger.issueTicket(held.service(), held.fence(), System.nanoTime() / NANOS_PER_MILLI);
 	}
 
@@ -94,14 +95,14 @@
 		}
 	}
 
-	private Promise<Outcome> again(CallerRequest request, Outcome end) {
-		this.events.record(EventKind.REQUEST_REPEATED, request, "its first send has ended");
+	private Promise<Outcome> repeat(CallerRequest request, Outcome end) {
+		this.events.record(EventKind.REQUEST_REPEATED, request, "its first attempt has ended");
 		return Promise.of(end);
 	}
 
-	// Waits for the first send's end, but not beyond its own deadline.
+	// Waits for the end of the first attempt, but not beyond the retry's own deadline.
 	private Promise<Outcome> join(Posting posting, CallerRequest request) {
-		this.events.record(EventKind.REQUEST_REPEATED, request, "its first send still runs");
+		this.events.record(EventKind.REQUEST_REPEATED, request, "its first attempt is still running");
 		SettablePromise<Outcome> shared = this.running.get(posting);
 		if (shared == null) {
 			return Promise.of(Outcome.failed(ErrorKind.IN_PROGRESS, "the same posting is being run now"));
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestPath.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestPath.java
@@ -29,23 +29,26 @@
 import org.brasspier.daemon.internal.settings.Settings;
 
 /**
- * The parts of the way of a request, joined. Belongs to the thread of requests.
+ * Creates and connects the components that process requests. Not thread-safe; used in the
+ * request thread only.
  */
 final class RequestPath {
 
 	private static final long TICK_MILLIS = 20;
 
-	private static final long REPORT_EVERY_MILLIS = 1000;
+	private static final long REPORT_INTERVAL_MILLIS = 1000;
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	/** Two heartbeats and the way of the messages. */
+	/**
+	 * After this time all daemons know a new route: two heartbeats plus message delays.
+	 */
 	private static final long ROUTES_KNOWN_NANOS = 400_000_000;
 
 	private static final Duration RETRY_WINDOW = Duration.ofSeconds(30);
 
-	/** How often the end of all that is in flight is looked for during a planned stop. */
-	private static final Duration LOOK_AGAIN = Duration.ofMillis(20);
+	/** Interval of the check for requests in flight during a planned stop. */
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
 	private final NioReactor reactor;
 
@@ -99,8 +102,8 @@
 		this.inFlight = new InFlightRequests(this.marks, reports, this.serverGate::hasGrant);
 		BackendDispatcher choice = new BackendDispatcher(settings.instance(), this.serverGate, client, known.cell(),
 				known.catalog(), new BackendChooser(1, new SplittableRandom()), retries());
-		this.ownerGate = new OwnerGate(known.ownership(), desk(reactor, context), suspects, this.inFlight, choice::run,
-				context.events());
+		this.ownerGate = new OwnerGate(known.ownership(), postingExecutor(reactor, context), suspects, this.inFlight,
+				choice::run, context.events());
 		RequestRouter router = new RequestRouter(known.ownership(), this.ownerGate, client,
 				new RouteChangeWaiter(reactor, known.ownership()), RetryBudget.withDefaults(), context.events());
 		this.callerPort = new CallerPort(context, router, known.ownership(), known.catalog());
@@ -113,7 +116,7 @@
 		this.forwards = this.forwardServer.listenOn(reactor);
 	}
 
-	private static PostingExecutor desk(NioReactor reactor, DaemonContext context) {
+	private static PostingExecutor postingExecutor(NioReactor reactor, DaemonContext context) {
 		RequestLedger ledger = new RequestLedger(new SecureRandom().nextLong(), LedgerLimits.DEFAULT,
 				System.nanoTime() / NANOS_PER_MILLI);
 		return new PostingExecutor(reactor, ledger, context.events());
@@ -133,7 +136,7 @@
 		});
 		this.watch.start();
 		this.reactor.delayBackground(TICK_MILLIS, this::tick);
-		this.reactor.delayBackground(REPORT_EVERY_MILLIS, this::everySecond);
+		this.reactor.delayBackground(REPORT_INTERVAL_MILLIS, this::everySecond);
 	}
 
 	private void tick() {
@@ -147,12 +150,12 @@
 	}
 
 	private void everySecond() {
-		this.reactor.delayBackground(REPORT_EVERY_MILLIS, this::everySecond);
+		this.reactor.delayBackground(REPORT_INTERVAL_MILLIS, this::everySecond);
 		report();
 		this.loads.report();
 	}
 
-	// A status that the ring does not take is told again within a second.
+	// A status that does not fit in the ring is sent again within a second.
 	private void report() {
 		this.watch.status().ifPresent(this.reports::offer);
 	}
@@ -163,8 +166,8 @@
 		}
 	}
 
-	// A backend server may stop once nothing is owned here, nothing is in flight and
-	// nothing more will come.
+	// A backend server may stop once this instance owns no range of its service and no
+	// request is in flight, waiting or running.
 	private boolean drained() {
 		boolean owns = this.watch.announcement()
 			.filter((server) -> !this.known.ownership().get().held().assignments(server.service()).isEmpty())
@@ -181,29 +184,29 @@
 		this.callers.refuseNew();
 	}
 
-	// Called once all ranges are handed over.
+	// Called once all ranges have been handed over.
 	void close(Runnable idle) {
-		long begunNanos = System.nanoTime();
-		this.callers.close(() -> whenIdle(begunNanos, idle));
+		long startedNanos = System.nanoTime();
+		this.callers.close(() -> whenIdle(startedNanos, idle));
 	}
 
-	private void whenIdle(long begunNanos, Runnable idle) {
+	private void whenIdle(long startedNanos, Runnable idle) {
 		boolean nothingInFlight = this.inFlight.size() == 0 && this.serverGate.running() == 0
 				&& this.serverGate.waiting() == 0;
-		if (nothingInFlight && forwardsQuiet(begunNanos)) {
+		if (nothingInFlight && noRecentForwards(startedNanos)) {
 			idle.run();
 		}
 		else {
-			this.reactor.delay(LOOK_AGAIN, () -> whenIdle(begunNanos, idle));
+			this.reactor.delay(POLL_INTERVAL, () -> whenIdle(startedNanos, idle));
 		}
 	}
 
-	// A frame that is on its way when the link is closed leaves the daemon that sent it
-	// with an unknown outcome. Other daemons know of the next owner a heartbeat and a
-	// renewal after the ranges have gone, and send nothing here any more.
-	private boolean forwardsQuiet(long begunNanos) {
+	// A frame that is in transit when the link closes leaves its sender with an unknown
+	// outcome. Other daemons learn of the next owner one heartbeat and one renewal after
+	// the ranges have moved, and then send nothing more to this daemon.
+	private boolean noRecentForwards(long startedNanos) {
 		long now = System.nanoTime();
-		return now - begunNanos >= ROUTES_KNOWN_NANOS
+		return now - startedNanos >= ROUTES_KNOWN_NANOS
 				&& now - this.forwardServer.latestRequestNanos() >= ROUTES_KNOWN_NANOS;
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestRouter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestRouter.java
@@ -17,23 +17,26 @@
 import org.brasspier.daemon.internal.event.EventLog;
 
 /**
- * Brings a caller's request to its owner: this instance, or one hop to another. Sends it
- * again only where that certainly does no harm: it did not run, it may run twice, or its
- * owner remembers its id. Belongs to the thread of requests.
+ * Routes a caller's request to its owner, which is this instance or one hop away. Retries
+ * it only where that is safe: it did not run, it is idempotent, or its owner remembers
+ * its id. Not thread-safe; used in the request thread only.
  */
 public final class RequestRouter {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	/** A key is served again within a second of a loss; longer waits rarely pay off. */
-	private static final long LONGEST_WAIT_MILLIS = 1000;
+	/** A key is served again within a second of a loss; longer waits rarely help. */
+	private static final long MAX_WAIT_MILLIS = 1000;
 
-	/** A caller keeps most of its time for a resend of its own. */
-	private static final int WAIT_ONE_IN = 4;
+	/**
+	 * A request waits for at most one in this many parts of its time, so that the caller
+	 * keeps most of it for its own retry.
+	 */
+	private static final int WAIT_DIVISOR = 4;
 
-	private static final long SHORTEST_PAUSE_MILLIS = 50;
+	private static final long INITIAL_PAUSE_MILLIS = 50;
 
-	private static final Duration RETRY_LATER = Duration.ofMillis(250);
+	private static final Duration RETRY_AFTER = Duration.ofMillis(250);
 
 	private final Supplier<OwnershipSnapshot> ownership;
 
@@ -49,12 +52,12 @@
 
 	/**
 	 * Creates a router.
-	 * @param ownership who owns what, as known now
-	 * @param owner the way for requests that this instance owns
-	 * @param forwards the way to other daemons
-	 * @param routes holds requests until another owner is known
-	 * @param budget what resends of unknown outcome are paid from
-	 * @param events the time line
+	 * @param ownership the current owners
+	 * @param owner serves requests that this instance owns
+	 * @param forwards forwards requests to other daemons
+	 * @param routes holds requests until their route changes
+	 * @param budget limits retries after an unknown outcome
+	 * @param events the event log
 	 */
 	RequestRouter(Supplier<OwnershipSnapshot> ownership, OwnerGate owner, ForwardClient forwards,
 			RouteChangeWaiter routes, RetryBudget budget, EventLog events) {
@@ -69,19 +72,21 @@
 	/**
 	 * Routes a request that a caller sent to this daemon.
 	 * @param request the request
-	 * @param cancellation tells when the caller is gone
-	 * @return how it ended; never an exception
+	 * @param cancellation notified when the caller disconnects
+	 * @return the outcome; never completes exceptionally
 	 */
 	public Promise<Outcome> route(CallerRequest request, Cancellation cancellation) {
 		this.budget.recordRequest();
 		Route route = new Route(request, cancellation, System.nanoTime());
-		// The first send may have run, so that the second one certainly did not is no
-		// answer: "not run" would let the caller send a posting anew that has run.
-		return route.attempt().map((outcome) -> route.resent ? Outcome.afterUnknown(outcome) : outcome);
+		// The first attempt may have run. If the retry certainly did not run, the outcome
+		// is
+		// still unknown: "not run" would let the caller send a posting again that has
+		// run.
+		return route.attempt().map((outcome) -> route.retried ? Outcome.afterUnknown(outcome) : outcome);
 	}
 
 	/**
-	 * One request on its way.
+	 * The routing of one request.
 	 */
 	private final class Route {
 
@@ -93,9 +98,9 @@
 
 		private final long waitUntilNanos;
 
-		private long pauseMillis = SHORTEST_PAUSE_MILLIS;
+		private long pauseMillis = INITIAL_PAUSE_MILLIS;
 
-		private boolean resent;
+		private boolean retried;
 
 		private boolean redirected;
 
@@ -103,17 +108,17 @@
 			this.request = request;
 			this.cancellation = cancellation;
 			this.deadlineNanos = nowNanos + request.remainingMillis() * NANOS_PER_MILLI;
-			long wait = Math.min(LONGEST_WAIT_MILLIS, request.remainingMillis() / WAIT_ONE_IN);
+			long wait = Math.min(MAX_WAIT_MILLIS, request.remainingMillis() / WAIT_DIVISOR);
 			this.waitUntilNanos = nowNanos + wait * NANOS_PER_MILLI;
 		}
 
 		Promise<Outcome> attempt() {
 			Optional<Assignment> route = route();
 			if (route.isEmpty()) {
-				return later(route, noOwner());
+				return awaitRouteChange(route, noOwner());
 			}
 			Outcome.Owner known = new Outcome.Owner(route.get().owner(), route.get().fence());
-			return send(known).then((outcome) -> next(known, route, outcome));
+			return send(known).then((outcome) -> handleOutcome(known, route, outcome));
 		}
 
 		private Optional<Assignment> route() {
@@ -123,7 +128,8 @@
 		private Promise<Outcome> send(Outcome.Owner known) {
 			int remaining = (int) ((this.deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI);
 			if (remaining <= 0 || this.cancellation.isCancelled()) {
-				return Promise.of(Outcome.failed(ErrorKind.DEADLINE_PASSED, "the deadline passed before it was sent"));
+				return Promise
+					.of(Outcome.failed(ErrorKind.DEADLINE_PASSED, "the deadline passed before the request was sent"));
 			}
 			CallerRequest timed = this.request.withRemainingMillis(remaining);
 			if (known.instance().equals(RequestRouter.this.ownership.get().self())) {
@@ -134,7 +140,8 @@
 				.map((outcome) -> mayRunAt(known) ? outcome : notRun(outcome));
 		}
 
-		// A posting with no ticket, or with one of an earlier owner, is admitted by none.
+		// No owner admits a posting without a ticket or with the ticket of an earlier
+		// owner.
 		private boolean mayRunAt(Outcome.Owner owner) {
 			return this.request.requestClass() != RequestClass.POSTING || this.request.identity()
 				.ticket()
@@ -143,44 +150,44 @@
 				.isPresent();
 		}
 
-		// Silence and broken links leave open what the owner has done with a request.
-		// Here
-		// it certainly did not run it.
+		// After a timeout or a broken link it is usually unknown whether the owner ran a
+		// request. Here it certainly did not.
 		private static Outcome notRun(Outcome outcome) {
 			if (!(outcome instanceof Outcome.Failed failed)) {
 				return outcome;
 			}
-			String detail = failed.failure().detail() + "; the posting's ticket let it run nowhere";
+			String detail = failed.failure().detail() + "; no owner accepts the posting's ticket";
 			return switch (failed.failure().kind()) {
-				case OUTCOME_UNKNOWN -> Outcome.failed(new Failure(ErrorKind.NO_OWNER, detail, RETRY_LATER));
+				case OUTCOME_UNKNOWN -> Outcome.failed(new Failure(ErrorKind.NO_OWNER, detail, RETRY_AFTER));
 				case TIMED_OUT -> Outcome.failed(ErrorKind.DEADLINE_PASSED, detail);
 				default -> failed;
 			};
 		}
 
-		private Promise<Outcome> next(Outcome.Owner sentTo, Optional<Assignment> route, Outcome outcome) {
+		private Promise<Outcome> handleOutcome(Outcome.Owner sentTo, Optional<Assignment> route, Outcome outcome) {
 			if (!(outcome instanceof Outcome.Failed failed) || this.cancellation.isCancelled()) {
 				return Promise.of(outcome);
 			}
-			if (movedOn(sentTo, failed)) {
+			if (shouldRedirect(sentTo, failed)) {
 				this.redirected = true;
 				Outcome.Owner newer = failed.owner().orElseThrow();
-				return send(newer).then((end) -> next(newer, route, end));
+				return send(newer).then((end) -> handleOutcome(newer, route, end));
 			}
 			if (mayFindAnotherOwner(failed)) {
-				return later(route, failed);
+				return awaitRouteChange(route, failed);
 			}
-			if (mayBeSentAgain(failed) && (failed.exemptFromBudget() || RequestRouter.this.budget.trySpend())) {
-				this.resent = true;
+			if (mayRetry(failed) && (failed.exemptFromBudget() || RequestRouter.this.budget.trySpend())) {
+				this.retried = true;
 				this.request = this.request.asRetry();
-				return failed.backendLost() ? later(route, failed) : attempt();
+				return failed.backendLost() ? awaitRouteChange(route, failed) : attempt();
 			}
 			return Promise.of(outcome);
 		}
 
-		// One more try at the owner that the answer names, if its fence is newer than the
-		// one this daemon went by; so stale routes never make a request go in circles.
-		private boolean movedOn(Outcome.Owner sentTo, Outcome.Failed failed) {
+		// One more attempt at the owner named in the answer, if its fence is newer than
+		// the
+		// one that this daemon used, so that stale routes never cause a routing loop.
+		private boolean shouldRedirect(Outcome.Owner sentTo, Outcome.Failed failed) {
 			return failed.failure().kind() == ErrorKind.NOT_OWNER && !this.redirected
 					&& failed.owner().filter((owner) -> sentTo.fence().olderThan(owner.fence())).isPresent();
 		}
@@ -192,27 +199,28 @@
 			};
 		}
 
-		// A lookup may run twice. A posting whose link broke is sent to its owner again
-		// under the same id and ticket: the owner remembers whether it ran.
-		private boolean mayBeSentAgain(Outcome.Failed failed) {
+		// A lookup is idempotent. A posting whose link broke is sent to its owner again
+		// with
+		// the same id and ticket: the owner remembers whether it ran.
+		private boolean mayRetry(Outcome.Failed failed) {
 			boolean lost = failed.failure().kind() == ErrorKind.OUTCOME_UNKNOWN;
 			boolean harmless = this.request.requestClass().idempotent() || !failed.backendLost();
-			return lost && harmless && !this.resent;
+			return lost && harmless && !this.retried;
 		}
 
-		private Promise<Outcome> later(Optional<Assignment> seen, Outcome.Failed refusal) {
+		private Promise<Outcome> awaitRouteChange(Optional<Assignment> seen, Outcome.Failed refusal) {
 			long now = System.nanoTime();
 			if (now - this.waitUntilNanos >= 0) {
-				return Promise.of(givenUp(refusal));
+				return Promise.of(finalFailure(refusal));
 			}
 			long until = Math.min(this.waitUntilNanos, now + this.pauseMillis * NANOS_PER_MILLI);
 			this.pauseMillis *= 2;
 			return RequestRouter.this.routes.awaitChange(this.request, seen, until)
 				.then((woken) -> (woken && !this.cancellation.isCancelled()) ? attempt()
-						: Promise.of(givenUp(refusal)));
+						: Promise.of(finalFailure(refusal)));
 		}
 
-		private Outcome givenUp(Outcome.Failed refusal) {
+		private Outcome finalFailure(Outcome.Failed refusal) {
 			if (refusal.failure().kind() != ErrorKind.NOT_OWNER) {
 				return refusal;
 			}
@@ -221,7 +229,7 @@
 
 		private Outcome.Failed noOwner() {
 			String detail = "no instance serves this key of %s now".formatted(this.request.service());
-			return Outcome.failed(new Failure(ErrorKind.NO_OWNER, detail, RETRY_LATER));
+			return Outcome.failed(new Failure(ErrorKind.NO_OWNER, detail, RETRY_AFTER));
 		}
 
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestsDuty.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestsDuty.java
@@ -19,23 +19,26 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The duty that serves callers, other daemons' requests and the backend server. Starting
- * and stopping is thread-safe.
+ * The request thread: serves callers, other daemons and the backend server. Starting and
+ * stopping is thread-safe.
  */
 public final class RequestsDuty {
 
 	/**
-	 * More than the ranges of a cell, each drained twice; the thread of ownership asks
-	 * again for what did not fit.
+	 * Capacity of the ring of orders: more than two orders for each range of a cell. The
+	 * ownership thread repeats orders that do not fit.
 	 */
-	private static final int ORDERS = 1024;
+	private static final int ORDER_CAPACITY = 1024;
 
-	/** An operator looks at most once a second; more often would cost the requests. */
-	private static final Duration VIEW_EVERY = Duration.ofMillis(200);
+	/**
+	 * Operators read the view at most once a second; publishing it more often would take
+	 * time from requests.
+	 */
+	private static final Duration VIEW_INTERVAL = Duration.ofMillis(200);
 
 	private final Duty duty = new Duty("requests");
 
-	private final Ring<RequestsOrder> orders = new Ring<>(ORDERS, this.duty, this::order);
+	private final Ring<RequestsOrder> orders = new Ring<>(ORDER_CAPACITY, this.duty, this::order);
 
 	private final DaemonContext context;
 
@@ -48,9 +51,9 @@
 	private volatile GateView gate = GateView.IDLE;
 
 	/**
-	 * Creates the duty; it does nothing until it is started.
-	 * @param context what every duty needs
-	 * @param known what the other duties know
+	 * Creates the duty without starting it.
+	 * @param context the context shared by all duties
+	 * @param known the state published by the other duties
 	 */
 	public RequestsDuty(DaemonContext context, SharedState known) {
 		this.context = context;
@@ -58,7 +61,7 @@
 	}
 
 	/**
-	 * The ring for orders of the thread of ownership.
+	 * Returns the ring for orders from the ownership thread.
 	 * @return the ring
 	 */
 	public Ring<RequestsOrder> orders() {
@@ -66,8 +69,9 @@
 	}
 
 	/**
-	 * Joins the thread of ownership; called before {@link #start()}.
-	 * @param ring the ring for reports; where it's full a report is offered again later
+	 * Sets where reports for the ownership thread go. Must be called before
+	 * {@link #start()}.
+	 * @param ring the ring for reports; if it is full, a report is offered again later
 	 */
 	public void connectOwnership(Ring<RequestsReport> ring) {
 		this.reports = ring::offer;
@@ -90,11 +94,11 @@
 
 	private void publish(RequestPath built) {
 		this.gate = built.gate();
-		this.duty.reactor().delayBackground(VIEW_EVERY, () -> publish(built));
+		this.duty.reactor().delayBackground(VIEW_INTERVAL, () -> publish(built));
 	}
 
 	/**
-	 * What runs and waits at the gate to the backend server, at most 200 ms ago.
+	 * Returns the load of the gate to the backend server, at most 200 ms old.
 	 * @return the running and waiting requests of each class
 	 */
 	public GateView gate() {
@@ -108,7 +112,8 @@
 	}
 
 	/**
-	 * Sends callers elsewhere from now on; what they still ask is served.
+	 * Directs callers to other daemons from now on. Requests that still arrive are
+	 * served.
 	 */
 	public void startDraining() {
 		this.duty.execute(() -> {
@@ -119,8 +124,8 @@
 	}
 
 	/**
-	 * Ends the duty once nothing is in flight, or when the time is over.
-	 * @param maxMillis how long that may take, in milliseconds
+	 * Stops the duty once no request is in flight, or when the time is over.
+	 * @param maxMillis the longest wait, in milliseconds
 	 * @throws InterruptedException if the calling thread is interrupted
 	 */
 	public void stop(long maxMillis) throws InterruptedException {
@@ -137,18 +142,19 @@
 			idle.get(maxMillis, TimeUnit.MILLISECONDS);
 		}
 		catch (ExecutionException | TimeoutException ex) {
-			// The time is over; what is still in flight is cut off, as docs/OPERATING.md
+			// The time is over; requests still in flight are aborted, as
+			// docs/OPERATING.md
 			// says of --max-leave-millis.
 		}
 		this.duty.stop();
 	}
 
 	/**
-	 * What the other duties know. Its parts are thread-safe.
+	 * The state published by the other duties. All suppliers are thread-safe.
 	 *
-	 * @param ownership what this instance holds and knows now
-	 * @param cell the members of the cell
-	 * @param catalog the services as the document in force describes them
+	 * @param ownership the current ownership snapshot
+	 * @param cell the current view of the cell
+	 * @param catalog the services of the configuration document in force
 	 */
 	public record SharedState(Supplier<OwnershipSnapshot> ownership, Supplier<CellView> cell,
 			Supplier<ServiceCatalog> catalog) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RouteChangeWaiter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RouteChangeWaiter.java
@@ -13,17 +13,19 @@
 import org.brasspier.core.routing.OwnershipSnapshot;
 
 /**
- * Holds requests that certainly did not run until another owner of their point is known.
- * Made for the moments of a hand-over or a recovery: a refusal would reach the caller
- * about when the next owner is there. Bounded, since an outage must not fill the memory.
- * Belongs to the thread of requests.
+ * Holds requests that certainly did not run until another owner of their key hash is
+ * known. This bridges the short gap during a handover or a recovery, when a refusal would
+ * reach the caller at about the time the next owner is ready. Bounded, so that an outage
+ * does not exhaust the memory. Not thread-safe; used in the request thread only.
  */
 final class RouteChangeWaiter {
 
-	/** A second of one server's usual load; beyond it a longer outage is likely. */
+	/**
+	 * A second of one server's usual load; more waiting requests suggest a long outage.
+	 */
 	private static final int MAX_WAITING = 1024;
 
-	private static final long LOOK_EVERY_MILLIS = 5;
+	private static final long POLL_INTERVAL_MILLIS = 5;
 
 	private final NioReactor reactor;
 
@@ -31,41 +33,41 @@
 
 	private final List<Waiter> waiting = new ArrayList<>();
 
-	private boolean looking;
+	private boolean pollScheduled;
 
 	RouteChangeWaiter(NioReactor reactor, Supplier<OwnershipSnapshot> ownership) {
 		this.reactor = reactor;
 		this.ownership = ownership;
 	}
 
-	// Completes with true when another owner is known or the time is over, with false at
-	// once if too many wait already.
+	// Completes with true once the route differs from the one seen or the time is over;
+	// with false at once if too many requests are already waiting.
 	Promise<Boolean> awaitChange(CallerRequest request, Optional<Assignment> seen, long untilNanos) {
 		if (this.waiting.size() >= MAX_WAITING) {
 			return Promise.of(false);
 		}
 		Waiter waiter = new Waiter(request, seen, untilNanos, new SettablePromise<>());
 		this.waiting.add(waiter);
-		look();
+		schedulePoll();
 		return waiter.woken;
 	}
 
-	private void look() {
-		if (this.looking || this.waiting.isEmpty()) {
+	private void schedulePoll() {
+		if (this.pollScheduled || this.waiting.isEmpty()) {
 			return;
 		}
-		this.looking = true;
-		this.reactor.delay(LOOK_EVERY_MILLIS, () -> {
-			this.looking = false;
-			wake();
-			look();
+		this.pollScheduled = true;
+		this.reactor.delay(POLL_INTERVAL_MILLIS, () -> {
+			this.pollScheduled = false;
+			completeReady();
+			schedulePoll();
 		});
 	}
 
-	private void wake() {
+	private void completeReady() {
 		OwnershipSnapshot snapshot = this.ownership.get();
 		long now = System.nanoTime();
-		List<Waiter> woken = this.waiting.stream().filter((waiter) -> waiter.over(snapshot, now)).toList();
+		List<Waiter> woken = this.waiting.stream().filter((waiter) -> waiter.isDone(snapshot, now)).toList();
 		this.waiting.removeAll(woken);
 		woken.forEach((waiter) -> waiter.woken.set(true));
 	}
@@ -73,7 +75,7 @@
 	private record Waiter(CallerRequest request, Optional<Assignment> seen, long untilNanos,
 			SettablePromise<Boolean> woken) {
 
-		boolean over(OwnershipSnapshot snapshot, long nowNanos) {
+		boolean isDone(OwnershipSnapshot snapshot, long nowNanos) {
 			return nowNanos - this.untilNanos >= 0
 					|| !snapshot.routes().find(this.request.service(), this.request.keyHash()).equals(this.seen);
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
@@ -16,30 +16,32 @@
 import org.brasspier.daemon.internal.backend.BackendRun;
 
 /**
- * One order that the backend server is at, from its hand-over to its end. Belongs to the
- * thread of requests.
+ * One order that was sent to the backend server, until its end. Not thread-safe; used in
+ * the request thread only.
  */
 final class RunningOrder {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	/** A cancelled order that still runs after this is given up. */
-	private static final Duration CANCEL_WAIT = Duration.ofMillis(250);
+	/** A cancelled order that still runs after this time is abandoned. */
+	private static final Duration CANCEL_TIMEOUT = Duration.ofMillis(250);
 
-	/** Deadlines are told in whole milliseconds, of which the last one still counts. */
+	/**
+	 * Deadlines are sent in whole milliseconds, and the last millisecond still counts.
+	 */
 	private static final long ROUNDING_NANOS = 2 * NANOS_PER_MILLI;
 
-	/** A refused resend soon finds the next owner or the server back. */
-	private static final Duration RETRY_SOON = Duration.ofMillis(100);
+	/** A retry after this pause usually finds the next owner or the server available. */
+	private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
 	/**
-	 * A third of the time goes to the first try of an idempotent request: a connection
-	 * that went silent then leaves two thirds for a new one.
+	 * The first attempt of an idempotent request gets one third of the time: if its
+	 * connection is silent, two thirds remain for an attempt on a new connection.
 	 */
-	private static final int FIRST_TRY_ONE_IN = 3;
+	private static final int FIRST_ATTEMPT_DIVISOR = 3;
 
-	/** A first try is never shorter, so that slow work isn't taken for silence. */
-	private static final long SHORTEST_TRY_MILLIS = 200;
+	/** Minimum length of a first attempt, so that slow work isn't taken for silence. */
+	private static final long MIN_ATTEMPT_MILLIS = 200;
 
 	private final OrderRunner runner;
 
@@ -51,15 +53,15 @@
 
 	private final SettablePromise<Outcome> outcome = new SettablePromise<>();
 
-	private final SettablePromise<Void> over = new SettablePromise<>();
+	private final SettablePromise<Void> settled = new SettablePromise<>();
 
 	private Optional<BackendRun> run = Optional.empty();
 
-	private long handedNanos;
+	private long sentNanos;
 
-	private long deadlineAtNanos;
+	private long sentDeadlineNanos;
 
-	private boolean secondTry;
+	private boolean secondAttempt;
 
 	private boolean serverLost;
 
@@ -77,76 +79,81 @@
 	}
 
 	Promise<Void> settled() {
-		return this.over;
+		return this.settled;
 	}
 
 	void begin(long nowNanos) {
-		this.handedNanos = nowNanos;
+		this.sentNanos = nowNanos;
 		this.runner.record(EventKind.REQUEST_HANDED_OVER, this.order, "fence " + this.order.held().fence());
 		int remaining = this.order.remainingMillis(nowNanos);
-		long firstTry = Math.max(SHORTEST_TRY_MILLIS, remaining / FIRST_TRY_ONE_IN);
-		boolean twoTries = hurried() && firstTry < remaining;
-		hand(twoTries ? firstTry : remaining, twoTries);
+		long firstAttemptMillis = Math.max(MIN_ATTEMPT_MILLIS, remaining / FIRST_ATTEMPT_DIVISOR);
+		boolean twoAttempts = mayRetryOnSilence() && firstAttemptMillis < remaining;
+		send(twoAttempts ? firstAttemptMillis : remaining, twoAttempts);
 	}
 
-	// Audit reads are long by nature, so silence tells nothing; postings run once.
-	private boolean hurried() {
+	// Audit reads take long, so silence indicates no fault; postings may run only once.
+	private boolean mayRetryOnSilence() {
 		RequestClass requestClass = this.order.request().requestClass();
 		return requestClass == RequestClass.LOOKUP || requestClass == RequestClass.INTERNAL;
 	}
 
-	private void hand(long waitMillis, boolean again) {
-		this.deadlineAtNanos = deadlineAt();
-		// The time of day first: a pause between the two readings must not put it off.
+	private void send(long waitMillis, boolean again) {
+		this.sentDeadlineNanos = effectiveDeadline();
+		// Reads the time of day first, so that a pause between the two readings does not
+		// postpone the deadline.
 		long timeOfDayMillis = System.currentTimeMillis();
-		long deadlineAtMillis = timeOfDayMillis + (this.deadlineAtNanos - System.nanoTime()) / NANOS_PER_MILLI;
+		long deadlineAtMillis = timeOfDayMillis + (this.sentDeadlineNanos - System.nanoTime()) / NANOS_PER_MILLI;
 		BackendRun next = this.runner.client()
 			.run(new BackendOrder(this.order.request(), this.order.held(), deadlineAtMillis, waitMillis));
 		this.run = Optional.of(next);
 		next.reply().whenResult((reply) -> {
 			long now = System.nanoTime();
 			if (again && reply instanceof BackendReply.TimedOut && this.order.remainingMillis(now) > 0) {
-				this.runner.record(EventKind.CONNECTION_REPLACED, this.order, "no answer on the first connection");
-				this.secondTry = true;
+				this.runner.record(EventKind.CONNECTION_REPLACED, this.order,
+						"no answer on the first connection; trying a new one");
+				this.secondAttempt = true;
 				this.runner.client().forgetConnections();
-				handAgain();
+				sendAgain();
 				return;
 			}
 			end(reply);
 		});
 	}
 
-	// The grant may have run out while the first try was silent.
-	private void handAgain() {
+	// The grant may have expired during the first attempt.
+	private void sendAgain() {
 		Promise<Boolean> granted = this.checksFences ? this.runner.awaitGrant(this.order) : Promise.of(true);
 		granted.whenResult((acknowledged) -> {
 			long now = System.nanoTime();
 			if (acknowledged && !this.serverLost && !this.cancelled && this.order.remainingMillis(now) > 0) {
-				hand(this.order.remainingMillis(now), false);
+				send(this.order.remainingMillis(now), false);
 			}
 			else {
-				unknown(ErrorKind.OUTCOME_UNKNOWN, "nothing came for the first try, and a second one can't be made");
+				failUnknown(ErrorKind.OUTCOME_UNKNOWN, "the first attempt timed out, and a second one is not possible");
 			}
 		});
 	}
 
-	// Whether the order may name its own deadline: where the server refuses old fences by
-	// itself, and for a read where no key is owned.
+	// Whether the deadline of the order may lie beyond the end of the lease: if the
+	// server
+	// itself refuses old fences, and for reads of a service that is not divided by key.
 	private boolean mayOutlastLease() {
 		return this.checksFences
 				|| (!this.order.request().sharded() && this.order.request().requestClass().idempotent());
 	}
 
-	// A server that checks no fences may freeze with the order and wake after the range
-	// has moved; it then finds this moment passed and leaves the work undone.
-	private long deadlineAt() {
+	// A server that does not check fences may be paused with the order and resume after
+	// the range has moved. It then sees that this deadline has passed and does not run
+	// the
+	// order.
+	private long effectiveDeadline() {
 		if (mayOutlastLease()) {
 			return this.order.deadlineNanos();
 		}
 		long leaseEnd = this.order.leaseEndNanos().getAsLong();
 		if (leaseEnd - System.nanoTime() <= 0) {
-			// A lapsed lease tells no more when it ended, and the guard counted from
-			// then.
+			// The end of an expired lease is no longer known, and the guard time counts
+			// from that end.
 			return leaseEnd;
 		}
 		long authorityEnd = leaseEnd + this.runner.guards().nanos(this.order.request().service());
@@ -160,43 +167,45 @@
 				this.runner.record(EventKind.REQUEST_ANSWERED, this.order, "status " + answer.status());
 				complete(new Outcome.Answered(answer, this.order.held().fence(), ""), RunOutcome.ANSWERED);
 			}
-			case BackendReply.Shed(Duration retryAfter) -> notRun(ErrorKind.OVERLOADED,
-					"the backend server shed the request", retryAfter.isZero() ? RETRY_SOON : retryAfter, shed());
+			case BackendReply.Shed(Duration retryAfter) ->
+				notRun(ErrorKind.OVERLOADED, "the backend server shed the request",
+						retryAfter.isZero() ? RETRY_AFTER : retryAfter, shedOutcome());
 			case BackendReply.FenceRefused ignored -> {
 				this.runner.grants().forget();
-				notRun(ErrorKind.NO_OWNER, "the backend server refused the fence", RETRY_SOON, RunOutcome.NOT_STARTED);
+				notRun(ErrorKind.NO_OWNER, "the backend server refused the fence", RETRY_AFTER, RunOutcome.NOT_STARTED);
 			}
 			case BackendReply.NotSent(String reason) -> {
 				this.runner.watch().answersNow();
-				notRun(ErrorKind.NO_BACKEND, "the backend server can't be reached: " + reason, RETRY_SOON,
+				notRun(ErrorKind.NO_BACKEND, "the backend server can't be reached: " + reason, RETRY_AFTER,
 						RunOutcome.NOT_STARTED);
 			}
 			case BackendReply.Broken(String reason) ->
-				unknown(ErrorKind.OUTCOME_UNKNOWN, "the connection to the backend server broke: " + reason);
-			case BackendReply.BadAnswer(String reason) -> unknown(ErrorKind.BAD_ANSWER, reason);
+				failUnknown(ErrorKind.OUTCOME_UNKNOWN, "the connection to the backend server broke: " + reason);
+			case BackendReply.BadAnswer(String reason) -> failUnknown(ErrorKind.BAD_ANSWER, reason);
 			case BackendReply.TimedOut ignored -> timedOut();
 		}
 	}
 
-	// A server also leaves work undone that was cancelled or came too late; that says
-	// nothing of how much it can take.
-	private RunOutcome shed() {
-		boolean tooLate = this.deadlineAtNanos - System.nanoTime() <= 0;
+	// A server also sheds requests that were cancelled or arrived too late, which says
+	// nothing about its capacity.
+	private RunOutcome shedOutcome() {
+		boolean tooLate = this.sentDeadlineNanos - System.nanoTime() <= 0;
 		return (this.cancelled || tooLate) ? RunOutcome.NOT_STARTED : RunOutcome.SHED;
 	}
 
 	private void notRun(ErrorKind kind, String detail, Duration retryAfter, RunOutcome slot) {
 		Outcome end = Outcome.failed(new Failure(kind, detail, retryAfter));
-		complete(this.secondTry ? Outcome.afterUnknown(end) : end, slot);
+		complete(this.secondAttempt ? Outcome.afterUnknown(end) : end, slot);
 	}
 
-	// A broken connection is the first sign of a crash. Whether the server is still there
-	// is known within a round trip, and decides whether this request is suspect.
-	private void unknown(ErrorKind kind, String detail) {
+	// A broken connection is the first sign of a crash. A probe shows within one round
+	// trip whether the server is still running, which decides whether this request is
+	// suspect.
+	private void failUnknown(ErrorKind kind, String detail) {
 		this.runner.record((kind == ErrorKind.BAD_ANSWER) ? EventKind.BAD_BACKEND_INPUT : EventKind.REQUEST_UNKNOWN,
 				this.order, detail);
 		if (this.serverLost) {
-			lost(kind, detail);
+			failBackendLost(kind, detail);
 			return;
 		}
 		this.runner.watch().answersNow().whenResult((answers) -> {
@@ -205,12 +214,12 @@
 				complete(Outcome.failed(kind, detail), RunOutcome.INTERRUPTED);
 			}
 			else {
-				lost(kind, detail);
+				failBackendLost(kind, detail);
 			}
 		});
 	}
 
-	private void lost(ErrorKind kind, String detail) {
+	private void failBackendLost(ErrorKind kind, String detail) {
 		complete(new Outcome.Failed(Failure.of(kind, detail), "", Optional.empty(), true), RunOutcome.INTERRUPTED);
 	}
 
@@ -225,30 +234,30 @@
 		if (!this.outcome.trySet(end)) {
 			return;
 		}
-		this.runner.onEnded(this, this.order, System.nanoTime() - this.handedNanos);
+		this.runner.onEnded(this, this.order, System.nanoTime() - this.sentNanos);
 		this.slotFree.accept(slot);
-		long runsOnFor = runsOnForNanos(slot);
-		overAt(System.nanoTime() + runsOnFor + ((runsOnFor > 0) ? ROUNDING_NANOS : 0));
+		long residualNanos = residualRunNanos(slot);
+		settleAt(System.nanoTime() + residualNanos + ((residualNanos > 0) ? ROUNDING_NANOS : 0));
 	}
 
-	// Timers may fire a moment early.
-	private void overAt(long nanos) {
+	// Timers may fire slightly early.
+	private void settleAt(long nanos) {
 		long rest = nanos - System.nanoTime();
 		if (rest <= 0) {
-			this.over.trySet(null);
+			this.settled.trySet(null);
 			return;
 		}
-		this.runner.reactor().delay(Duration.ofNanos(rest).plusMillis(1), () -> overAt(nanos));
+		this.runner.reactor().delay(Duration.ofNanos(rest).plusMillis(1), () -> settleAt(nanos));
 	}
 
-	// A server that was paused begins what it has not read yet when it wakes, until the
-	// order's deadline or, where it checks fences, until its grant ends.
-	private long runsOnForNanos(RunOutcome slot) {
+	// When a paused server resumes, it starts orders that it has not read yet, until the
+	// deadline of the order or, if it checks fences, until the end of its grant.
+	private long residualRunNanos(RunOutcome slot) {
 		if (slot != RunOutcome.INTERRUPTED || this.runner.watch().gone()) {
 			return 0;
 		}
 		long now = System.nanoTime();
-		long untilDeadline = this.deadlineAtNanos - now;
+		long untilDeadline = this.sentDeadlineNanos - now;
 		return this.checksFences ? Math.min(untilDeadline, this.runner.grants().remainingNanos(this.order.held(), now))
 				: untilDeadline;
 	}
@@ -269,7 +278,7 @@
 		this.runner.record(EventKind.REQUEST_CANCELLED, this.order, "the caller is gone");
 		if (this.order.request().requestClass().idempotent()) {
 			this.runner.reactor()
-				.delay(CANCEL_WAIT, () -> this.run.ifPresent((current) -> current.abandon("cancelled")));
+				.delay(CANCEL_TIMEOUT, () -> this.run.ifPresent((current) -> current.abandon("cancelled")));
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
@@ -31,21 +31,24 @@
 import org.brasspier.daemon.internal.ownership.RequestsReport.BackendStatus;
 
 /**
- * The one gate to the backend server beside this daemon: nothing else gives it orders, so
- * its slots and connections are counted exactly. Belongs to the thread of requests.
+ * Admission control in front of this instance's backend server. All orders to the server
+ * pass through this gate, so its slots and connections are counted exactly. Not
+ * thread-safe; used in the request thread only.
  */
 public final class ServerGate implements BackendWatch.Listener {
 
-	/** The daemon's own calls need a connection or two of those that are announced. */
-	private static final int OWN_CONNECTIONS = 2;
+	/**
+	 * Announced connections reserved for the daemon's own calls, which need up to two.
+	 */
+	private static final int RESERVED_CONNECTIONS = 2;
 
-	private static final Duration RETRY_SOON = Duration.ofMillis(100);
+	private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
-	/** How often something that waits is looked at. */
-	private static final Duration LOOK_AGAIN = Duration.ofMillis(5);
+	/** Interval of the check of waiting requests. */
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(5);
 
-	/** A server that is leaving receives no new work after a few seconds. */
-	private static final long LAST_WORK_NANOS = 3_000_000_000L;
+	/** A draining server receives no new orders after this time. */
+	private static final long DRAINING_WORK_NANOS = 3_000_000_000L;
 
 	private final NioReactor reactor;
 
@@ -60,7 +63,7 @@
 
 	private final Supplier<ServiceCatalog> catalog;
 
-	private Optional<ServicePolicy> inForce = Optional.empty();
+	private Optional<ServicePolicy> policyInForce = Optional.empty();
 
 	private final Map<Long, Waiting> waiting = new HashMap<>();
 
@@ -70,15 +73,15 @@
 
 	private long drainingSinceNanos;
 
-	private boolean expiring;
+	private boolean expiryScheduled;
 
 	/**
 	 * Creates a gate.
-	 * @param reactor the reactor of the thread of requests
-	 * @param watch what is known of the backend server
-	 * @param grants its grants
-	 * @param runner hands orders over
-	 * @param catalog what the document in force says of services
+	 * @param reactor the reactor of the request thread
+	 * @param watch the state of the backend server
+	 * @param grants the grants of the backend server
+	 * @param runner sends orders to the backend server
+	 * @param catalog the services of the configuration document in force
 	 */
 	ServerGate(NioReactor reactor, BackendWatch watch, GrantRenewal grants, OrderRunner runner,
 			Supplier<ServiceCatalog> catalog) {
@@ -93,14 +96,14 @@
 	/**
 	 * Runs an order on the backend server.
 	 * @param order the order
-	 * @param cancellation tells when its caller is gone
-	 * @return its run
+	 * @param cancellation notified when the caller disconnects
+	 * @return the execution of the order
 	 */
 	OrderRun run(Order order, Cancellation cancellation) {
 		Optional<BackendAnnouncement> server = this.watch.announcement()
 			.filter((known) -> known.service().equals(order.request().service()));
-		if (server.isEmpty() || !servable()) {
-			return OrderRun.completed(noBackend("the backend server beside the owner can't serve now"));
+		if (server.isEmpty() || !isAvailable()) {
+			return OrderRun.completed(noBackend("the owner's backend server is not available"));
 		}
 		if (server.get().checksFences() && !this.grants.acknowledged(order.held(), System.nanoTime())) {
 			return afterGrant(order, cancellation);
@@ -108,34 +111,34 @@
 		return offer(order, cancellation);
 	}
 
-	// A draining server still serves what it owns while that is handed over, so that no
-	// request is turned away; but not for long, also where nothing can be handed over
-	// because the platform's store is down.
-	private boolean servable() {
+	// A draining server still serves its ranges during their handover, so that no request
+	// is refused. The time is limited even if no handover is possible because the
+	// platform's store is unavailable.
+	private boolean isAvailable() {
 		return this.watch.state().filter((state) -> switch (state) {
 			case READY -> true;
-			case DRAINING -> System.nanoTime() - this.drainingSinceNanos < LAST_WORK_NANOS;
+			case DRAINING -> System.nanoTime() - this.drainingSinceNanos < DRAINING_WORK_NANOS;
 			case STARTING, LOST -> false;
 		}).isPresent();
 	}
 
 	private OrderRun afterGrant(Order order, Cancellation cancellation) {
-		SettablePromise<Void> over = new SettablePromise<>();
+		SettablePromise<Void> settled = new SettablePromise<>();
 		Promise<Outcome> outcome = this.runner.awaitGrant(order).then((acknowledged) -> {
 			OrderRun run = acknowledged ? offer(order, cancellation)
 					: OrderRun.completed(noBackend("the backend server has not acknowledged its grant"));
-			run.settled().whenComplete(() -> over.set(null));
+			run.settled().whenComplete(() -> settled.set(null));
 			return run.outcome();
 		});
-		return new OrderRun(outcome, over);
+		return new OrderRun(outcome, settled);
 	}
 
 	/**
-	 * Whether the backend server may still run orders of a range by its grants. Where a
-	 * service is divided by request ids, its servers have grants of all ranges at all
-	 * times, and only orders in flight count.
+	 * Returns whether a grant still allows the backend server to run orders of a range.
+	 * If a service is divided by request id, its servers always have grants of all
+	 * ranges, so only orders in flight count.
 	 * @param held the range with its fence
-	 * @return false if no grant of it is valid any more
+	 * @return false if no grant of the range is valid
 	 */
 	boolean hasGrant(HeldRange held) {
 		boolean byId = this.catalog.get().dividedByRequestId(held.service());
@@ -143,18 +146,18 @@
 		return checksFences && !byId && !this.watch.gone() && this.grants.remainingNanos(held, System.nanoTime()) > 0;
 	}
 
-	private void followDocument(ServiceName service) {
+	private void updatePolicy(ServiceName service) {
 		Optional<ServicePolicy> policy = this.catalog.get().find(service);
-		if (policy.equals(this.inForce)) {
+		if (policy.equals(this.policyInForce)) {
 			return;
 		}
-		this.inForce = policy;
+		this.policyInForce = policy;
 		policy.ifPresent((present) -> this.admission.updateRules(
 				AdmissionSettings.DEFAULT.withGuaranteedShares(present.sharePercents()), present.callerShares()));
 	}
 
 	private OrderRun offer(Order order, Cancellation cancellation) {
-		followDocument(order.request().service());
+		updatePolicy(order.request().service());
 		long number = this.nextNumber++;
 		PendingRequest pending = new PendingRequest(number, order.request().requestClass(), order.request().caller(),
 				order.deadlineNanos());
@@ -179,8 +182,8 @@
 				refuse(new RefusedRequest(number, Failure.of(ErrorKind.DEADLINE_PASSED, "the caller is gone")));
 			}
 		});
-		expireSoon();
-		return new OrderRun(queued.outcome, queued.over);
+		scheduleExpiry();
+		return new OrderRun(queued.outcome, queued.settled);
 	}
 
 	private OrderRun start(long number, Order order, Cancellation cancellation) {
@@ -188,10 +191,10 @@
 	}
 
 	private void finished(long number, RunOutcome outcome) {
-		carryOut(this.admission.finished(number, outcome, System.nanoTime()));
+		applyNext(this.admission.finished(number, outcome, System.nanoTime()));
 	}
 
-	private void carryOut(NextRequests next) {
+	private void applyNext(NextRequests next) {
 		next.refused().forEach(this::refuse);
 		next.run().forEach((number) -> {
 			Waiting queued = this.waiting.remove(number);
@@ -201,7 +204,7 @@
 			}
 			OrderRun run = start(number, queued.order, queued.cancellation);
 			run.outcome().whenResult(queued.outcome::trySet);
-			run.settled().whenComplete(() -> queued.over.trySet(null));
+			run.settled().whenComplete(() -> queued.settled.trySet(null));
 		});
 	}
 
@@ -209,22 +212,21 @@
 		Waiting queued = this.waiting.remove(refused.id());
 		if (queued != null) {
 			queued.outcome.trySet(Outcome.failed(refused.failure()));
-			queued.over.trySet(null);
+			queued.settled.trySet(null);
 		}
 	}
 
-	// Looks every few milliseconds for what can no longer make its deadline, as long as
-	// anything waits.
-	private void expireSoon() {
-		if (this.expiring) {
+	// While any request waits, refuses those that can no longer meet their deadline.
+	private void scheduleExpiry() {
+		if (this.expiryScheduled) {
 			return;
 		}
-		this.expiring = true;
-		this.reactor.delay(LOOK_AGAIN, () -> {
-			this.expiring = false;
-			carryOut(this.admission.advance(System.nanoTime()));
+		this.expiryScheduled = true;
+		this.reactor.delay(POLL_INTERVAL, () -> {
+			this.expiryScheduled = false;
+			applyNext(this.admission.advance(System.nanoTime()));
 			if (this.admission.waiting() > 0) {
-				expireSoon();
+				scheduleExpiry();
 			}
 		});
 	}
@@ -235,19 +237,19 @@
 			this.drainingSinceNanos = System.nanoTime();
 		}
 		this.state = status.state();
-		this.admission
-			.updateLimits(new AdmissionLimits(status.slots(), Math.max(1, status.connections() - OWN_CONNECTIONS)));
+		this.admission.updateLimits(
+				new AdmissionLimits(status.slots(), Math.max(1, status.connections() - RESERVED_CONNECTIONS)));
 		if (status.state() == BackendState.LOST) {
 			this.grants.forget();
 			List<RefusedRequest> refused = this.admission
-				.refuseWaiting(new Failure(ErrorKind.NO_BACKEND, "the backend server is lost", RETRY_SOON));
+				.refuseWaiting(new Failure(ErrorKind.NO_BACKEND, "the backend server is lost", RETRY_AFTER));
 			refused.forEach(this::refuse);
 			this.runner.onServerLost();
 		}
 	}
 
 	/**
-	 * How many orders the backend server is at.
+	 * Returns the number of orders that the backend server is running.
 	 * @return at least 0
 	 */
 	public int running() {
@@ -255,7 +257,7 @@
 	}
 
 	/**
-	 * How many orders wait for a slot.
+	 * Returns the number of orders that wait for a slot.
 	 * @return at least 0
 	 */
 	public int waiting() {
@@ -267,11 +269,11 @@
 	}
 
 	static Outcome noBackend(String detail) {
-		return Outcome.failed(new Failure(ErrorKind.NO_BACKEND, detail, RETRY_SOON));
+		return Outcome.failed(new Failure(ErrorKind.NO_BACKEND, detail, RETRY_AFTER));
 	}
 
 	private record Waiting(Order order, Cancellation cancellation, SettablePromise<Outcome> outcome,
-			SettablePromise<Void> over) {
+			SettablePromise<Void> settled) {
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/SuspectRequests.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/SuspectRequests.java
@@ -12,8 +12,8 @@
 import org.brasspier.daemon.internal.event.EventLog;
 
 /**
- * The requests that were part of losses of backend servers, as this instance knows them.
- * Belongs to the thread of requests.
+ * The requests that were running when a backend server was lost, as far as this instance
+ * knows. Not thread-safe; used in the request thread only.
  */
 final class SuspectRequests {
 
@@ -21,33 +21,36 @@
 
 	private final EventLog events;
 
-	private final Set<HeldRange> taken = new HashSet<>();
+	private final Set<HeldRange> mergedGrants = new HashSet<>();
 
-	private List<MarkedRange> followed = List.of();
+	private List<MarkedRange> lastMarked = List.of();
 
 	SuspectRequests(CrashHistory marks, EventLog events) {
 		this.marks = marks;
 		this.events = events;
 	}
 
-	// Guards against a request that crashes one more backend server because it comes with
-	// the very snapshot that gives its range away, before the earlier owners' marks are
-	// known here: they are part of that snapshot and taken before anything of it is
-	// served. Once for each grant, or what has ended well since would be suspect again.
+	// Merges the crash marks of earlier owners, which are part of the snapshot that
+	// grants
+	// a range, before any request of the range is served. Otherwise a waiting request
+	// that
+	// is resumed by this snapshot could crash one more backend server. Each grant is
+	// merged once, or a request that has succeeded since would become suspect again.
 	void mergeMarks(List<MarkedRange> marked) {
-		if (marked == this.followed) {
+		if (marked == this.lastMarked) {
 			return;
 		}
-		this.followed = marked;
+		this.lastMarked = marked;
 		marked.stream()
-			.filter((range) -> this.taken.add(range.held()))
+			.filter((range) -> this.mergedGrants.add(range.held()))
 			.forEach((range) -> this.marks.merge(range.marks()));
-		this.taken.retainAll(marked.stream().map(MarkedRange::held).toList());
+		this.mergedGrants.retainAll(marked.stream().map(MarkedRange::held).toList());
 	}
 
 	void recordCrash(CallerRequest request) {
 		int crashes = this.marks.recordCrash(request.crashFingerprint(), request.keyHash());
-		this.events.record(EventKind.REQUEST_SUSPECT, request, "part of %d losses".formatted(crashes));
+		this.events.record(EventKind.REQUEST_SUSPECT, request,
+				"running in %d losses of backend servers".formatted(crashes));
 	}
 
 	void recordSuccess(CallerRequest request) {
@@ -60,7 +63,7 @@
 		return !this.marks.isEmpty() && this.marks.crashCount(request.crashFingerprint()) > 0;
 	}
 
-	// Whether it must not reach another backend server.
+	// Whether a request must not be sent to any more backend servers.
 	boolean isBlocked(CallerRequest request) {
 		return !this.marks.isEmpty() && this.marks.crashCount(request.crashFingerprint()) >= CrashHistory.MAX_CRASHES;
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/package-info.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The way of a request: to its owner, through its gate, to the backend server and back.
+ * Processing of requests: routing to the owner, admission by the owner and by the gate of
+ * the backend server, execution and the way back of the answer.
  */
 @NullMarked
 package org.brasspier.daemon.internal.request;
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/BadInputTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/BadInputTests.java
@@ -10,8 +10,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * What is malformed ends in an error of a listed kind, a counter and a numbered event,
- * and disturbs nothing else.
+ * Malformed input leads to an error of a documented kind, a counter and a numbered event,
+ * and does not affect other requests.
  */
 class BadInputTests {
 
@@ -61,8 +61,9 @@
 	}
 
 	@Test
-	void oddPathsKeepNoSlotAndDisturbNobody() throws Exception {
-		// The server has four slots; more odd requests than that must not use them up.
+	void malformedPathsOccupyNoSlotAndAffectNoOtherRequest() throws Exception {
+		// The server has four slots; a larger number of malformed requests must not
+		// occupy them.
 		for (String path : List.of("/v1/hullbook/%zz", "/v1/hullbook/x?%", "/v1/hullbook/\u00e4", "/v1/hullbook//",
 				"/v1/hullbook?x=1", "/v1/hullbook/#f", "/v1/hullbook/[", "/v1/hullbook/x?a=b&&=c", "//v1/hullbook/x")) {
 			try (RawCaller caller = new RawCaller(this.a.callerPort)) {
@@ -135,8 +136,9 @@
 
 	@Test
 	void aTruncatedAnswerIsNotRelayed() throws Exception {
-		// The backend server promises ten bytes, sends four and closes. A crew must not
-		// take half a record for the whole.
+		// The backend server announces ten bytes, sends four and closes. A caller must
+		// not
+		// mistake a truncated record for a complete one.
 		this.a.server.behaviour = (exchange, body) -> {
 			exchange.sendResponseHeaders(200, 10);
 			exchange.getResponseBody().write(new byte[] { 'h', 'a', 'l', 'f' });
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/DelayedOrderTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/DelayedOrderTests.java
@@ -19,8 +19,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Orders of a service without keys, which one daemon admits and another one's backend
- * server runs.
+ * Orders of a service that is not sharded: one daemon admits them, and the backend server
+ * of another one runs them.
  */
 class DelayedOrderTests {
 
@@ -54,10 +54,12 @@
 		this.proxy.close();
 	}
 
-	// Guards against an order that begins after its owner's lease has ended: it was held
-	// up between two daemons, and the second one counted the lease from when it read it.
+	// Guards against an order that starts after its owner's lease has ended: it was
+	// delayed
+	// between two daemons, and the receiver counted the remaining lease from the time of
+	// receipt.
 	@Test
-	void anOrderThatWasHeldUpBetweenDaemonsDoesNotOutliveItsOwnersLease() throws Exception {
+	void anOrderDelayedBetweenDaemonsDoesNotOutliveItsOwnersLease() throws Exception {
 		long leaseEnd = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
 		this.owner.sees(this.owner, 7, leaseEnd);
 		this.link.state(LinkState.HELD);
@@ -66,7 +68,7 @@
 		this.link.state(LinkState.WHOLE);
 		PathFixture.await(() -> refused("held-1"));
 		lookup.get(20, TimeUnit.SECONDS);
-		assertThat(this.runner.server.orders.stream().map(FakeServer.Seen::id)).doesNotContain("held-1");
+		assertThat(this.runner.server.orders.stream().map(FakeServer.ReceivedOrder::id)).doesNotContain("held-1");
 	}
 
 	private CompletableFuture<HttpResponse<String>> lookup(String id) {
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/FakeServer.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/FakeServer.java
@@ -13,11 +13,12 @@
 import com.sun.net.httpserver.HttpServer;
 
 /**
- * A backend server whose behaviour a test sets. Keeps what it was asked.
+ * A backend server whose behaviour is set by a test. Records the requests that it
+ * receives.
  */
 final class FakeServer implements AutoCloseable {
 
-	final List<Seen> orders = new CopyOnWriteArrayList<>();
+	final List<ReceivedOrder> orders = new CopyOnWriteArrayList<>();
 
 	final List<String> cancelled = new CopyOnWriteArrayList<>();
 
@@ -26,9 +27,9 @@
 	volatile Behaviour behaviour = (exchange, body) -> answer(exchange, 200,
 			"done " + exchange.getRequestURI() + " " + body);
 
-	private final Gate all = new Gate();
+	private final Barrier allCalls = new Barrier();
 
-	private final Gate grantCalls = new Gate();
+	private final Barrier grantCalls = new Barrier();
 
 	private final ExecutorService threads = Executors.newVirtualThreadPerTaskExecutor();
 
@@ -37,28 +38,28 @@
 	FakeServer() throws IOException {
 		this.http = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 100);
 		this.http.setExecutor(this.threads);
-		this.http.createContext("/", this::order);
+		this.http.createContext("/", this::handleOrder);
 		this.http.createContext("/brasspier/health", (exchange) -> {
-			this.all.pass();
+			this.allCalls.awaitOpen();
 			answer(exchange, 200, "{\"state\": \"ready\"}");
 		});
 		this.http.createContext("/brasspier/grants", (exchange) -> {
-			this.all.pass();
-			this.grantCalls.pass();
+			this.allCalls.awaitOpen();
+			this.grantCalls.awaitOpen();
 			this.grants.add(read(exchange));
 			answer(exchange, 200, "{}");
 		});
 		this.http.createContext("/brasspier/cancel", (exchange) -> {
-			this.all.pass();
+			this.allCalls.awaitOpen();
 			this.cancelled.add(read(exchange));
 			answer(exchange, 200, "{}");
 		});
 		this.http.start();
 	}
 
-	private void order(HttpExchange exchange) throws IOException {
+	private void handleOrder(HttpExchange exchange) throws IOException {
 		String body = read(exchange);
-		this.orders.add(new Seen(exchange.getRequestMethod() + " " + exchange.getRequestURI(),
+		this.orders.add(new ReceivedOrder(exchange.getRequestMethod() + " " + exchange.getRequestURI(),
 				exchange.getRequestHeaders().getFirst("Brasspier-Request-Id"),
 				exchange.getRequestHeaders().getFirst("Brasspier-Fence"),
 				Long.parseLong(exchange.getRequestHeaders().getFirst("Brasspier-Deadline-At"))));
@@ -85,21 +86,21 @@
 		return this.http.getAddress().getPort();
 	}
 
-	// Answers nothing, not even a probe, as a process that was paused.
+	// Stops answering anything, even probes, like a paused process.
 	void freeze() {
-		this.all.shut();
+		this.allCalls.block();
 	}
 
-	// Answers no call of grants until they are taken again.
-	void holdGrants() {
-		this.grantCalls.shut();
+	// Stops answering grant calls until acceptGrants is called.
+	void stopGrants() {
+		this.grantCalls.block();
 	}
 
-	void takeGrants() {
-		this.grantCalls.open();
+	void acceptGrants() {
+		this.grantCalls.unblock();
 	}
 
-	// Ends at once, as a process does: it stops listening and drops all connections.
+	// Simulates the crash of the process: stops listening and drops all connections.
 	void crash() throws InterruptedException {
 		Thread.ofPlatform().daemon().start(() -> this.http.stop(0));
 		Thread.sleep(Duration.ofSeconds(30));
@@ -107,14 +108,14 @@
 
 	@Override
 	public void close() {
-		this.all.open();
-		this.grantCalls.open();
+		this.allCalls.unblock();
+		this.grantCalls.unblock();
 		this.http.stop(0);
 		this.threads.shutdownNow();
 	}
 
 	/**
-	 * What the server does with an order.
+	 * Handles an order.
 	 */
 	interface Behaviour {
 
@@ -123,23 +124,23 @@
 	}
 
 	/**
-	 * Holds threads back while it is shut.
+	 * Blocks threads while it is closed.
 	 */
-	private static final class Gate {
+	private static final class Barrier {
 
-		private boolean shut;
+		private boolean blocked;
 
-		synchronized void shut() {
-			this.shut = true;
+		synchronized void block() {
+			this.blocked = true;
 		}
 
-		synchronized void open() {
-			this.shut = false;
+		synchronized void unblock() {
+			this.blocked = false;
 			notifyAll();
 		}
 
-		synchronized void pass() {
-			while (this.shut) {
+		synchronized void awaitOpen() {
+			while (this.blocked) {
 				try {
 					wait();
 				}
@@ -153,9 +154,9 @@
 	}
 
 	/**
-	 * An order as it came.
+	 * An order as received.
 	 */
-	record Seen(String line, String id, String fence, long deadlineAtMillis) {
+	record ReceivedOrder(String line, String id, String fence, long deadlineAtMillis) {
 
 	}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/FrozenServerTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/FrozenServerTests.java
@@ -20,8 +20,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * A backend server or a connection to it that says nothing for a while, and what the
- * daemon beside it may believe meanwhile.
+ * Backend servers and connections that are silent for a while, and what their daemon may
+ * assume in the meantime.
  */
 class FrozenServerTests {
 
@@ -39,9 +39,9 @@
 		this.fixture.close();
 	}
 
-	private void start(boolean byKey, boolean checksFences) throws Exception {
+	private void start(boolean sharded, boolean checksFences) throws Exception {
 		this.fixture.catalog = Document.of(Map.of(new FieldPath("service/hullbook/divided-by-key"),
-				byKey ? "yes" : "no", new FieldPath("limits/hullbook/lookup-deadline-millis"), "9000"))
+				sharded ? "yes" : "no", new FieldPath("limits/hullbook/lookup-deadline-millis"), "9000"))
 			.catalog();
 		this.a = this.fixture.add("a");
 		this.fixture.owns(this.a, 7);
@@ -49,7 +49,7 @@
 	}
 
 	// Guards against two owners: a range is released while its paused server still has a
-	// valid grant, and the server goes by it when it wakes.
+	// valid grant, which the server uses when it resumes.
 	@Test
 	void aRangeIsNotReleasedBeforeTheGrantsOfItsFrozenServerHaveEnded() throws Exception {
 		start(true, true);
@@ -59,74 +59,76 @@
 		int before = this.a.server.grants.size();
 		PathFixture.await(() -> this.a.server.grants.size() > before + 1);
 		this.a.server.freeze();
-		PathFixture.await(() -> seen(EventKind.BACKEND_LOST));
+		PathFixture.await(() -> hasEvent(EventKind.BACKEND_LOST));
 		this.a.order(new RequestsOrder.DrainRange(HELD));
 		PathFixture.await(this::drained);
 		assertThat(System.nanoTime() - leaseEnd).isAtLeast(0L);
 	}
 
-	// Guards against a read that begins under an old fence: it was given up on a server
-	// that checks no fences, is paused, and finds it unread when it wakes.
+	// Guards against a read that starts under an old fence: the daemon has abandoned it,
+	// and a paused server that does not check fences reads it when it resumes.
 	@Test
-	void aRangeIsNotReleasedBeforeAReadOnItsFrozenServerIsOverdue() throws Exception {
+	void aRangeIsNotReleasedBeforeTheDeadlineOfAReadOnItsFrozenServer() throws Exception {
 		start(false, false);
 		this.a.server.behaviour = (exchange, body) -> this.finish.await(20, TimeUnit.SECONDS);
 		CompletableFuture<HttpResponse<String>> read = this.a.send("GET", "/v1/hullbook/x", "", "Brasspier-Request-Id",
 				"r-1", "Brasspier-Class", "audit", "Brasspier-Deadline-Millis", "4000");
 		PathFixture.await(() -> !this.a.server.orders.isEmpty());
 		this.a.server.freeze();
-		PathFixture.await(() -> seen(EventKind.BACKEND_LOST));
+		PathFixture.await(() -> hasEvent(EventKind.BACKEND_LOST));
 		this.a.order(new RequestsOrder.DrainRange(HELD));
 		PathFixture.await(this::drained);
 		assertThat(System.currentTimeMillis()).isGreaterThan(this.a.server.orders.getFirst().deadlineAtMillis());
 		read.get(20, TimeUnit.SECONDS);
 	}
 
-	// Guards against ranges that rest for no reason: a server whose process has ended
-	// goes by no grant.
+	// Guards against an unnecessary wait before a range is released: a server whose
+	// process has ended can no longer use its grants.
 	@Test
-	void aRangeOfAServerThatHasEndedIsReleasedThoughItsGrantsAreValid() throws Exception {
+	void aRangeOfAServerThatHasEndedIsReleasedAlthoughItsGrantsAreValid() throws Exception {
 		start(true, true);
 		this.a.get("/v1/hullbook/x", "Brasspier-Key", "hull-7");
 		this.a.server.close();
-		PathFixture.await(() -> seen(EventKind.BACKEND_LOST));
+		PathFixture.await(() -> hasEvent(EventKind.BACKEND_LOST));
 		this.a.order(new RequestsOrder.DrainRange(HELD));
 		PathFixture.await(this::drained);
 	}
 
-	// Guards against a second try that is sent to a server whose grant has run out while
-	// the first one was silent: it refuses the fence.
+	// Guards against a second attempt that the server refuses for its fence: the grant
+	// expired while the first attempt was silent.
 	@Test
-	void aSecondTryIsNotSentToAServerThatHasNotAcknowledgedItsGrant() throws Exception {
-		CompletableFuture<HttpResponse<String>> lookup = silentUntilItsGrantHasRunOut();
+	void aSecondAttemptIsNotSentToAServerThatHasNotAcknowledgedItsGrant() throws Exception {
+		CompletableFuture<HttpResponse<String>> lookup = silentUntilItsGrantHasExpired();
 		assertThat(lookup.get(20, TimeUnit.SECONDS).headers().firstValue("Brasspier-Ran")).hasValue("unknown");
-		assertThat(seen(EventKind.CONNECTION_REPLACED)).isTrue();
-		assertThat(ordersNamed("silent-1")).isEqualTo(1);
+		assertThat(hasEvent(EventKind.CONNECTION_REPLACED)).isTrue();
+		assertThat(ordersWithId("silent-1")).isEqualTo(1);
 	}
 
-	// Guards against a lookup that ends in an unknown outcome though its server is back:
-	// its second try gives up because no grant is acknowledged in that moment.
+	// Guards against a lookup with an unknown outcome although its server is available
+	// again: the second attempt fails because no grant is acknowledged at that moment.
 	@Test
-	void aSecondTryWaitsForAGrantThatTheServerHasAcknowledged() throws Exception {
-		CompletableFuture<HttpResponse<String>> lookup = silentUntilItsGrantHasRunOut();
-		PathFixture.await(() -> seen(EventKind.CONNECTION_REPLACED));
-		this.a.server.takeGrants();
+	void aSecondAttemptWaitsForAGrantThatTheServerHasAcknowledged() throws Exception {
+		CompletableFuture<HttpResponse<String>> lookup = silentUntilItsGrantHasExpired();
+		PathFixture.await(() -> hasEvent(EventKind.CONNECTION_REPLACED));
+		this.a.server.acceptGrants();
 		assertThat(lookup.get(20, TimeUnit.SECONDS).body()).isEqualTo("granted true");
-		assertThat(ordersNamed("silent-1")).isEqualTo(2);
+		assertThat(ordersWithId("silent-1")).isEqualTo(2);
 	}
 
-	// A lookup whose first try says nothing. Its deadline leaves the first try three
-	// seconds, the server's grant ends after one, and the server takes no newer one.
-	private CompletableFuture<HttpResponse<String>> silentUntilItsGrantHasRunOut() throws Exception {
+	// Sends a lookup whose first attempt is not answered. Its deadline leaves three
+	// seconds
+	// for that attempt; the server's grant ends after one second, and the server accepts
+	// no newer grant.
+	private CompletableFuture<HttpResponse<String>> silentUntilItsGrantHasExpired() throws Exception {
 		start(true, true);
 		this.a.get("/v1/hullbook/warm", "Brasspier-Key", "hull-7");
 		this.a.sees(this.a, 7, System.nanoTime() + TimeUnit.SECONDS.toNanos(1));
 		int before = this.a.server.grants.size();
 		PathFixture.await(() -> this.a.server.grants.size() > before + 1);
-		this.a.server.holdGrants();
+		this.a.server.stopGrants();
 		int taken = this.a.server.grants.size();
 		this.a.server.behaviour = (exchange, body) -> {
-			if (ordersNamed("silent-1") == 1) {
+			if (ordersWithId("silent-1") == 1) {
 				this.finish.await(20, TimeUnit.SECONDS);
 			}
 			boolean granted = this.a.server.grants.size() > taken;
@@ -134,16 +136,16 @@
 		};
 		CompletableFuture<HttpResponse<String>> lookup = this.a.send("GET", "/v1/hullbook/x", "", "Brasspier-Key",
 				"hull-7", "Brasspier-Request-Id", "silent-1", "Brasspier-Deadline-Millis", "9000");
-		PathFixture.await(() -> ordersNamed("silent-1") == 1);
+		PathFixture.await(() -> ordersWithId("silent-1") == 1);
 		this.a.sees(this.a, 7);
 		return lookup;
 	}
 
-	private long ordersNamed(String id) {
+	private long ordersWithId(String id) {
 		return this.a.server.orders.stream().filter((order) -> order.id().equals(id)).count();
 	}
 
-	private boolean seen(EventKind kind) {
+	private boolean hasEvent(EventKind kind) {
 		return this.a.events.after(0).stream().anyMatch((event) -> event.kind() == kind);
 	}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/LowBandwidthForwardTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/LowBandwidthForwardTests.java
@@ -11,7 +11,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * A large answer between two daemons whose network carries ten megabits a second.
+ * A large answer between two daemons on a network with a bandwidth of 10 Mbit/s.
  */
 class LowBandwidthForwardTests {
 
@@ -19,15 +19,15 @@
 
 	private static final int TRIES = 20;
 
-	/** Takes longer than a link may be silent. */
+	/** Takes longer to transfer than the silence timeout of a link. */
 	private static final String LARGE = "x".repeat(550_000);
 
 	/**
-	 * Guards against a connection that is closed as silent in the middle of a large
-	 * answer, and with it all requests that wait on it.
+	 * Guards against closing a connection as silent during the transfer of a large
+	 * answer, which fails all requests that are pending on it.
 	 */
 	@Test
-	void aLargeAnswerArrivesThroughANarrowNetwork() throws Exception {
+	void aLargeAnswerArrivesOverALowBandwidthNetwork() throws Exception {
 		PathFixture fixture = new PathFixture();
 		PathFixture.Member entry = fixture.add("entry");
 		PathFixture.Member owner = fixture.add("owner");
@@ -37,9 +37,9 @@
 			fixture.owns(owner, 7);
 			owner.announce("ready", true);
 			owner.server.behaviour = (exchange, body) -> FakeServer.answer(exchange, 200, LARGE);
-			// A machine that is busy may need a second try; in the middle of each answer
-			// the
-			// connection would be closed.
+			// On a busy machine the first attempt may fail. With the fault, the
+			// connection
+			// is closed during every answer, so all attempts fail.
 			Optional<HttpResponse<String>> whole = Optional.empty();
 			for (int i = 0; i < TRIES && whole.isEmpty(); i++) {
 				whole = Optional
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/MixedMessagesTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/MixedMessagesTests.java
@@ -17,21 +17,24 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Each caller gets the whole answer to its own request, and nothing of another message.
+ * Each caller gets the complete answer to its own request and no data of other messages.
  */
 class MixedMessagesTests {
 
-	private static final int TURNED_AWAY = 503;
+	private static final int SERVICE_UNAVAILABLE = 503;
 
-	private static final int READ_BUFFER = 16_384;
+	private static final int READ_BUFFER_BYTES = 16_384;
 
 	private static final int REQUESTS = 1000;
 
-	/** A server that doesn't announce itself for 3.5 seconds counts as lost. */
-	private static final int ANNOUNCED_EACH = 20;
+	/**
+	 * Number of requests between announcements: a server that doesn't announce itself for
+	 * 3.5 seconds counts as lost.
+	 */
+	private static final int ANNOUNCE_INTERVAL = 20;
 
-	/** Fewer than the server has slots. */
-	private static final int TOGETHER = 2;
+	/** Number of concurrent requests, fewer than the slots of the server. */
+	private static final int CONCURRENCY = 2;
 
 	private final PathFixture fixture = new PathFixture();
 
@@ -49,64 +52,66 @@
 		this.fixture.close();
 	}
 
-	// Under load a request with a body reached its server without its key, or was refused
-	// for fields that its caller had sent. Its header fields lay in a buffer that was
-	// given
-	// back to the library's pool with the body, and other threads read into it.
+	// Guards against corrupted header fields: under load a request with a body reached
+	// its
+	// server without its key, or was refused for fields that its caller had sent. The
+	// fields were in a buffer that had been returned to the library's pool together with
+	// the body, and other threads read into it.
 	@Test
-	void headerFieldsSurviveWhateverOtherThreadsRead() throws Exception {
+	void headerFieldsAreNotOverwrittenByOtherThreads() throws Exception {
 		this.a.server.behaviour = (exchange, body) -> {
 			exchange.getResponseHeaders().set("X-Mine", exchange.getRequestHeaders().getFirst("X-Mine"));
 			FakeServer.answer(exchange, 200, exchange.getRequestHeaders().getFirst("Brasspier-Key"));
 		};
-		AtomicBoolean over = new AtomicBoolean();
+		AtomicBoolean stopped = new AtomicBoolean();
 		List<Thread> readers = IntStream.range(0, 3)
-			.mapToObj((i) -> Thread.ofPlatform().daemon().start(() -> readUntil(over)))
+			.mapToObj((i) -> Thread.ofPlatform().daemon().start(() -> readUntil(stopped)))
 			.toList();
-		for (int i = 0; i < REQUESTS; i += TOGETHER) {
-			if (i % ANNOUNCED_EACH == 0) {
+		for (int i = 0; i < REQUESTS; i += CONCURRENCY) {
+			if (i % ANNOUNCE_INTERVAL == 0) {
 				this.a.announce("ready", true);
 			}
-			askSome(i);
+			sendConcurrently(i);
 		}
-		over.set(true);
+		stopped.set(true);
 		for (Thread reader : readers) {
 			reader.join();
 		}
 	}
 
-	private static void readUntil(AtomicBoolean over) {
-		while (!over.get()) {
-			ByteBuf buffer = ByteBufPool.allocate(READ_BUFFER);
+	private static void readUntil(AtomicBoolean stopped) {
+		while (!stopped.get()) {
+			ByteBuf buffer = ByteBufPool.allocate(READ_BUFFER_BYTES);
 			Arrays.fill(buffer.array(), (byte) 'x');
 			buffer.recycle();
 		}
 	}
 
-	private void askSome(int from) throws Exception {
-		List<CompletableFuture<HttpResponse<String>>> asked = new ArrayList<>();
-		for (int i = from; i < from + TOGETHER; i++) {
-			asked.add(ask(i));
+	private void sendConcurrently(int from) throws Exception {
+		List<CompletableFuture<HttpResponse<String>>> sent = new ArrayList<>();
+		for (int i = from; i < from + CONCURRENCY; i++) {
+			sent.add(send(i));
 		}
-		for (int i = from; i < from + TOGETHER; i++) {
-			HttpResponse<String> answer = asked.get(i - from).join();
-			while (answer.statusCode() == TURNED_AWAY) {
-				// A machine with too much to do; it counts as lost after 3.5 seconds.
+		for (int i = from; i < from + CONCURRENCY; i++) {
+			HttpResponse<String> answer = sent.get(i - from).join();
+			while (answer.statusCode() == SERVICE_UNAVAILABLE) {
+				// On an overloaded machine the server may count as lost after 3.5
+				// seconds.
 				this.a.announce("ready", true);
-				answer = ask(i).join();
+				answer = send(i).join();
 			}
 			assertThat(answer.body()).isEqualTo("key-" + i);
 			assertThat(answer.headers().firstValue("X-Mine")).hasValue("mine-" + i);
 		}
 	}
 
-	private CompletableFuture<HttpResponse<String>> ask(int i) {
+	private CompletableFuture<HttpResponse<String>> send(int i) {
 		return this.a.send("POST", "/v1/hullbook/x", "body " + i, "Brasspier-Class", "lookup", "Brasspier-Key",
 				"key-" + i, "X-Mine", "mine-" + i);
 	}
 
-	// A backend server mixes two answers up. The daemon compares the id that it repeats,
-	// and neither caller gets the other one's record.
+	// Guards against relaying another caller's record: a backend server confuses two
+	// answers, which shows in the request id that it returns.
 	@Test
 	void anAnswerThatNamesAnotherRequestIsNotRelayed() throws Exception {
 		this.a.server.behaviour = (exchange, body) -> {
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/PathFixture.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/PathFixture.java
@@ -44,8 +44,8 @@
 import org.brasspier.wire.SharedKeys;
 
 /**
- * Daemons' threads of requests in this process, with the ownership that a test sets, and
- * a fake backend server beside each.
+ * Runs the request threads of several daemons in this process, with ownership set by the
+ * test and a fake backend server for each daemon.
  */
 final class PathFixture implements AutoCloseable {
 
@@ -57,7 +57,7 @@
 
 	private final Map<InstanceId, Member> members = new LinkedHashMap<>();
 
-	/** The services as the document in force describes them. */
+	/** The services of the configuration document in force. */
 	volatile ServiceCatalog catalog = ServiceCatalog.OPEN;
 
 	Member add(String name) throws IOException {
@@ -66,7 +66,7 @@
 		return member;
 	}
 
-	// Makes one member the owner of everything, in all members' eyes.
+	// Publishes to all members that one of them owns all ranges.
 	void owns(Member owner, long fence) {
 		this.members.values().forEach((member) -> member.sees(owner, fence));
 	}
@@ -84,7 +84,7 @@
 		long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
 		while (!condition.getAsBoolean()) {
 			if (System.nanoTime() - end > 0) {
-				throw new AssertionError("the condition did not come about");
+				throw new AssertionError("the condition was not met in time");
 			}
 			TimeUnit.MILLISECONDS.sleep(5);
 		}
@@ -99,7 +99,7 @@
 	}
 
 	/**
-	 * One daemon's thread of requests with the backend server beside it.
+	 * The request thread of one daemon with its backend server.
 	 */
 	final class Member {
 
@@ -121,7 +121,7 @@
 
 		final RequestsDuty requests;
 
-		/** Where the other members reach the port for forwarded requests. */
+		/** The port through which the other members reach the forward port. */
 		volatile int forwardedThrough = this.forwardPort;
 
 		volatile List<MarkedRange> marked = List.of();
@@ -171,7 +171,7 @@
 			return this.requests.orders().offer(order);
 		}
 
-		// Announces its server and waits until the daemon has taken note.
+		// Announces the backend server and returns the body of the answer.
 		String announce(String state, boolean checksFences) throws Exception {
 			return announce(state, checksFences, 4);
 		}
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/PeerClockTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/PeerClockTests.java
@@ -10,17 +10,19 @@
 
 class PeerClockTests {
 
-	/** Two clocks that run so differ by no more than the allowance of 1 %. */
+	/** Two clocks with this drift differ by no more than the allowance of 1 %. */
 	private static final double SLEW = 0.0049;
 
-	/** A link with a request a minute. */
+	/** A link with one request per minute. */
 	private static final long SPARSE_NANOS = 60_000_000_000L;
 
-	// Guards against an order that seems younger than it is: messages of both ways are
-	// held up at random, those that open the connection too, and the clocks drift.
+	// Guards against an order that appears younger than it is: messages in both
+	// directions
+	// are delayed at random, including those that open the connection, and the clocks
+	// drift.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
-	void aMessageIsNeverTakenForYoungerThanItIs(long seed) {
+	void aMessageNeverAppearsYoungerThanItIs(long seed) {
 		RandomGenerator random = new SplittableRandom(seed);
 		double peerRate = random.nextDouble(1 - SLEW, 1 + SLEW);
 		double ownRate = random.nextDouble(1 - SLEW, 1 + SLEW);
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/RawCaller.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/RawCaller.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A caller that sends just the bytes that a test wants.
+ * A caller that sends exactly the bytes given by a test.
  */
 final class RawCaller implements AutoCloseable {
 
@@ -26,14 +26,14 @@
 		this.socket.getOutputStream().write(bytes);
 	}
 
-	// What comes first, at least a byte.
+	// Reads at least one byte.
 	String readSome() throws IOException {
 		byte[] buffer = new byte[4096];
 		int count = this.socket.getInputStream().read(buffer);
 		return new String(buffer, 0, Math.max(0, count), StandardCharsets.ISO_8859_1);
 	}
 
-	// What comes until the daemon closes the connection.
+	// Reads until the daemon closes the connection.
 	String readAll() throws IOException {
 		return new String(this.socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
 	}
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/RequestPathTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/RequestPathTests.java
@@ -57,7 +57,7 @@
 	}
 
 	@Test
-	void aPostingIsAskedForATicketAndThenRunsOnceHoweverOftenItIsSent() throws Exception {
+	void aPostingNeedsATicketAndThenRunsOnceHoweverOftenItIsSent() throws Exception {
 		HttpResponse<String> first = this.b.post("/v1/hullbook/bookings", "slip 4", "Brasspier-Key", "hull-7",
 				"Brasspier-Request-Id", "p-1");
 		assertThat(first.statusCode()).isEqualTo(428);
@@ -74,7 +74,7 @@
 	@Test
 	void aPostingWhoseOwnerHasChangedDoesNotRunAgain() throws Exception {
 		// A booking ran at its owner, the answer was lost, and the range moved. The
-		// resend reaches the next owner, who can't know whether it ran.
+		// retry reaches the next owner, which can't know whether the booking ran.
 		String ticket = this.a
 			.post("/v1/hullbook/bookings", "x", "Brasspier-Key", "hull-7", "Brasspier-Request-Id", "p-1")
 			.headers()
@@ -91,7 +91,7 @@
 	}
 
 	@Test
-	void aResendWhileTheFirstRunsWaitsForItsAnswer() throws Exception {
+	void aRetryDuringTheFirstAttemptWaitsForItsAnswer() throws Exception {
 		CountDownLatch finish = new CountDownLatch(1);
 		this.a.server.behaviour = (exchange, body) -> {
 			finish.await(20, TimeUnit.SECONDS);
@@ -118,7 +118,7 @@
 		this.fixture.owns(this.b, 8);
 		this.b.announce("ready", true);
 		this.a.sees(this.b, 8);
-		// A third daemon still believes that a is the owner.
+		// A third daemon still has a route to the previous owner, a.
 		PathFixture.Member c = this.fixture.add("c");
 		this.fixture.owns(this.b, 8);
 		c.sees(this.a, 7);
@@ -127,9 +127,9 @@
 	}
 
 	@Test
-	void aHandOverLosesNoRequest() throws Exception {
-		// The owner is told to drain while it runs one request. A second one comes, is
-		// held by the entry daemon, and is sent to the next owner once there is one.
+	void aHandoverLosesNoRequest() throws Exception {
+		// The owner must drain while it runs one request. A second request arrives, is
+		// held by the entry daemon, and is sent to the next owner once that is known.
 		CountDownLatch finish = new CountDownLatch(1);
 		this.a.server.behaviour = (exchange, body) -> {
 			finish.await(20, TimeUnit.SECONDS);
@@ -153,9 +153,10 @@
 	}
 
 	@Test
-	void anAnswerAfterALapseOfTheLeaseIsNotRelayed() throws Exception {
-		// The owner's process is paused while a lookup runs; its lease runs out and the
-		// range is served elsewhere. The old answer comes late and must not be shown.
+	void anAnswerAfterTheLeaseHasExpiredIsNotRelayed() throws Exception {
+		// The owner's process is paused while a lookup runs; its lease expires and
+		// another
+		// owner serves the range. The late answer is outdated and must not be relayed.
 		CountDownLatch finish = new CountDownLatch(1);
 		this.a.server.behaviour = (exchange, body) -> {
 			finish.await(20, TimeUnit.SECONDS);
@@ -169,9 +170,8 @@
 		assertThat(running.get(20, TimeUnit.SECONDS).body()).doesNotContain("old");
 	}
 
-	// Guards against a posting that ran and whose answer is thrown away, because the
-	// lease
-	// was renewed a moment late in a starved process.
+	// Guards against discarding the answer of a posting that ran because the lease was
+	// renewed slightly late in a process without enough processor time.
 	@Test
 	void anAnswerIsRelayedOnceTheLeaseIsRenewedUnderTheSameFence() throws Exception {
 		CompletableFuture<HttpResponse<String>> running = answeredDuringLapse();
@@ -179,8 +179,8 @@
 		assertThat(running.get(20, TimeUnit.SECONDS).body()).isEqualTo("booked");
 	}
 
-	// Guards against an answer that another owner may have overtaken: the range was held
-	// elsewhere during the lapse and has come back.
+	// Guards against an outdated answer: another owner held the range while the lease was
+	// expired, and the range has come back.
 	@Test
 	void anAnswerIsNotRelayedOnceTheRangeHasANewerFence() throws Exception {
 		CompletableFuture<HttpResponse<String>> running = answeredDuringLapse();
@@ -190,10 +190,10 @@
 		assertThat(answer.body()).doesNotContain("booked");
 	}
 
-	// Guards against a posting that ran and stays without its answer for all resends: the
-	// lease was lapsed for longer than the first send's answer waited for it.
+	// Guards against a posting that ran and whose retries never get its answer: the lease
+	// was expired for longer than the answer to the first attempt waited for its renewal.
 	@Test
-	void aResendGetsTheAnswerThatALongLapseOfTheLeaseKeptFromTheFirstSend() throws Exception {
+	void aRetryGetsTheAnswerThatAnExpiredLeaseWithheldFromTheFirstAttempt() throws Exception {
 		HttpResponse<String> first = answeredDuringLapse().get(20, TimeUnit.SECONDS);
 		assertThat(first.headers().firstValue("Brasspier-Error")).hasValue("OUTCOME_UNKNOWN");
 		this.a.sees(this.a, 7);
@@ -203,10 +203,10 @@
 		assertThat(this.a.server.orders).hasSize(1);
 	}
 
-	// Guards against an answer that is told after another owner may have changed what it
-	// says: it was kept from the first send, and the range was held elsewhere since.
+	// Guards against an outdated answer: it was withheld from the first attempt, and
+	// another owner has held the range since and may have changed the data.
 	@Test
-	void aResendDoesNotGetAnAnswerOfAnEarlierFence() throws Exception {
+	void aRetryDoesNotGetAnAnswerOfAnEarlierFence() throws Exception {
 		answeredDuringLapse().get(20, TimeUnit.SECONDS);
 		this.a.sees(this.a, 9);
 		HttpResponse<String> resend = this.a.post("/v1/hullbook/bookings", "x", "Brasspier-Key", "hull-7",
@@ -237,8 +237,8 @@
 
 	@Test
 	void aRequestThatCrashesItsServerIsRefusedAfterTheSecondLoss() throws Exception {
-		// A lookup makes each backend server that runs it end. Its caller sends it again
-		// under the same id. The third send must not reach any server.
+		// A lookup crashes each backend server that runs it. Its caller sends it again
+		// with the same id. The third attempt must not reach any server.
 		this.a.server.behaviour = (exchange, body) -> this.a.server.crash();
 		this.b.server.behaviour = (exchange, body) -> this.b.server.crash();
 		String[] headers = { "Brasspier-Key", "hull-7", "Brasspier-Request-Id", "killer", "Brasspier-Deadline-Millis",
@@ -266,9 +266,9 @@
 	}
 
 	@Test
-	void aLookupThatMayHaveRunIsNotCalledNotRunThoughItsSecondTryWasShed() throws Exception {
-		// The first try runs and its connection breaks; the daemon sends the lookup again
-		// and the server sheds it. "Not run" would be true of the second try only.
+	void aLookupThatMayHaveRunIsNotReportedAsNotRunWhenItsSecondAttemptIsShed() throws Exception {
+		// The first attempt runs and its connection breaks; the daemon sends the lookup
+		// again and the server sheds it. "Not run" is true only of the second attempt.
 		this.a.server.behaviour = (exchange, body) -> {
 			if (this.a.server.orders.size() == 1) {
 				exchange.close();
@@ -287,7 +287,7 @@
 	}
 
 	@Test
-	void aCallerThatGoesAwayHasItsRequestCancelledAcrossTheHop() throws Exception {
+	void aRequestIsCancelledAcrossTheHopWhenItsCallerDisconnects() throws Exception {
 		CountDownLatch finish = new CountDownLatch(1);
 		this.a.server.behaviour = (exchange, body) -> finish.await(20, TimeUnit.SECONDS);
 		try (RawCaller caller = new RawCaller(this.b.callerPort)) {
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/RequestsByIdTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/RequestsByIdTests.java
@@ -13,7 +13,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * A service that is not divided by key: the owner of the id admits, any server runs.
+ * A service that is not divided by key: the owner of the request id admits a request, and
+ * any backend server may run it.
  */
 class RequestsByIdTests {
 
@@ -39,7 +40,7 @@
 	}
 
 	@Test
-	void theOwnerOfTheIdLetsAnyServerRunIt() throws Exception {
+	void theOwnerOfTheIdLetsAnyServerRunTheRequest() throws Exception {
 		for (int i = 0; i < 40; i++) {
 			assertThat(this.b.get("/v1/hullbook/x", "Brasspier-Request-Id", "r" + i).statusCode()).isEqualTo(200);
 		}
@@ -64,8 +65,8 @@
 
 	@Test
 	void aPostingThatOneServerShedRunsOnAnother() throws Exception {
-		// One server sheds whatever comes and says so; the posting certainly did not run
-		// there, so the owner's daemon hands it to the other one.
+		// One server sheds every request and says so; the posting certainly did not run
+		// there, so the owner's daemon sends it to the other server.
 		this.a.server.behaviour = (exchange, body) -> {
 			exchange.getResponseHeaders().add("Brasspier-Ran", "not_run");
 			FakeServer.answer(exchange, 503, "shed");
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/SilentLinkTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/SilentLinkTests.java
@@ -20,8 +20,8 @@
 
 class SilentLinkTests {
 
-	/** Twice as long as what waits on a link that is silent for 400 ms needs. */
-	private static final long WELL_USED_SECONDS = 8;
+	/** Enough traffic to save twice the retries needed for a link silent for 400 ms. */
+	private static final long TRAFFIC_SECONDS = 8;
 
 	private static final int WAITING = 2 * RetryBudget.DEFAULT_MOST_SAVED;
 
@@ -50,11 +50,11 @@
 		this.proxy.close();
 	}
 
-	// Guards against lookups that fail because each that waits on a silent connection
-	// pays for a resend of its own.
+	// Guards against lookups that fail because each one that is pending on a silent
+	// connection is charged to the retry budget.
 	@Test
-	void allLookupsThatWaitOnASilentLinkAreAnswered() throws Exception {
-		long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WELL_USED_SECONDS);
+	void allLookupsPendingOnASilentLinkAreAnswered() throws Exception {
+		long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TRAFFIC_SECONDS);
 		while (System.nanoTime() < end) {
 			this.owner.announce("ready", true, WAITING);
 			assertThat(lookup().get(20, TimeUnit.SECONDS).statusCode()).isEqualTo(200);
@@ -69,10 +69,11 @@
 		}
 	}
 
-	// Guards against a posting that is called possibly run though no owner could admit
-	// it: its ticket is of an earlier owner, and its link broke.
+	// Guards against reporting a posting as possibly run although no owner could admit
+	// it:
+	// its ticket is from an earlier owner, and its link broke.
 	@Test
-	void aPostingWithAnOutdatedTicketIsNotCalledPossiblyRunThoughItsLinkBroke() throws Exception {
+	void aPostingWithAStaleTicketIsNotReportedAsPossiblyRunWhenItsLinkBreaks() throws Exception {
 		this.owner.announce("ready", true);
 		String earlier = ticketOf(post());
 		this.fixture.owns(this.owner, 8);
@@ -83,10 +84,9 @@
 		assertThat(this.owner.server.orders).hasSize(1);
 	}
 
-	// Guards against a posting that runs twice: its link broke, and its ticket lets it
-	// run.
+	// Guards against a posting that runs twice: its link broke, and its ticket is valid.
 	@Test
-	void aPostingWhoseTicketIsGoodIsCalledPossiblyRunOnceItsOwnerHasChanged() throws Exception {
+	void aPostingWithAValidTicketIsReportedAsPossiblyRunOnceItsOwnerHasChanged() throws Exception {
 		this.owner.announce("ready", true);
 		this.owner.server.behaviour = (exchange, body) -> {
 			this.fixture.owns(this.owner, 8);
@@ -98,10 +98,11 @@
 		assertThat(this.owner.server.orders).hasSize(1);
 	}
 
-	// Guards against a caller that is told nothing by its deadline, and takes its posting
-	// for possibly run: the connection to the owner was still opening.
+	// Guards against a caller that gets no answer by its deadline and must assume that
+	// its
+	// posting may have run, while the connection to the owner was still being opened.
 	@Test
-	void aRequestIsAnsweredAtItsDeadlineThoughItsLinkIsStillOpening() throws Exception {
+	void aRequestIsAnsweredAtItsDeadlineWhileItsLinkIsStillOpening() throws Exception {
 		this.owner.announce("ready", true);
 		this.link.state(LinkState.HELD);
 		HttpResponse<String> answer = post("Brasspier-Deadline-Millis", "200");
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/SuspectRequestsTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/SuspectRequestsTests.java
@@ -22,43 +22,44 @@
 
 class SuspectRequestsTests {
 
-	private static final CallerRequest KILLER = new CallerRequest(new ServiceName("hullbook"), Optional.of("hull-7"),
+	private static final CallerRequest CRASHING = new CallerRequest(new ServiceName("hullbook"), Optional.of("hull-7"),
 			true, new RequestIdentity(new RequestId("killer"), false, false, Optional.empty()), RequestClass.LOOKUP,
 			new CallerId("office"), 1000, new CallerRequest.Target("GET", "/x"), List.of(), new byte[0]);
 
 	private final SuspectRequests suspects = new SuspectRequests(new CrashHistory(), new EventLog(10));
 
-	// A request has crashed two servers and waits at a daemon for the next owner. That
-	// daemon gets the range, and the request is woken by the snapshot that says so. While
-	// the marks came by a ring of their own, it could run a third time before they came
-	// (in 2 of 300 tries); now they are part of the snapshot.
+	// Guards against a request that crashes a third server: it has crashed two and waits
+	// at
+	// the daemon that becomes the next owner. When the marks arrived in a ring of their
+	// own, the request could run before them (in 2 of 300 tries); so they are part of the
+	// snapshot.
 	@Test
-	void marksHoldFromTheSnapshotThatGivesTheirRange() {
+	void marksApplyFromTheSnapshotThatGrantsTheirRange() {
 		this.suspects.mergeMarks(List.of(marked(8, CrashHistory.MAX_CRASHES)));
-		assertThat(this.suspects.isBlocked(KILLER)).isTrue();
+		assertThat(this.suspects.isBlocked(CRASHING)).isTrue();
 	}
 
-	// A suspect that has ended well since the range came is no longer suspect, however
-	// often the same grant is published again with each renewed lease.
+	// A request that has succeeded since the range was granted is no longer suspect, even
+	// though the same grant is published again with each lease renewal.
 	@Test
-	void marksOfOneGrantAreTakenOnce() {
+	void marksOfOneGrantAreMergedOnce() {
 		this.suspects.mergeMarks(List.of(marked(8, 1)));
-		this.suspects.recordSuccess(KILLER);
+		this.suspects.recordSuccess(CRASHING);
 		this.suspects.mergeMarks(List.of(marked(8, 1)));
-		assertThat(this.suspects.isSuspect(KILLER)).isFalse();
+		assertThat(this.suspects.isSuspect(CRASHING)).isFalse();
 	}
 
 	@Test
-	void marksOfALaterGrantAreTakenAgain() {
+	void marksOfALaterGrantAreMergedAgain() {
 		this.suspects.mergeMarks(List.of(marked(8, 1)));
-		this.suspects.recordSuccess(KILLER);
+		this.suspects.recordSuccess(CRASHING);
 		this.suspects.mergeMarks(List.of(marked(9, CrashHistory.MAX_CRASHES)));
-		assertThat(this.suspects.isBlocked(KILLER)).isTrue();
+		assertThat(this.suspects.isBlocked(CRASHING)).isTrue();
 	}
 
 	private static MarkedRange marked(long fence, int crashes) {
-		HeldRange held = new HeldRange(KILLER.service(), KeyRange.ALL, new Fence(fence));
-		return new MarkedRange(held, List.of(new CrashMark(KILLER.crashFingerprint(), crashes)));
+		HeldRange held = new HeldRange(CRASHING.service(), KeyRange.ALL, new Fence(fence));
+		return new MarkedRange(held, List.of(new CrashMark(CRASHING.crashFingerprint(), crashes)));
 	}
 
 }
