--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/CellView.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/CellView.java
@@ -11,20 +11,21 @@
 import org.brasspier.core.routing.PeerAddress;
 
 /**
- * What this daemon knows of its cell, for operators. Immutable and thread-safe.
+ * The state of the cell as known to this daemon, for operators. Immutable and
+ * thread-safe.
  *
- * @param version the version of the row this was made from, 0 if none was read yet
+ * @param version the version of the underlying row, 0 if none was read yet
  * @param epoch the epoch of the lease managers
  * @param primary the primary lease manager, if there is one
  * @param secondary the secondary lease manager, if there is one
  * @param members the members
  * @param ranges the ranges of all services
- * @param moves the planned moves under way; known to the primary only
+ * @param moves the planned moves in progress; known to the primary only
  */
 public record CellView(long version, long epoch, Optional<InstanceId> primary, Optional<InstanceId> secondary,
 		List<Member> members, List<Range> ranges, List<Move> moves) {
 
-	/** Nothing is known yet. */
+	/** No state is known yet. */
 	public static final CellView UNKNOWN = new CellView(0, 0, Optional.empty(), Optional.empty(), List.of(), List.of(),
 			List.of());
 
@@ -40,15 +41,15 @@
 	/**
 	 * An instance.
 	 *
-	 * @param instance its identity
+	 * @param instance the id of the instance
 	 * @param domain its failure domain
 	 * @param service the service of its backend server, empty if it has none
-	 * @param phase what may be done with it, as text for operators
-	 * @param slots how many requests its backend server runs at once
+	 * @param phase the phase of the member, as text for operators
+	 * @param slots how many requests its backend server runs concurrently
 	 * @param checksFences whether its backend server refuses old fences
-	 * @param address its daemon's ports
-	 * @param heardMillisAgo how long ago this daemon heard of it, empty unless this
-	 * daemon is a lease manager
+	 * @param address the host and ports of its daemon
+	 * @param heardMillisAgo time since the last message from the instance, empty unless
+	 * this daemon is a lease manager
 	 */
 	public record Member(InstanceId instance, FailureDomain domain, Optional<ServiceName> service, String phase,
 			int slots, boolean checksFences, PeerAddress address, Optional<Long> heardMillisAgo) {
@@ -59,8 +60,8 @@
 	 * A range.
 	 *
 	 * @param service the service
-	 * @param range the points
-	 * @param owner who owns it, if anybody does
+	 * @param range the key hashes in the range
+	 * @param owner the owner, if there is one
 	 * @param fence the fence of its last change of owner
 	 */
 	public record Range(ServiceName service, KeyRange range, Optional<InstanceId> owner, Fence fence) {
@@ -72,8 +73,8 @@
 	 *
 	 * @param service the service
 	 * @param range the range
-	 * @param to who gets it
-	 * @param released whether its owner has let go of it
+	 * @param to the next owner
+	 * @param released whether the current owner has released the range
 	 */
 	public record Move(ServiceName service, KeyRange range, InstanceId to, boolean released) {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/DocumentVersions.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/DocumentVersions.java
@@ -3,12 +3,12 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * The way of the configuration document's version through heartbeats. Called in the
- * thread of ownership; implementations return at once.
+ * Exchanges the version of the configuration document with peers through heartbeats.
+ * Called in the ownership thread; implementations must not block.
  */
 public interface DocumentVersions {
 
-	/** Used until the operators' duty has joined. */
+	/** Used until the operators' duty has set its own implementation. */
 	DocumentVersions NONE = new DocumentVersions() {
 
 		@Override
@@ -18,21 +18,21 @@
 
 		@Override
 		public void onPeerVersion(InstanceId peer, long version) {
-			// Nobody wants to know.
+			// No listener is set.
 		}
 
 	};
 
 	/**
-	 * The version in force in this process.
-	 * @return 0 if none is
+	 * Returns the version in force in this process.
+	 * @return the version, 0 if none is in force
 	 */
 	long current();
 
 	/**
-	 * A peer said which version it has in force.
+	 * Called when a peer reports the version that it has in force.
 	 * @param peer the peer
-	 * @param version the version
+	 * @param version the version in force there
 	 */
 	void onPeerVersion(InstanceId peer, long version);
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OrderTracker.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OrderTracker.java
@@ -19,17 +19,19 @@
 import org.brasspier.daemon.internal.loop.Ring;
 
 /**
- * Passes operators' orders to the primary and its answers back. An order whose answer
- * does not come in time fails with an unknown outcome; repeating it does no harm. Giving
- * orders is thread-safe, all else belongs to the thread of ownership.
+ * Sends operators' orders to the primary lease manager and tracks them until they are
+ * answered. An order that is not answered in time fails with {@code TIMED_OUT}; its
+ * outcome is then unknown, and repeating it is safe. The methods of
+ * {@link OwnershipOrders} are thread-safe; all others are used in the ownership thread
+ * only.
  */
 final class OrderTracker implements OwnershipOrders {
 
 	private static final int CAPACITY = 64;
 
-	private static final Duration PATIENCE = Duration.ofSeconds(5);
+	private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(5);
 
-	private final Ring<Given> ring;
+	private final Ring<Submitted> ring;
 
 	private final Sender sender;
 
@@ -38,9 +40,9 @@
 	private final Map<Long, CompletableFuture<Either<Failure, String>>> waiting = new HashMap<>();
 
 	/**
-	 * Creates an empty book.
-	 * @param duty the duty of ownership
-	 * @param sender called in its thread for each order
+	 * Creates a tracker without orders.
+	 * @param duty the ownership thread
+	 * @param sender called in that thread for each order
 	 */
 	OrderTracker(Duty duty, Sender sender) {
 		this.ring = new Ring<>(CAPACITY, duty, this::send);
@@ -49,38 +51,38 @@
 
 	@Override
 	public CompletableFuture<Either<Failure, String>> drain(InstanceId instance) {
-		return give(new Order.Drain(instance, true));
+		return submit(new Order.Drain(instance, true));
 	}
 
 	@Override
 	public CompletableFuture<Either<Failure, String>> undrain(InstanceId instance) {
-		return give(new Order.Drain(instance, false));
+		return submit(new Order.Drain(instance, false));
 	}
 
 	@Override
 	public CompletableFuture<Either<Failure, String>> move(ServiceName service, KeyRange range, InstanceId to) {
-		return give(new Order.Move(service, range, to));
+		return submit(new Order.Move(service, range, to));
 	}
 
 	@Override
 	public CompletableFuture<Either<Failure, String>> declareLost(InstanceId instance) {
-		return give(new Order.DeclareLost(instance));
+		return submit(new Order.DeclareLost(instance));
 	}
 
-	private CompletableFuture<Either<Failure, String>> give(Order order) {
+	private CompletableFuture<Either<Failure, String>> submit(Order order) {
 		CompletableFuture<Either<Failure, String>> answer = new CompletableFuture<>();
-		if (!this.ring.offer(new Given(this.nextNumber.getAndIncrement(), order, answer))) {
+		if (!this.ring.offer(new Submitted(this.nextNumber.getAndIncrement(), order, answer))) {
 			answer.complete(Either.left(Failure.of(ErrorKind.OVERLOADED, "too many orders are waiting")));
 		}
 		return answer.completeOnTimeout(
 				Either.left(Failure.of(ErrorKind.TIMED_OUT, "the primary lease manager did not answer")),
-				PATIENCE.toMillis(), TimeUnit.MILLISECONDS);
+				ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
 	}
 
-	private void send(Given given) {
+	private void send(Submitted submitted) {
 		this.waiting.values().removeIf(CompletableFuture::isDone);
-		this.waiting.put(given.number(), given.answer());
-		this.sender.send(given.number(), given.order());
+		this.waiting.put(submitted.number(), submitted.answer());
+		this.sender.send(submitted.number(), submitted.order());
 	}
 
 	void onOrderDone(OwnershipAction.OrderDone done) {
@@ -92,13 +94,13 @@
 	}
 
 	/**
-	 * Sends an order on its way.
+	 * Sends orders to the primary lease manager.
 	 */
 	interface Sender {
 
 		/**
 		 * Sends an order.
-		 * @param number the number that its answer carries
+		 * @param number the number that identifies its answer
 		 * @param order the order
 		 */
 		void send(long number, Order order);
@@ -106,13 +108,13 @@
 	}
 
 	/**
-	 * An order as it was given.
+	 * An order that was submitted.
 	 *
-	 * @param number its number
+	 * @param number the number that identifies its answer
 	 * @param order the order
-	 * @param answer completed with its answer
+	 * @param answer completed with the answer
 	 */
-	private record Given(long number, Order order, CompletableFuture<Either<Failure, String>> answer) {
+	private record Submitted(long number, Order order, CompletableFuture<Either<Failure, String>> answer) {
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OwnershipDuty.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OwnershipDuty.java
@@ -34,33 +34,33 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The duty that keeps this instance's lease and, where the cell's row says so, manages
- * the leases of others: it carries out what {@link OwnershipMachine} decides.
- * Thread-safe.
+ * The ownership thread: renews this instance's lease and, if the cell's row says so,
+ * manages the leases of others. Executes the actions of {@link OwnershipMachine}. All
+ * public methods are thread-safe.
  */
 public final class OwnershipDuty {
 
-	private static final int REPORTS = 1024;
+	private static final int REPORT_CAPACITY = 1024;
 
-	private static final long TICK_MILLIS = 25;
+	private static final long TICK_INTERVAL_MILLIS = 25;
 
-	/** How often operators' view is made anew; the snapshot is published at once. */
-	private static final long VIEW_MILLIS = 200;
+	/** Interval of updates of the operators' view; snapshots are published at once. */
+	private static final long VIEW_INTERVAL_MILLIS = 200;
 
 	/** See docs/DESIGN.md, rule 8. */
 	private static final int DEFAULT_GUARD_MILLIS = 200;
 
 	private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
-	/** Twice the time that a slow table takes. */
+	/** Twice the response time of a slow table. */
 	private static final Duration TABLE_TIMEOUT = Duration.ofSeconds(4);
 
-	/** Every address is an IP number, so no name is ever looked up. */
+	/** Placeholder: all addresses are IP addresses, so no name is ever resolved. */
 	private static final InetSocketAddress NO_NAME_SERVER = new InetSocketAddress("127.0.0.1", 53);
 
 	private final Duty duty = new Duty("ownership");
 
-	private final Ring<RequestsReport> reports = new Ring<>(REPORTS, this.duty, this::report);
+	private final Ring<RequestsReport> reports = new Ring<>(REPORT_CAPACITY, this.duty, this::report);
 
 	private final DaemonContext context;
 
@@ -89,21 +89,22 @@
 
 	private DocumentVersions documents = DocumentVersions.NONE;
 
-	private Runnable whenLeft = () -> {
+	private Runnable onRelinquished = () -> {
 	};
 
-	private long viewMadeAt;
+	private long viewUpdatedAtMillis;
 
-	private @Nullable DocumentInForce weighed;
+	private @Nullable DocumentInForce weightsSource;
 
 	/**
-	 * Creates the duty; it does nothing until it is started.
-	 * @param context what every duty needs
+	 * Creates the duty without starting it.
+	 * @param context the context shared by all duties
 	 */
 	public OwnershipDuty(DaemonContext context) {
 		this.context = context;
 		Settings settings = context.settings();
-		this.machine = new OwnershipMachine(me(settings), Timing.STANDARD, new BalancingPlacement(), this.clock.now());
+		this.machine = new OwnershipMachine(self(settings), Timing.STANDARD, new BalancingPlacement(),
+				this.clock.now());
 		Meter controlBytes = context.metrics().meter("control.bytes");
 		this.tableReads = context.metrics().meter("table.reads");
 		this.tableWrites = context.metrics().meter("table.writes");
@@ -122,7 +123,7 @@
 				System.nanoTime(), new PeerAddresses(java.util.Map.of()));
 	}
 
-	private static MemberInfo me(Settings settings) {
+	private static MemberInfo self(Settings settings) {
 		int incarnation = ThreadLocalRandom.current().nextInt(1, Integer.MAX_VALUE);
 		PeerAddress address = new PeerAddress(settings.advertisedHost(), settings.listen().control().getPort(),
 				settings.listen().forwards().getPort(), settings.listen().callers().getPort(),
@@ -132,9 +133,9 @@
 	}
 
 	/**
-	 * Joins the thread of requests; called before {@link #start()}.
-	 * @param ring the ring into the thread of requests
-	 * @return the ring for its reports
+	 * Connects the request thread. Must be called before {@link #start()}.
+	 * @param ring the ring of orders for the request thread
+	 * @return the ring for the reports of the request thread
 	 */
 	public Ring<RequestsReport> connectRequests(Ring<RequestsOrder> ring) {
 		this.requests = Optional.of(ring);
@@ -142,15 +143,15 @@
 	}
 
 	/**
-	 * Joins the holder of the configuration document; called before {@link #start()}.
-	 * @param versions told of the versions that peers have in force
+	 * Sets the exchange of document versions. Must be called before {@link #start()}.
+	 * @param versions gives the own version and receives those of the peers
 	 */
 	public void setDocumentVersions(DocumentVersions versions) {
 		this.documents = versions;
 	}
 
 	/**
-	 * Opens the control port and begins to work.
+	 * Opens the control port and starts the thread.
 	 * @throws IOException if the port can't be opened
 	 */
 	public void start() throws IOException {
@@ -161,21 +162,22 @@
 	}
 
 	private void tick() {
-		this.duty.reactor().delay(TICK_MILLIS, this::tick);
+		this.duty.reactor().delay(TICK_INTERVAL_MILLIS, this::tick);
 		this.machine.document(this.documents.current());
-		takeWeights(this.context.documents().inForce());
+		updateWeights(this.context.documents().inForce());
 		run(this.machine.tick(now()));
 		this.links.closeSilent();
-		if (now() - this.viewMadeAt >= VIEW_MILLIS) {
-			this.viewMadeAt = now();
+		if (now() - this.viewUpdatedAtMillis >= VIEW_INTERVAL_MILLIS) {
+			this.viewUpdatedAtMillis = now();
 			this.view = this.publisher.view(this.machine.view(), now());
 		}
 	}
 
-	// Reading the weights out of the document takes as long as all the rest of a tick.
-	private void takeWeights(DocumentInForce latest) {
-		if (latest != this.weighed) {
-			this.weighed = latest;
+	// Reads the weights only when the document changes: parsing them takes as long as the
+	// rest of a tick.
+	private void updateWeights(DocumentInForce latest) {
+		if (latest != this.weightsSource) {
+			this.weightsSource = latest;
 			this.machine.weights(latest.document().weights());
 		}
 	}
@@ -234,7 +236,7 @@
 		}
 	}
 
-	// The same number that the thread of requests bounds its orders with.
+	// Must equal the guard time that the request thread applies to its orders.
 	private int guardMillis(ServiceName service) {
 		return this.context.documents()
 			.catalog()
@@ -256,7 +258,7 @@
 			case OwnershipAction.Drain drain -> drain(drain);
 			case OwnershipAction.Tell tell -> this.context.events().record(tell.kind(), tell.subject(), tell.detail());
 			case OwnershipAction.OrderDone done -> this.orders.onOrderDone(done);
-			case OwnershipAction.Left left -> this.whenLeft.run();
+			case OwnershipAction.Left left -> this.onRelinquished.run();
 		}
 	}
 
@@ -283,13 +285,13 @@
 			run(this.machine.drained(drain.held(), List.of(), now()));
 		}
 		else if (!passed) {
-			// The ring is full: the thread of requests is behind, so ask again soon.
-			this.duty.reactor().delay(TICK_MILLIS, () -> drain(drain));
+			// The ring is full because the request thread is behind; tries again soon.
+			this.duty.reactor().delay(TICK_INTERVAL_MILLIS, () -> drain(drain));
 		}
 	}
 
 	/**
-	 * What this instance holds and knows now.
+	 * Returns the current ownership state.
 	 * @return the latest snapshot
 	 */
 	public OwnershipSnapshot snapshot() {
@@ -297,34 +299,34 @@
 	}
 
 	/**
-	 * What this daemon knows of its cell.
-	 * @return the latest view, up to a fifth of a second old
+	 * Returns the state of the cell as known to this daemon.
+	 * @return the latest view, up to 200 ms old
 	 */
 	public CellView view() {
 		return this.view;
 	}
 
 	/**
-	 * The way for operators' orders.
-	 * @return orders that any thread may give
+	 * Returns the interface for operators' orders.
+	 * @return the interface, which is thread-safe
 	 */
 	public OwnershipOrders orders() {
 		return this.orders;
 	}
 
 	/**
-	 * Gives up everything this instance owns, gracefully.
-	 * @param done called in another thread once nothing is owned any more
+	 * Releases all ranges of this instance gracefully.
+	 * @param done called in another thread once the instance owns no ranges
 	 */
 	public void relinquish(Runnable done) {
 		this.duty.execute(() -> {
-			this.whenLeft = done;
+			this.onRelinquished = done;
 			run(this.machine.leave(now()));
 		});
 	}
 
 	/**
-	 * Ends the duty.
+	 * Stops the thread.
 	 * @throws InterruptedException if the calling thread is interrupted
 	 */
 	public void stop() throws InterruptedException {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OwnershipOrders.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OwnershipOrders.java
@@ -9,39 +9,40 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * The operators' orders. Thread-safe; each returns at once, and its future completes in
- * another thread, at the latest a few seconds later, with a sentence for the operator.
+ * Executes operators' orders. Thread-safe. The methods do not block; the futures complete
+ * in another thread within a few seconds, with a sentence for the operator.
  */
 public interface OwnershipOrders {
 
 	/**
-	 * Takes all ranges from an instance, gracefully, and gives it no more.
+	 * Moves all ranges away from an instance gracefully and assigns no more ranges to it.
 	 * @param instance the instance
-	 * @return a sentence, or why not
+	 * @return a sentence, or the reason of the refusal
 	 */
 	CompletableFuture<Either<Failure, String>> drain(InstanceId instance);
 
 	/**
-	 * Lets a drained instance own ranges again.
+	 * Allows a drained instance to own ranges again.
 	 * @param instance the instance
-	 * @return a sentence, or why not
+	 * @return a sentence, or the reason of the refusal
 	 */
 	CompletableFuture<Either<Failure, String>> undrain(InstanceId instance);
 
 	/**
 	 * Moves one range.
 	 * @param service the service
-	 * @param range the range as it stands
-	 * @param to who gets it
-	 * @return a sentence once the move has begun, or why not
+	 * @param range the range, with its current bounds
+	 * @param to the next owner
+	 * @return a sentence once the move has started, or the reason of the refusal
 	 */
 	CompletableFuture<Either<Failure, String>> move(ServiceName service, KeyRange range, InstanceId to);
 
 	/**
-	 * States that the present process of an instance is gone for good: what may not move
-	 * while it might still be running moves now. Wrong use breaks sole ownership.
+	 * Declares that the current process of an instance has ended for good, so that ranges
+	 * that could not move while it might still be running move now. If the process is
+	 * still running, this breaks exclusive ownership.
 	 * @param instance the instance
-	 * @return a sentence, or why not
+	 * @return a sentence, or the reason of the refusal
 	 */
 	CompletableFuture<Either<Failure, String>> declareLost(InstanceId instance);
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/PeerLinks.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/PeerLinks.java
@@ -28,24 +28,25 @@
 import org.brasspier.wire.WireException;
 
 /**
- * The ways to the other daemons' control ports. A message goes over the connection that
- * opened last, whoever opened it; where there is none, one is opened. Messages may be
- * lost, as what sends them expects. Belongs to the thread of ownership.
+ * Connections to the control ports of other daemons. A message is sent over the most
+ * recently opened connection, whichever side opened it; if there is none, one is opened.
+ * Messages may be lost, which their senders expect. Not thread-safe; used in the
+ * ownership thread only.
  */
 final class PeerLinks {
 
 	/**
-	 * How long an answer may be missing before a connection is given up: two heartbeats.
-	 * Something between the ends may have lost track of it, and then it stays silent for
-	 * good while a new one works.
+	 * How long an answer may be overdue before its connection is closed: two heartbeats.
+	 * If a device on the path has lost the state of the connection, it stays silent
+	 * forever while a new one works.
 	 */
 	static final long SILENCE_TIMEOUT_NANOS = Duration.ofMillis(400).toNanos();
 
 	private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
 
-	private static final long REDIAL_NANOS = Duration.ofMillis(100).toNanos();
+	private static final long RECONNECT_INTERVAL_NANOS = Duration.ofMillis(100).toNanos();
 
-	/** What waits for a connection to open; older messages are stale by then. */
+	/** Limit of messages that wait for a connection; older ones are stale by then. */
 	private static final int MAX_WAITING = 16;
 
 	private final NioReactor reactor;
@@ -63,13 +64,13 @@
 	private final Map<InstanceId, Link> links = new HashMap<>();
 
 	/**
-	 * Creates links to nobody yet.
-	 * @param reactor the reactor of the thread of ownership
-	 * @param context what every duty needs
-	 * @param addresses where an instance's control port is
-	 * @param receiver takes messages
-	 * @param known the newest row that is known, for peers that take whole rows only
-	 * @param sentBytes told the size of each frame sent
+	 * Creates an object without connections.
+	 * @param reactor the reactor of the ownership thread
+	 * @param context the context shared by all duties
+	 * @param addresses finds the control port of an instance
+	 * @param receiver receives messages
+	 * @param known supplies the newest known row, for peers that accept only whole rows
+	 * @param sentBytes called with the size of each frame sent
 	 */
 	PeerLinks(NioReactor reactor, DaemonContext context, Function<InstanceId, Optional<InetSocketAddress>> addresses,
 			Receiver receiver, Supplier<VersionedRow> known, LongConsumer sentBytes) {
@@ -87,7 +88,7 @@
 
 	private void accept(ITcpSocket socket) {
 		PeerConnection.acceptor(socket, handshake(), ControlCodec.MAX_FRAME_BYTES)
-			.whenResult((opened) -> link(opened.peer().instance()).opened(opened))
+			.whenResult((opened) -> link(opened.peer().instance()).onOpened(opened))
 			.whenException((ex) -> this.context.events()
 				.record(EventKind.PEER_REFUSED, "control port", String.valueOf(ex.getMessage())));
 	}
@@ -110,19 +111,19 @@
 				|| message instanceof ControlMessage.Probe;
 	}
 
-	/** Gives up connections on which an answer has been missing for too long. */
+	/** Closes connections on which an answer is overdue. */
 	void closeSilent() {
-		this.links.values().forEach(Link::dropIfSilent);
+		this.links.values().forEach(Link::closeIfSilent);
 	}
 
 	/**
-	 * Takes messages.
+	 * Receives messages.
 	 */
 	interface Receiver {
 
 		/**
-		 * Takes one message.
-		 * @param from who sent it, as the handshake proved
+		 * Receives one message.
+		 * @param from the sender, as authenticated by the handshake
 		 * @param message the message
 		 */
 		void receive(InstanceId from, ControlMessage message);
@@ -130,7 +131,7 @@
 	}
 
 	/**
-	 * The way to one daemon.
+	 * The link to one daemon.
 	 */
 	private final class Link {
 
@@ -144,11 +145,11 @@
 
 		private Optional<PeerConnection.Opened> current = Optional.empty();
 
-		private boolean dialing;
+		private boolean connecting;
 
-		private long dialledAt = System.nanoTime() - REDIAL_NANOS;
+		private long lastConnectNanos = System.nanoTime() - RECONNECT_INTERVAL_NANOS;
 
-		private long unansweredSince;
+		private long unansweredSinceNanos;
 
 		private boolean unanswered;
 
@@ -161,7 +162,7 @@
 				write(message, this.current.get().peer().version());
 				if (expectsAnswer(message) && !this.unanswered) {
 					this.unanswered = true;
-					this.unansweredSince = System.nanoTime();
+					this.unansweredSinceNanos = System.nanoTime();
 				}
 				return;
 			}
@@ -169,12 +170,13 @@
 				this.waiting.removeFirst();
 			}
 			this.waiting.addLast(message);
-			dial();
+			connect();
 		}
 
-		// What one step of the state machine sends to one peer, a manager's beat with its
-		// answer and its heartbeat, leaves in one segment: the headers of each are more
-		// than a frame.
+		// Messages to one peer from one step of the state machine, such as a manager's
+		// beat,
+		// its answer and a heartbeat, are sent in one segment, because the headers of a
+		// segment are larger than a frame.
 		private void write(ControlMessage message, int version) {
 			EarlierVersion.of(message, version, PeerLinks.this.known.get())
 				.map((known) -> ControlCodec.encode(known, PeerLinks.this.context.events().stamp()))
@@ -197,29 +199,30 @@
 			this.current.ifPresent((open) -> open.connection().send(frames));
 		}
 
-		private void dial() {
+		private void connect() {
 			Optional<InetSocketAddress> address = PeerLinks.this.addresses.apply(this.peer);
-			if (this.dialing || address.isEmpty() || System.nanoTime() - this.dialledAt < REDIAL_NANOS) {
+			if (this.connecting || address.isEmpty()
+					|| System.nanoTime() - this.lastConnectNanos < RECONNECT_INTERVAL_NANOS) {
 				return;
 			}
-			this.dialing = true;
-			this.dialledAt = System.nanoTime();
+			this.connecting = true;
+			this.lastConnectNanos = System.nanoTime();
 			TcpSocket.connect(PeerLinks.this.reactor, address.get(), CONNECT_TIMEOUT, null)
 				.then((socket) -> PeerConnection.connector(socket, handshake(), ControlCodec.MAX_FRAME_BYTES))
-				.whenResult(this::dialled)
-				.whenComplete(() -> this.dialing = false);
+				.whenResult(this::onConnected)
+				.whenComplete(() -> this.connecting = false);
 		}
 
-		private void dialled(PeerConnection.Opened opened) {
+		private void onConnected(PeerConnection.Opened opened) {
 			if (opened.peer().instance().equals(this.peer)) {
-				opened(opened);
+				onOpened(opened);
 			}
 			else {
 				opened.connection().close(new WireException("%s answers for %s".formatted(opened.peer(), this.peer)));
 			}
 		}
 
-		void opened(PeerConnection.Opened opened) {
+		void onOpened(PeerConnection.Opened opened) {
 			PeerConnection connection = opened.connection();
 			PeerLinks.this.context.events()
 				.record(EventKind.PEER_CONNECTED, this.peer, "control, version " + opened.peer().version());
@@ -230,21 +233,21 @@
 				PeerLinks.this.context.events().receive(ControlCodec.stamp(frame));
 				PeerLinks.this.receiver.receive(this.peer, ControlCodec.decode(frame));
 			});
-			connection.closed().whenResult(() -> closed(connection));
+			connection.closed().whenResult(() -> onClosed(connection));
 			while (!this.waiting.isEmpty()) {
 				write(this.waiting.removeFirst(), opened.peer().version());
 			}
 		}
 
-		private void closed(PeerConnection connection) {
+		private void onClosed(PeerConnection connection) {
 			if (this.current.filter((open) -> open.connection() == connection).isPresent()) {
 				this.current = Optional.empty();
 				this.unanswered = false;
 			}
 		}
 
-		private void dropIfSilent() {
-			if (this.unanswered && System.nanoTime() - this.unansweredSince > SILENCE_TIMEOUT_NANOS) {
+		private void closeIfSilent() {
+			if (this.unanswered && System.nanoTime() - this.unansweredSinceNanos > SILENCE_TIMEOUT_NANOS) {
 				this.current.ifPresent(
 						(open) -> open.connection().close(new WireException("%s is silent".formatted(this.peer))));
 			}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/RequestsOrder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/RequestsOrder.java
@@ -3,16 +3,16 @@
 import org.brasspier.core.ownership.HeldRange;
 
 /**
- * What the thread of ownership asks of the thread of requests, through a ring. Immutable
- * and thread-safe.
+ * An order from the ownership thread to the request thread, sent through a ring.
+ * Immutable and thread-safe.
  */
 public sealed interface RequestsOrder {
 
 	/**
-	 * Stop admitting requests to a range, and report {@link RequestsReport.RangeDrained}
-	 * once nothing of it is in flight. The snapshot published before this order no longer
-	 * holds the range for new requests; those in flight are listed as draining. May come
-	 * twice, and then is answered twice.
+	 * Stops admitting requests to a range and reports {@link RequestsReport.RangeDrained}
+	 * once none of its requests is in flight. In the snapshot published before this
+	 * order, the range is no longer held for new requests but listed as draining for
+	 * those in flight. May be sent twice and is then answered twice.
 	 *
 	 * @param held the range with the fence it was held under
 	 */
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/RequestsReport.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/RequestsReport.java
@@ -8,16 +8,17 @@
 import org.brasspier.core.ownership.RangeLoad;
 
 /**
- * What the thread of requests tells the thread of ownership, through a ring. Immutable
- * and thread-safe.
+ * A report from the request thread to the ownership thread, sent through a ring.
+ * Immutable and thread-safe.
  */
 public sealed interface RequestsReport {
 
 	/**
-	 * Nothing of a range is in flight any more, nor will be under this fence.
+	 * No request of a range is in flight, and none will be admitted under this fence.
 	 *
 	 * @param held the range with the fence it was held under
-	 * @param marks the marks that go with it, the latest {@link CrashMark#MAX_PER_RANGE}
+	 * @param marks the crash marks of the range, the latest
+	 * {@link CrashMark#MAX_PER_RANGE}
 	 */
 	record RangeDrained(HeldRange held, List<CrashMark> marks) implements RequestsReport {
 
@@ -28,15 +29,16 @@
 	}
 
 	/**
-	 * The backend server beside this daemon, on each change and at least once a second.
+	 * The state of this instance's backend server, sent on each change and at least once
+	 * a second.
 	 *
 	 * @param service its service
-	 * @param state what may be done with it
-	 * @param address its IP number and port
-	 * @param slots how many requests it runs at once
+	 * @param state its state
+	 * @param address its IP address and port
+	 * @param slots how many requests it runs concurrently
 	 * @param connections how many connections it accepts
 	 * @param checksFences whether it refuses orders under an old fence
-	 * @param coldStartMillis how long it takes to be warm, in milliseconds
+	 * @param coldStartMillis its warm-up time, in milliseconds
 	 */
 	record BackendStatus(ServiceName service, BackendState state, String address, int slots, int connections,
 			boolean checksFences, int coldStartMillis) implements RequestsReport {
@@ -44,10 +46,10 @@
 	}
 
 	/**
-	 * The load of the ranges held, about once a second.
+	 * The load of the held ranges, sent about once a second.
 	 *
 	 * @param service the service
-	 * @param loads one entry for each range held
+	 * @param loads one entry for each held range
 	 */
 	record RangeLoads(ServiceName service, List<RangeLoad> loads) implements RequestsReport {
 
@@ -58,20 +60,22 @@
 	}
 
 	/**
-	 * What may be done with a backend server.
+	 * The state of a backend server.
 	 */
 	enum BackendState {
 
-		/** It has announced itself but can't serve yet. */
+		/** It has announced itself but can't serve requests yet. */
 		STARTING,
 
 		/** It may own ranges. */
 		READY,
 
-		/** It wants to stop: what it owns must go. */
+		/** It is about to stop: its ranges must move to other instances. */
 		DRAINING,
 
-		/** It is gone: its port refuses, or its announcements have stopped. */
+		/**
+		 * It is lost: its port refuses connections, or its announcements have stopped.
+		 */
 		LOST
 
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/RowStore.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/RowStore.java
@@ -14,9 +14,9 @@
 import org.brasspier.wire.CellRowCodec;
 
 /**
- * Reads and writes the cell's row. A row that can't be trusted is reported as not read,
- * and so never overwritten, since each write names a version that was read whole. Belongs
- * to the thread of ownership.
+ * Reads and writes the cell's row. An invalid row is reported as not read. It is
+ * therefore never overwritten, because each write names a version that was read and
+ * decoded completely. Not thread-safe; used in the ownership thread only.
  */
 final class RowStore {
 
@@ -29,10 +29,10 @@
 	private boolean reachable = true;
 
 	/**
-	 * Creates the way to a row.
+	 * Creates a store for a row.
 	 * @param table the table
 	 * @param key the row's key
-	 * @param events the time line
+	 * @param events the event log
 	 */
 	RowStore(TableService table, String key, EventLog events) {
 		this.table = table;
@@ -41,24 +41,25 @@
 	}
 
 	/**
-	 * Reads the row. Most reads only show that the table is reached and has the row that
-	 * is known: some 10 KB of a full cell, which then stay where they are.
-	 * @param known the row that is known
-	 * @param done told the row, or empty if it can't be read or trusted
+	 * Reads the row. Most reads only confirm that the table is reachable and the known
+	 * row is current; then the row, about 10 KB for a full cell, is not transferred.
+	 * @param known the newest known row
+	 * @param done called with the row, or empty if it can't be read or is invalid
 	 */
 	void read(VersionedRow known, Consumer<Optional<VersionedRow>> done) {
-		Promise<Optional<VersionedRow>> row = (known.version() == 0) ? this.table.read(this.key).map(this::found)
+		Promise<Optional<VersionedRow>> row = (known.version() == 0)
+				? this.table.read(this.key).map(this::toVersionedRow)
 				: this.table.readUnless(this.key, known.version()).map((result) -> switch (result) {
 					case TableService.ReadResult.Unchanged unchanged -> Optional.of(known);
-					case TableService.ReadResult.Found(Optional<TableService.Row> now) -> found(now);
+					case TableService.ReadResult.Found(Optional<TableService.Row> now) -> toVersionedRow(now);
 				});
-		row.whenResult(done::accept).whenResult(() -> reached(true, "")).whenException((ex) -> {
-			reached(false, String.valueOf(ex.getMessage()));
+		row.whenResult(done::accept).whenResult(() -> updateReachable(true, "")).whenException((ex) -> {
+			updateReachable(false, String.valueOf(ex.getMessage()));
 			done.accept(Optional.empty());
 		});
 	}
 
-	private Optional<VersionedRow> found(Optional<TableService.Row> row) {
+	private Optional<VersionedRow> toVersionedRow(Optional<TableService.Row> row) {
 		return row.map(this::decode).orElse(Optional.of(VersionedRow.NONE));
 	}
 
@@ -73,10 +74,10 @@
 
 	void write(long expectedVersion, CellRow row, Consumer<Outcome> done) {
 		this.table.write(this.key, expectedVersion, CellRowCodec.encode(row)).whenResult((result) -> {
-			reached(!(result instanceof TableService.WriteResult.Unknown), String.valueOf(result));
+			updateReachable(!(result instanceof TableService.WriteResult.Unknown), String.valueOf(result));
 			done.accept(outcome(result));
 		}).whenException((ex) -> {
-			reached(false, String.valueOf(ex.getMessage()));
+			updateReachable(false, String.valueOf(ex.getMessage()));
 			done.accept(new Outcome.Failed());
 		});
 	}
@@ -89,7 +90,7 @@
 		};
 	}
 
-	private void reached(boolean now, String detail) {
+	private void updateReachable(boolean now, String detail) {
 		if (now != this.reachable) {
 			this.reachable = now;
 			this.events.record((now) ? EventKind.STORE_REACHED : EventKind.STORE_LOST, this.key, detail);
@@ -97,7 +98,7 @@
 	}
 
 	/**
-	 * What became of a write.
+	 * The outcome of a write.
 	 */
 	sealed interface Outcome {
 
@@ -115,7 +116,7 @@
 
 		}
 
-		/** It may have taken effect, or may yet. */
+		/** It may have taken effect, or may still do so. */
 		record Unknown() implements Outcome {
 
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/SnapshotBuilder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/SnapshotBuilder.java
@@ -24,9 +24,10 @@
 import org.brasspier.daemon.internal.settings.Settings.PeerPorts;
 
 /**
- * Makes what other threads see out of what this process holds and knows. The tables are
- * built anew only for a new version of the row: a renewed lease, several times a second,
- * only changes one number. Belongs to the thread of ownership.
+ * Builds the snapshots and views that other threads read from the ownership state. Tables
+ * are rebuilt only if the version of the row or the set of held or draining ranges
+ * changes; a lease renewal, several times a second, changes only one number. Not
+ * thread-safe; used in the ownership thread only.
  */
 final class SnapshotBuilder {
 
@@ -51,8 +52,8 @@
 	private List<MarkedRange> marked = List.of();
 
 	/**
-	 * Creates a publisher.
-	 * @param peerPorts peers that are reached another way than they advertise
+	 * Creates a builder.
+	 * @param peerPorts overrides the advertised addresses of some peers
 	 * @param clock the clock of the state machine
 	 */
 	SnapshotBuilder(Map<InstanceId, PeerPorts> peerPorts, StateMachineClock clock) {
@@ -85,15 +86,15 @@
 
 	private PeerAddress address(MemberInfo member) {
 		PeerAddress advertised = member.address();
-		PeerPorts other = this.peerPorts.get(member.instance());
-		return (other != null) ? new PeerAddress(other.host(), other.control(), other.forward(),
+		PeerPorts override = this.peerPorts.get(member.instance());
+		return (override != null) ? new PeerAddress(override.host(), override.control(), override.forward(),
 				advertised.callerPort(), advertised.operatorPort()) : advertised;
 	}
 
-	private RouteTable table(CellRow row, Predicate<RangeState> wanted) {
+	private RouteTable table(CellRow row, Predicate<RangeState> filter) {
 		Map<ServiceName, List<Assignment>> assignments = row.ranges()
 			.stream()
-			.filter((range) -> range.owner().isPresent() && wanted.test(range))
+			.filter((range) -> range.owner().isPresent() && filter.test(range))
 			.collect(Collectors.groupingBy(RangeState::service,
 					Collectors.mapping(
 							(range) -> new Assignment(range.range(), range.owner().orElseThrow(), range.fence()),
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/StateMachineClock.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/StateMachineClock.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The clock of the state machine: milliseconds since this process created it, on the
- * monotonic clock. Rounds down, so that what was sent counts as sent early and a lease as
+ * The clock of the ownership state machine: milliseconds of the steady clock since this
+ * object was created. Rounds down, so that messages count as sent early and leases as
  * ended early. Immutable and thread-safe.
  */
 final class StateMachineClock {
@@ -16,8 +16,9 @@
 	}
 
 	/**
-	 * When a time on this clock is, as {@link System#nanoTime()} counts.
-	 * @param millis the time; before the start of this clock if it has long passed
+	 * Converts a time of this clock to the clock of {@link System#nanoTime()}.
+	 * @param millis the time; any time before the start of this clock gives 1 ms before
+	 * the start
 	 * @return the time in nanoseconds
 	 */
 	long nanosAt(long millis) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/package-info.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Keeping this instance's lease and managing the leases of others.
+ * Renewal of this instance's lease, and management of the leases of other instances.
  */
 @NullMarked
 package org.brasspier.daemon.internal.ownership;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/peer/PeerConnection.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/peer/PeerConnection.java
@@ -14,15 +14,15 @@
 import org.brasspier.wire.WireException;
 
 /**
- * One connection between two daemons: handshake, then frames both ways. Belongs to the
- * thread of its socket.
+ * A connection between two daemons: a handshake, then frames in both directions. Not
+ * thread-safe; used in the thread of its socket only.
  */
 public final class PeerConnection {
 
-	/** What one piece of a large frame carries at most. */
+	/** Maximum size of one piece of a large frame. */
 	private static final int PIECE_BYTES = 16 << 10;
 
-	/** The largest frame before the handshake is over: nobody unproven may send much. */
+	/** Maximum frame size during the handshake, while the peer is not authenticated. */
 	private static final int MAX_HANDSHAKE_BYTES = 1024;
 
 	private final ITcpSocket socket;
@@ -33,7 +33,7 @@
 
 	private final SettablePromise<Exception> closed = new SettablePromise<>();
 
-	/** What waits to be sent in pieces, in order. */
+	/** Large frames that wait to be sent, in order. */
 	private final Deque<FramePieces> pieces = new ArrayDeque<>();
 
 	private LargeFrameMode largeFrames = LargeFrameMode.WHOLE;
@@ -45,7 +45,7 @@
 	private long receivedNanos = System.nanoTime();
 
 	private FrameHandler handler = (frame) -> {
-		throw new WireException("a frame came before the handshake was over");
+		throw new WireException("received a frame before the end of the handshake");
 	};
 
 	private PeerConnection(ITcpSocket socket, int maxFrameBytes) {
@@ -54,7 +54,7 @@
 	}
 
 	/**
-	 * Opens the connector's side.
+	 * Performs the handshake on the connecting side.
 	 * @param socket the connected socket
 	 * @param handshake a new handshake
 	 * @param maxFrameBytes the largest frame accepted afterwards
@@ -67,12 +67,12 @@
 			connection.send(handshake.answer(challenge));
 			connection.handler = (reply) -> connection.open(opened, handshake.confirm(reply));
 		};
-		connection.begin(opened);
+		connection.start(opened);
 		return opened;
 	}
 
 	/**
-	 * Opens the acceptor's side.
+	 * Performs the handshake on the accepting side.
 	 * @param socket the accepted socket
 	 * @param handshake a new handshake
 	 * @param maxFrameBytes the largest frame accepted afterwards
@@ -86,17 +86,17 @@
 			connection.send(accepted.reply());
 			connection.open(opened, accepted.peer());
 		};
-		connection.begin(opened);
+		connection.start(opened);
 		connection.send(handshake.challenge());
 		return opened;
 	}
 
 	/**
-	 * Opens a connection on which neither side proves who it is. For deployments whose
-	 * settings carry no shared secret and whose network keeps others out.
+	 * Opens a connection without authentication, for deployments whose settings contain
+	 * no shared secret and whose network keeps others out.
 	 * @param socket the connected socket
 	 * @param maxFrameBytes the largest frame accepted
-	 * @param handler takes the frames
+	 * @param handler receives the frames
 	 * @return the connection
 	 */
 	public static PeerConnection unauthenticated(ITcpSocket socket, int maxFrameBytes, FrameHandler handler) {
@@ -107,7 +107,7 @@
 		return connection;
 	}
 
-	private void begin(SettablePromise<Opened> opened) {
+	private void start(SettablePromise<Opened> opened) {
 		this.closed.whenResult((reason) -> opened.trySetException(reason));
 		read();
 	}
@@ -126,12 +126,12 @@
 				close(new PeerClosedException());
 			}
 			else {
-				take(buf.asArray());
+				onBytes(buf.asArray());
 			}
 		});
 	}
 
-	private void take(byte[] bytes) {
+	private void onBytes(byte[] bytes) {
 		this.receivedNanos = System.nanoTime();
 		try {
 			for (FrameReader frame : this.decoder.accept(bytes)) {
@@ -147,16 +147,17 @@
 	}
 
 	/**
-	 * Sets who receives frames from now on.
-	 * @param frameHandler called for each whole frame
+	 * Sets the receiver of subsequent frames.
+	 * @param frameHandler called for each complete frame
 	 */
 	public void onFrame(FrameHandler frameHandler) {
 		this.handler = frameHandler;
 	}
 
 	/**
-	 * Sends a frame. It goes before large frames that are still being sent in pieces.
-	 * @param frame the whole frame, length included
+	 * Sends a frame. A small frame overtakes large frames that are still being sent in
+	 * pieces.
+	 * @param frame the complete frame including its length
 	 */
 	public void send(byte[] frame) {
 		if (frame.length > PIECE_BYTES) {
@@ -168,8 +169,8 @@
 	}
 
 	/**
-	 * Sends a frame after all large ones that were sent before.
-	 * @param frame the whole frame, length included
+	 * Sends a frame after all large frames that were sent before.
+	 * @param frame the complete frame including its length
 	 */
 	public void sendInOrder(byte[] frame) {
 		boolean direct = this.largeFrames == LargeFrameMode.WHOLE
@@ -185,11 +186,11 @@
 	}
 
 	/**
-	 * Says how large frames are sent from now on.
-	 * @param way how; those that waited for this go on
+	 * Sets how large frames are sent from now on, and sends those that are waiting.
+	 * @param mode the mode
 	 */
-	public void setLargeFrameMode(LargeFrameMode way) {
-		this.largeFrames = way;
+	public void setLargeFrameMode(LargeFrameMode mode) {
+		this.largeFrames = mode;
 		sendPieces();
 	}
 
@@ -201,8 +202,8 @@
 		write(frame).whenComplete(() -> this.unsentBytes -= frame.length);
 	}
 
-	// A piece is handed over once the one before has left this process, so that whatever
-	// is sent meanwhile waits for one piece at most.
+	// A piece is written only after the previous one has left this process, so that other
+	// frames wait for at most one piece.
 	private void sendPieces() {
 		while (!this.sendingPieces && !this.pieces.isEmpty() && this.largeFrames != LargeFrameMode.WAIT) {
 			FramePieces first = this.pieces.getFirst();
@@ -227,7 +228,8 @@
 	}
 
 	/**
-	 * How much waits to be sent, as where the peer reads slowly or not at all.
+	 * Returns the amount of unsent data, which grows if the peer reads slowly or not at
+	 * all.
 	 * @return bytes, at least 0
 	 */
 	public long unsentBytes() {
@@ -235,16 +237,16 @@
 	}
 
 	/**
-	 * When bytes last came, whether they made a frame whole or not.
-	 * @return the time by the steady clock, in nanoseconds; when the connection was
-	 * opened if none came yet
+	 * Returns when bytes were last received, whether or not they completed a frame.
+	 * @return the time in nanoseconds of the steady clock; the time when the connection
+	 * was opened if no bytes were received yet
 	 */
 	public long receivedNanos() {
 		return this.receivedNanos;
 	}
 
 	/**
-	 * How much of a frame that is not whole yet has come.
+	 * Returns how much of an incomplete frame has been received.
 	 * @return bytes, at least 0
 	 */
 	public int pendingBytes() {
@@ -252,9 +254,9 @@
 	}
 
 	/**
-	 * Whether a connection ended because the peer closed it in an orderly way.
-	 * @param reason what {@link #closed()} told
-	 * @return true if so
+	 * Returns whether a connection ended because the peer closed it in an orderly way.
+	 * @param reason the result of {@link #closed()}
+	 * @return true if the peer closed it
 	 */
 	public static boolean isClosedByPeer(Exception reason) {
 		return reason instanceof PeerClosedException;
@@ -262,7 +264,7 @@
 
 	/**
 	 * Closes the connection.
-	 * @param reason told to {@link #closed()}
+	 * @param reason the result of {@link #closed()}
 	 */
 	public void close(Exception reason) {
 		this.socket.closeEx(reason);
@@ -288,15 +290,15 @@
 	}
 
 	/**
-	 * How frames are sent that take long on a narrow network.
+	 * How large frames are sent, which take long on a low-bandwidth network.
 	 */
 	public enum LargeFrameMode {
 
-		/** As they are; the peer knows nothing else. */
+		/** Unsplit: the peer does not support pieces. */
 		WHOLE,
-		/** Not before it is known which way the peer takes them. */
+		/** Held back until it is known whether the peer supports pieces. */
 		WAIT,
-		/** In pieces, and other frames between them. */
+		/** In pieces, with other frames in between. */
 		IN_PIECES
 
 	}
@@ -307,19 +309,19 @@
 	public interface FrameHandler {
 
 		/**
-		 * Takes one frame.
+		 * Handles one frame.
 		 * @param frame the frame
-		 * @throws WireException if it makes no sense; the connection is then closed
+		 * @throws WireException if the frame is invalid; the connection is then closed
 		 */
 		void handle(FrameReader frame) throws WireException;
 
 	}
 
 	/**
-	 * A connection whose handshake is over.
+	 * A connection with a completed handshake.
 	 *
 	 * @param connection the connection
-	 * @param peer who is at the other end
+	 * @param peer the peer at the other end
 	 */
 	public record Opened(PeerConnection connection, Handshake.Peer peer) {
 
