--- a/core/src/main/java/org/brasspier/core/keys/GrantTracker.java
+++ b/core/src/main/java/org/brasspier/core/keys/GrantTracker.java
@@ -216,7 +216,7 @@
 	 * @return true if the server holds it under that fence
 	 */
 	public boolean usable(int key, KeyHolding holding, BackendIncarnation life, long now) {
-		boolean own = holding.owner().equals(this.self) && holding.incarnation().equals(life);
+		boolean own = holding.holder().equals(this.self) && holding.incarnation().equals(life);
 		return own && this.granted.entrySet()
 			.stream()
 			.filter((entry) -> entry.getKey().contains(key))
--- a/core/src/main/java/org/brasspier/core/keys/KeyHolding.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyHolding.java
@@ -9,7 +9,7 @@
  * Who holds a span of keys. Immutable and thread-safe.
  *
  * @param span the keys
- * @param owner the instance whose backend server holds them
+ * @param holder the instance whose backend server holds them
  * @param incarnation the life of that backend server
  * @param fence the fence under which it holds them; each change of holder has a higher
  * one
@@ -17,16 +17,16 @@
  * are warm; empty if it didn't
  * @param nextHolder the instance that is to have them next; empty if they stay
  */
-public record KeyHolding(KeySpan span, InstanceId owner, BackendIncarnation incarnation, Fence fence, String handover,
+public record KeyHolding(KeySpan span, InstanceId holder, BackendIncarnation incarnation, Fence fence, String handover,
 		Optional<InstanceId> nextHolder) {
 
 	KeyHolding withNextHolder(InstanceId wantedOwner) {
-		return new KeyHolding(this.span, this.owner, this.incarnation, this.fence, this.handover,
+		return new KeyHolding(this.span, this.holder, this.incarnation, this.fence, this.handover,
 				Optional.of(wantedOwner));
 	}
 
 	KeyHolding withSpan(KeySpan part) {
-		return new KeyHolding(part, this.owner, this.incarnation, this.fence, this.handover, this.nextHolder);
+		return new KeyHolding(part, this.holder, this.incarnation, this.fence, this.handover, this.nextHolder);
 	}
 
 	boolean canMergeWith(KeyHolding other) {
@@ -34,7 +34,7 @@
 	}
 
 	KeyHolding withoutNextHolder() {
-		return new KeyHolding(this.span, this.owner, this.incarnation, this.fence, this.handover, Optional.empty());
+		return new KeyHolding(this.span, this.holder, this.incarnation, this.fence, this.handover, Optional.empty());
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/keys/KeyMap.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyMap.java
@@ -141,7 +141,7 @@
 	 * @return its holdings, by key
 	 */
 	public List<KeyHolding> heldBy(InstanceId owner) {
-		return this.holdings.stream().filter((held) -> held.owner().equals(owner)).toList();
+		return this.holdings.stream().filter((held) -> held.holder().equals(owner)).toList();
 	}
 
 	/**
@@ -153,7 +153,7 @@
 		Set<KeyHolding> known = before.map(KeyMap::holdings).<Set<KeyHolding>>map(HashSet::new).orElseGet(Set::of);
 		return this.holdings.stream()
 			.filter((held) -> !known.contains(held))
-			.flatMap((held) -> Stream.concat(Stream.of(held.owner()), held.nextHolder().stream()))
+			.flatMap((held) -> Stream.concat(Stream.of(held.holder()), held.nextHolder().stream()))
 			.collect(Collectors.toSet());
 	}
 
@@ -223,7 +223,7 @@
 	public KeyMap withNextHolders(Function<KeyHolding, Optional<InstanceId>> wanted) {
 		return new KeyMap(this.holdings.stream()
 			.map((held) -> wanted.apply(held)
-				.map((next) -> next.equals(held.owner()) ? held.withoutNextHolder() : held.withNextHolder(next))
+				.map((next) -> next.equals(held.holder()) ? held.withoutNextHolder() : held.withNextHolder(next))
 				.orElse(held))
 			.toList(), this.nextFence);
 	}
--- a/core/src/main/java/org/brasspier/core/keys/KeyPlanner.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyPlanner.java
@@ -30,12 +30,12 @@
 	 * @return the new map; empty if nothing changes
 	 */
 	public static Optional<KeyMap> reassignLost(KeyMap map, Set<InstanceId> lost, List<KeyHolder> holders) {
-		boolean none = map.holdings().stream().noneMatch((held) -> lost.contains(held.owner()));
+		boolean none = map.holdings().stream().noneMatch((held) -> lost.contains(held.holder()));
 		if (none || holders.isEmpty()) {
 			return Optional.empty();
 		}
 		KeyAllocator dealer = new KeyAllocator(map, holders);
-		return Optional.of(map.reassigned((held) -> lost.contains(held.owner()), (held) -> dealer.least(held.span()),
+		return Optional.of(map.reassigned((held) -> lost.contains(held.holder()), (held) -> dealer.least(held.span()),
 				(held) -> ""));
 	}
 
@@ -53,7 +53,7 @@
 			return Optional.empty();
 		}
 		return Optional.of(map.reassigned(
-				(held) -> held.owner().equals(holder.instance()) && !held.incarnation().equals(holder.incarnation()),
+				(held) -> held.holder().equals(holder.instance()) && !held.incarnation().equals(holder.incarnation()),
 				(held) -> holder, (held) -> ""));
 	}
 
@@ -86,13 +86,13 @@
 			List<KeyHolder> holders) {
 		Set<InstanceId> able = new HashSet<>(holders.stream().map(KeyHolder::instance).toList());
 		Predicate<KeyHolding> stays = (held) -> !whose.test(held)
-				|| held.nextHolder().map(able::contains).orElse(!leaving.contains(held.owner()));
+				|| held.nextHolder().map(able::contains).orElse(!leaving.contains(held.holder()));
 		if (holders.isEmpty() || map.holdings().stream().allMatch(stays)) {
 			return Optional.empty();
 		}
 		KeyAllocator dealer = new KeyAllocator(map, holders);
 		KeyMap planned = map.withNextHolders((held) -> stays.test(held) ? Optional.empty()
-				: Optional.of(able.contains(held.owner()) ? held.owner() : dealer.least(held.span()).instance()));
+				: Optional.of(able.contains(held.holder()) ? held.holder() : dealer.least(held.span()).instance()));
 		return changed(map, planned);
 	}
 
@@ -124,11 +124,11 @@
 	private static void fillUp(KeyMap map, KeyAllocator dealer, InstanceId poor, double even,
 			Map<KeySpan, InstanceId> moves) {
 		List<KeyHolding> movable = new ArrayList<>(map.holdings());
-		movable.removeIf((held) -> held.nextHolder().isPresent() || held.owner().equals(poor));
+		movable.removeIf((held) -> held.nextHolder().isPresent() || held.holder().equals(poor));
 		while (dealer.keys(poor) < even) {
 			Optional<KeyHolding> next = movable.stream()
-				.filter((held) -> dealer.keys(held.owner()) - held.span().size() >= dealer.keys(poor))
-				.max(Comparator.comparingInt((held) -> dealer.keys(held.owner())));
+				.filter((held) -> dealer.keys(held.holder()) - held.span().size() >= dealer.keys(poor))
+				.max(Comparator.comparingInt((held) -> dealer.keys(held.holder())));
 			if (next.isEmpty()) {
 				return;
 			}
@@ -155,7 +155,7 @@
 			this.holders = holders;
 			holders.forEach((holder) -> this.keys.put(holder.instance(), 0));
 			map.holdings()
-				.forEach((held) -> this.keys.computeIfPresent(held.nextHolder().orElse(held.owner()),
+				.forEach((held) -> this.keys.computeIfPresent(held.nextHolder().orElse(held.holder()),
 						(key, had) -> had + held.span().size()));
 		}
 
@@ -177,7 +177,7 @@
 		}
 
 		void move(KeyHolding held, InstanceId to) {
-			this.keys.computeIfPresent(held.owner(), (key, had) -> had - held.span().size());
+			this.keys.computeIfPresent(held.holder(), (key, had) -> had - held.span().size());
 			this.keys.merge(to, held.span().size(), Integer::sum);
 		}
 
--- a/core/src/test/java/org/brasspier/core/keys/GrantModel.java
+++ b/core/src/test/java/org/brasspier/core/keys/GrantModel.java
@@ -109,7 +109,7 @@
 		after(millis(50, 600), this::planMove);
 		KeyHolding held = this.map.holdings().get(this.random.nextInt(this.map.holdings().size()));
 		InstanceId to = this.instances.get(this.random.nextInt(INSTANCES)).id;
-		if (held.nextHolder().isEmpty() && !held.owner().equals(to)) {
+		if (held.nextHolder().isEmpty() && !held.holder().equals(to)) {
 			this.map = this.map.withPlannedMoves(Map.of(held.span(), to));
 		}
 	}
--- a/core/src/test/java/org/brasspier/core/keys/KeyMapTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/KeyMapTests.java
@@ -34,7 +34,7 @@
 	@Test
 	void whatMovesGetsAFenceThatWasNeverGivenOut() {
 		long next = this.map.nextFence();
-		KeyMap moved = this.map.reassigned((held) -> held.owner().equals(A), (held) -> holder(B), (held) -> "");
+		KeyMap moved = this.map.reassigned((held) -> held.holder().equals(A), (held) -> holder(B), (held) -> "");
 		assertThat(moved.heldBy(A)).isEmpty();
 		assertThat(moved.heldBy(B).stream().filter((held) -> held.fence().value() == next).count())
 			.isEqualTo(this.map.heldBy(A).size());
@@ -55,7 +55,7 @@
 	void joiningUndoesACutThatIsNoLongerNeeded() {
 		KeyMap carved = this.map.withPlannedMoves(Map.of(new KeySpan(100, 199), B));
 		KeyMap back = carved
-			.withNextHolders((held) -> held.nextHolder().isPresent() ? Optional.of(held.owner()) : Optional.empty());
+			.withNextHolders((held) -> held.nextHolder().isPresent() ? Optional.of(held.holder()) : Optional.empty());
 		assertThat(back.merged().holdings()).isEqualTo(this.map.holdings());
 	}
 
@@ -86,7 +86,7 @@
 	@Test
 	void keysThatWereToGoToSomebodyWhoIsLostGoElsewhere() {
 		KeyMap towardsA = this.map
-			.withNextHolders((held) -> held.owner().equals(B) ? Optional.of(A) : Optional.empty());
+			.withNextHolders((held) -> held.holder().equals(B) ? Optional.of(A) : Optional.empty());
 		KeyMap after = KeyPlanner.reassignLeaving(towardsA, Set.of(), holders(B, C)).orElseThrow();
 		assertThat(after.heldBy(B).stream().anyMatch((held) -> held.nextHolder().equals(Optional.of(A)))).isFalse();
 	}
--- a/core/src/test/java/org/brasspier/core/keys/KeyRebalancerLoadTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/KeyRebalancerLoadTests.java
@@ -59,7 +59,7 @@
 		List<Integer> next = new ArrayList<>();
 		for (int coded : coming) {
 			int key = coded / (RETURNS + 1);
-			InstanceId owner = this.map.holding(key).owner();
+			InstanceId owner = this.map.holding(key).holder();
 			meter(owner).recordRequest(key);
 			if (served.merge(owner, 1, Integer::sum) <= CAPACITY[ALL.indexOf(owner)]) {
 				continue;
--- a/core/src/test/java/org/brasspier/core/keys/KeyRebalancerTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/KeyRebalancerTests.java
@@ -34,7 +34,7 @@
 	private void second(int[] keys) {
 		this.now += millis(1000);
 		for (int key : keys) {
-			meter(this.map.holding(key).owner()).recordRequest(key);
+			meter(this.map.holding(key).holder()).recordRequest(key);
 		}
 		ALL.forEach((instance) -> meter(instance).updateRates(this.now));
 	}
@@ -60,7 +60,7 @@
 	private double worstShare(int[] keys) {
 		return ALL.stream()
 			.mapToDouble((instance) -> IntStream.of(keys)
-				.filter((key) -> this.map.holding(key).owner().equals(instance))
+				.filter((key) -> this.map.holding(key).holder().equals(instance))
 				.count() / CAPACITY.get(instance))
 			.max()
 			.orElseThrow();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Dispatcher.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Dispatcher.java
@@ -226,7 +226,7 @@
 
 		private Optional<Member> holder(long now) {
 			Optional<KeyMap> map = Dispatcher.this.directory.keys(this.service);
-			return map.map((known) -> known.holding(this.request.key().getAsInt()).owner())
+			return map.map((known) -> known.holding(this.request.key().getAsInt()).holder())
 				.flatMap(Dispatcher.this.directory::member)
 				.filter((member) -> !Dispatcher.this.hops.unreachable(member.instance(), now));
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyOwnership.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyOwnership.java
@@ -220,7 +220,7 @@
 		Stream<InstanceId> owners = this.directory.keys(this.service)
 			.stream()
 			.flatMap((map) -> map.holdings().stream())
-			.map(KeyHolding::owner);
+			.map(KeyHolding::holder);
 		Stream<InstanceId> unlisted = this.directory.serving(this.service)
 			.stream()
 			.map(Member::instance)
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyPlanning.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyPlanning.java
@@ -159,7 +159,7 @@
 			this.writer.write(handedOver.get(), "handed over");
 			return true;
 		}
-		Optional<KeyMap> retargeted = KeyPlanner.retarget(map, (held) -> held.owner().equals(this.self), holders);
+		Optional<KeyMap> retargeted = KeyPlanner.retarget(map, (held) -> held.holder().equals(this.self), holders);
 		if (retargeted.isPresent()) {
 			this.writer.write(retargeted.get(), "other targets");
 			return true;
@@ -203,7 +203,7 @@
 		Map<InstanceId, Long> lost = new HashMap<>();
 		map.holdings()
 			.stream()
-			.map(KeyHolding::owner)
+			.map(KeyHolding::holder)
 			.distinct()
 			.filter((owner) -> !owner.equals(this.self))
 			.forEach((owner) -> endedAt(owner, now).ifPresent((version) -> lost.put(owner, version)));
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/StoredRows.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/StoredRows.java
@@ -92,7 +92,7 @@
 	static byte[] keys(KeyMap map, boolean earlierBuilds) {
 		List<KeyHolder> holders = map.holdings()
 			.stream()
-			.map((held) -> new KeyHolder(held.owner(), held.incarnation()))
+			.map((held) -> new KeyHolder(held.holder(), held.incarnation()))
 			.distinct()
 			.toList();
 		List<HolderRow> holderRows = holders.stream()
@@ -100,7 +100,7 @@
 					holder.incarnation().startedMillis()))
 			.toList();
 		List<Object> spans = map.holdings().stream().map((held) -> {
-			int holder = holders.indexOf(new KeyHolder(held.owner(), held.incarnation()));
+			int holder = holders.indexOf(new KeyHolder(held.holder(), held.incarnation()));
 			return earlierBuilds ? earlierSpan(held, holder) : span(held, holder);
 		}).toList();
 		return bytes(new KeysRow(map.nextFence(), holderRows, spans));
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/StoredRowsTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/StoredRowsTests.java
@@ -87,7 +87,7 @@
 				"spans":[{"from":0,"to":99,"holder":0,"fence":3,"handover":"token","next":"a"},
 				{"from":100,"to":65535,"holder":1,"fence":8}]}""";
 		KeyMap read = StoredRows.keys(row.getBytes(StandardCharsets.UTF_8)).get();
-		assertThat(read.holding(99).owner()).isEqualTo(new InstanceId("b"));
+		assertThat(read.holding(99).holder()).isEqualTo(new InstanceId("b"));
 		assertThat(read.holding(99).nextHolder()).isEqualTo(Optional.of(new InstanceId("a")));
 		assertThat(read.holding(100).fence()).isEqualTo(new Fence(8));
 		assertThat(new String(StoredRows.keys(read, true), StandardCharsets.UTF_8)).isEqualTo(row.replace("\n", ""));
