--- a/core/src/main/java/org/brasspier/core/keys/BackendIncarnation.java
+++ b/core/src/main/java/org/brasspier/core/keys/BackendIncarnation.java
@@ -3,13 +3,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One life of a backend server, from a start to its end. A server may start again under
- * the id it had and then knows nothing of before, so the id alone doesn't tell two lives
- * apart. Immutable and thread-safe.
+ * One incarnation of a backend server, from its start to its end. A server may restart
+ * under the same id without any state of the previous run, so the id alone doesn't
+ * identify an incarnation. Immutable and thread-safe.
  *
  * @param id the backend server's id
- * @param startedMillis when it started, in milliseconds of its own time of day; 0 if it
- * doesn't say
+ * @param startedMillis the start time, in milliseconds by the server's own wall clock; 0
+ * if it is not reported
  */
 public record BackendIncarnation(String id, long startedMillis) {
 
@@ -28,8 +28,8 @@
 		return this.id + "@" + this.startedMillis;
 	}
 
-	// Written out: generated ones go through method handles, which take milliseconds to
-	// set up in a process that has just started.
+	// Written by hand: the generated methods use method handles, whose setup takes
+	// milliseconds in a process that has just started.
 	@Override
 	public boolean equals(@Nullable Object other) {
 		return other instanceof BackendIncarnation that && this.startedMillis == that.startedMillis
--- a/core/src/main/java/org/brasspier/core/keys/GrantAnswer.java
+++ b/core/src/main/java/org/brasspier/core/keys/GrantAnswer.java
@@ -4,11 +4,12 @@
 import java.util.List;
 
 /**
- * Everything that a backend server is to hold, and for how long from when it sent its
- * heartbeat. It releases all else. Immutable and thread-safe.
+ * Answer to a heartbeat: all keys that a backend server may hold, and for how long from
+ * the sending of the heartbeat. The server releases all other keys. Immutable and
+ * thread-safe.
  *
- * @param grants the keys
- * @param hold how long it may hold them
+ * @param grants the granted keys
+ * @param hold how long the server may hold them
  */
 public record GrantAnswer(List<KeyGrant> grants, Duration hold) {
 
--- a/core/src/main/java/org/brasspier/core/keys/GrantCall.java
+++ b/core/src/main/java/org/brasspier/core/keys/GrantCall.java
@@ -5,45 +5,45 @@
 import org.brasspier.core.Fence;
 
 /**
- * A call to a backend server about keys. Immutable and thread-safe.
+ * A call that grants keys to a backend server or ends a grant. Immutable and thread-safe.
  */
 public sealed interface GrantCall {
 
 	/**
-	 * The life of the backend server that it is meant for.
-	 * @return the life
+	 * Returns the incarnation of the backend server that the call addresses.
+	 * @return the incarnation
 	 */
 	BackendIncarnation incarnation();
 
 	/**
-	 * The keys.
+	 * Returns the keys.
 	 * @return the span
 	 */
 	KeySpan span();
 
 	/**
-	 * The fence under which the keys are held.
+	 * Returns the fence under which the keys are held.
 	 * @return the fence
 	 */
 	Fence fence();
 
 	/**
-	 * Grants keys, or renews their grant.
+	 * Grants keys or renews their grant.
 	 *
-	 * @param incarnation the life of the backend server that it is meant for
+	 * @param incarnation the incarnation of the backend server that the call addresses
 	 * @param span the keys
 	 * @param fence the fence
-	 * @param handover what the previous holder handed over; empty if nothing
-	 * @param hold how long the keys may be held from when the call arrives
+	 * @param handover the previous holder's handover; empty if there is none
+	 * @param hold how long the server may hold the keys from the arrival of the call
 	 */
 	record Grant(BackendIncarnation incarnation, KeySpan span, Fence fence, String handover,
 			Duration hold) implements GrantCall {
 	}
 
 	/**
-	 * Ends a grant. It is answered once no work on the keys is running any more.
+	 * Ends a grant. The server answers once no requests for the keys are running.
 	 *
-	 * @param incarnation the life of the backend server that it is meant for
+	 * @param incarnation the incarnation of the backend server that the call addresses
 	 * @param span the keys
 	 * @param fence the fence
 	 */
--- a/core/src/main/java/org/brasspier/core/keys/GrantCallScheduler.java
+++ b/core/src/main/java/org/brasspier/core/keys/GrantCallScheduler.java
@@ -10,31 +10,31 @@
 import java.util.Set;
 
 /**
- * Decides which grants and releases to send to the backend server beside this daemon, and
- * keeps its {@link GrantTracker} by what comes of them. All times are nanoseconds of a
- * clock that also runs while the machine is suspended. Not thread-safe.
+ * Decides which grants and releases to send to the local backend server and updates the
+ * {@link GrantTracker} with their outcomes. All times are nanoseconds of a clock that
+ * also runs while the machine is suspended. Not thread-safe.
  */
 public final class GrantCallScheduler {
 
 	/**
-	 * The longest time from when a hold is computed to when its call arrives: a
-	 * connection may have to be opened first.
+	 * The longest time from computing a hold to the arrival of its call, which may have
+	 * to open a connection first.
 	 */
-	private static final long ARRIVAL_NANOS = Duration.ofMillis(500).toNanos();
+	private static final long MAX_ARRIVAL_NANOS = Duration.ofMillis(500).toNanos();
 
-	/** A grant is renewed as soon as that makes it last so much longer. */
+	/** A grant is renewed once the renewal would extend it by this time. */
 	private static final long RENEWAL_GAIN_NANOS = Duration.ofMillis(1500).toNanos();
 
-	/** Until a call that failed is sent again. */
+	/** Delay before a failed call is retried. */
 	private static final long RETRY_NANOS = Duration.ofMillis(150).toNanos();
 
 	/**
-	 * Grants under way at once. Each has a connection of its own, and those count toward
-	 * what the backend server accepts.
+	 * The most grants in flight at once. Each uses a connection of its own, and these
+	 * count toward the backend server's connection limit.
 	 */
-	private static final int MOST_GRANTS = 8;
+	private static final int MAX_PENDING_GRANTS = 8;
 
-	private final GrantTracker book;
+	private final GrantTracker tracker;
 
 	private final Set<GrantCall> pending = new HashSet<>();
 
@@ -42,94 +42,96 @@
 
 	private final Set<KeySpan> superseded = new HashSet<>();
 
-	private boolean begun;
+	private boolean started;
 
 	/**
-	 * Creates the calls of a process that has sent none.
-	 * @param book what was granted
+	 * Creates a scheduler for a process that has sent no calls.
+	 * @param tracker the grants of this process
 	 */
-	public GrantCallScheduler(GrantTracker book) {
-		this.book = book;
+	public GrantCallScheduler(GrantTracker tracker) {
+		this.tracker = tracker;
 	}
 
 	/**
-	 * Says which calls to send now. Each of them must be followed by one of the other
-	 * methods once its outcome is known.
-	 * @param map who holds what
-	 * @param life the life of the backend server
-	 * @param leaseNanos how long this instance's lease goes on
-	 * @param now the time
+	 * Returns the calls to send now. The outcome of each must be reported by exactly one
+	 * of the {@code on} methods.
+	 * @param map the current key map
+	 * @param incarnation the incarnation of the backend server
+	 * @param leaseNanos remaining time of this instance's lease
+	 * @param now the current time, in nanoseconds
 	 * @return the calls, the most urgent first
 	 */
-	public List<GrantCall> dueCalls(KeyMap map, BackendIncarnation life, long leaseNanos, long now) {
-		if (!this.begun) {
-			this.begun = true;
-			this.book.recordPredecessorGrants();
+	public List<GrantCall> dueCalls(KeyMap map, BackendIncarnation incarnation, long leaseNanos, long now) {
+		if (!this.started) {
+			this.started = true;
+			this.tracker.recordPredecessorGrants();
 		}
-		List<KeyHolding> own = this.book.applyMap(map, life);
+		List<KeyHolding> own = this.tracker.applyMap(map, incarnation);
 		this.retryNanos.values().removeIf((until) -> until - now <= 0);
 		this.superseded.removeIf((span) -> own.stream().noneMatch((held) -> held.span().equals(span)));
 		List<GrantCall> calls = new ArrayList<>();
 		own.stream()
-			.filter((held) -> held.nextHolder().isPresent() && free(held.span()) && !this.book.wasReleased(held))
+			.filter((held) -> held.nextHolder().isPresent() && isIdle(held.span()) && !this.tracker.wasReleased(held))
 			.forEach((held) -> calls.add(release(held, now)));
-		long hold = this.book.holdNanos(leaseNanos - ARRIVAL_NANOS);
+		long hold = this.tracker.holdNanos(leaseNanos - MAX_ARRIVAL_NANOS);
 		if (hold > 0) {
-			long room = MOST_GRANTS - this.pending.stream().filter((call) -> call instanceof GrantCall.Grant).count();
+			long available = MAX_PENDING_GRANTS
+					- this.pending.stream().filter((call) -> call instanceof GrantCall.Grant).count();
 			own.stream()
-				.filter((held) -> held.nextHolder().isEmpty() && free(held.span()))
-				.filter((held) -> now + hold - this.book.usableUntilNanos(held, now) >= Math.min(hold,
+				.filter((held) -> held.nextHolder().isEmpty() && isIdle(held.span()))
+				.filter((held) -> now + hold - this.tracker.usableUntilNanos(held, now) >= Math.min(hold,
 						RENEWAL_GAIN_NANOS))
-				.sorted(Comparator.comparingLong((held) -> this.book.usableUntilNanos(held, now)))
-				.limit(Math.max(0, room))
+				.sorted(Comparator.comparingLong((held) -> this.tracker.usableUntilNanos(held, now)))
+				.limit(Math.max(0, available))
 				.forEach((held) -> calls.add(grant(held, hold)));
 		}
 		this.pending.addAll(calls);
 		return calls;
 	}
 
-	private boolean free(KeySpan span) {
+	private boolean isIdle(KeySpan span) {
 		return !this.retryNanos.containsKey(span)
 				&& this.pending.stream().noneMatch((call) -> call.span().overlaps(span));
 	}
 
 	private GrantCall release(KeyHolding held, long now) {
-		this.book.stopUsing(held.span(), now);
+		this.tracker.stopUsing(held.span(), now);
 		return new GrantCall.Release(held.incarnation(), held.span(), held.fence());
 	}
 
 	private GrantCall grant(KeyHolding held, long hold) {
-		return new GrantCall.Grant(held.incarnation(), held.span(), held.fence(), this.book.handover(held),
+		return new GrantCall.Grant(held.incarnation(), held.span(), held.fence(), this.tracker.handover(held),
 				Duration.ofNanos(hold));
 	}
 
 	/**
-	 * Takes that a grant was accepted.
+	 * Records that a grant was accepted.
 	 * @param call the grant
 	 * @param sentNanos when it was sent
-	 * @param now the time
+	 * @param now the current time, in nanoseconds
 	 */
 	public void onGranted(GrantCall.Grant call, long sentNanos, long now) {
 		this.pending.remove(call);
 		this.superseded.remove(call.span());
-		this.book.recordGrant(call, sentNanos, now);
+		this.tracker.recordGrant(call, sentNanos, now);
 	}
 
 	/**
-	 * Takes that the backend server has seen a higher fence on one of the keys, so that
-	 * the grant did not take effect.
+	 * Records that a grant was rejected because the backend server has seen a higher
+	 * fence on one of its keys.
 	 * @param call the grant
-	 * @param now the time
+	 * @param now the current time, in nanoseconds
 	 */
 	public void onSuperseded(GrantCall.Grant call, long now) {
 		this.pending.remove(call);
 		this.superseded.add(call.span());
-		this.book.stopUsing(call.span(), now);
+		this.tracker.stopUsing(call.span(), now);
 		this.retryNanos.put(call.span(), now + RETRY_NANOS);
 	}
 
 	/**
-	 * Whether a holding needs a higher fence before its backend server accepts it.
+	 * Returns whether a holding needs a higher fence before its backend server accepts
+	 * it.
 	 * @param held the holding
 	 * @return true if its latest grant was superseded
 	 */
@@ -138,33 +140,33 @@
 	}
 
 	/**
-	 * Takes that a release was answered: no work on the keys is running.
+	 * Records that a release was answered: no requests for the keys are running any more.
 	 * @param call the release
-	 * @param handover what goes to the next holder; empty if nothing
+	 * @param handover the handover to the next holder; empty if there is none
 	 */
 	public void onReleased(GrantCall.Release call, String handover) {
 		this.pending.remove(call);
-		this.book.released(call.span(), handover);
+		this.tracker.recordRelease(call.span(), handover);
 	}
 
 	/**
-	 * Takes that a call was sent and not answered. A grant may still take effect, even
-	 * after a later release, for as long as it would have lasted.
+	 * Records that a call was sent but not answered. A grant may still take effect, even
+	 * after a later release, for as long as its hold would have lasted.
 	 * @param call the call
-	 * @param now the time
+	 * @param now the current time, in nanoseconds
 	 */
 	public void onUnanswered(GrantCall call, long now) {
 		this.pending.remove(call);
 		this.retryNanos.put(call.span(), now + RETRY_NANOS);
 		if (call instanceof GrantCall.Grant grant) {
-			this.book.recordUnansweredGrant(grant, now);
+			this.tracker.recordUnansweredGrant(grant, now);
 		}
 	}
 
 	/**
-	 * Takes that a call was never sent.
+	 * Records that a call was never sent.
 	 * @param call the call
-	 * @param now the time
+	 * @param now the current time, in nanoseconds
 	 */
 	public void onNotSent(GrantCall call, long now) {
 		this.pending.remove(call);
@@ -172,10 +174,10 @@
 	}
 
 	/**
-	 * Whether a grant of any of these keys is under way, so that nobody knows whether
-	 * they are held.
+	 * Returns whether a grant of any of these keys is in flight, so that it is unknown
+	 * whether they are held.
 	 * @param span the keys
-	 * @return true if so
+	 * @return true if one is in flight
 	 */
 	public boolean isGrantPending(KeySpan span) {
 		return this.pending.stream().anyMatch((call) -> call instanceof GrantCall.Grant && call.span().overlaps(span));
--- a/core/src/main/java/org/brasspier/core/keys/GrantDelivery.java
+++ b/core/src/main/java/org/brasspier/core/keys/GrantDelivery.java
@@ -6,14 +6,14 @@
 public sealed interface GrantDelivery {
 
 	/**
-	 * Grants are part of the answer to each heartbeat, and the next heartbeat says what
-	 * was released.
+	 * Grants are part of the answer to each heartbeat; the next heartbeat reports
+	 * releases.
 	 */
 	record InHeartbeats() implements GrantDelivery {
 	}
 
 	/**
-	 * Each grant and each release is a call to the backend server.
+	 * Each grant and each release is a separate call to the backend server.
 	 */
 	record ByCall() implements GrantDelivery {
 	}
--- a/core/src/main/java/org/brasspier/core/keys/GrantTracker.java
+++ b/core/src/main/java/org/brasspier/core/keys/GrantTracker.java
@@ -10,24 +10,24 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * What this instance has granted to the backend server beside it, and what the server has
- * released. A key may go to another holder only if the server said that it released it,
- * if another life of the server has begun, or if the latest grant has run out by any
- * clock. All times are nanoseconds of a clock that also runs while the machine is
- * suspended. Not thread-safe.
+ * Tracks which keys this instance has granted to its local backend server, and which ones
+ * the server has released. A key may move to another holder only after the server has
+ * confirmed its release, after the server has restarted as another incarnation, or after
+ * the latest grant has expired by any clock. All times are nanoseconds of a clock that
+ * also runs while the machine is suspended. Not thread-safe.
  */
 public final class GrantTracker {
 
 	/**
-	 * A shorter hold would run out before the next heartbeat and is not worth giving.
+	 * A shorter hold would expire before the next heartbeat and is not granted.
 	 */
-	private static final long SHORTEST_HOLD_NANOS = Duration.ofMillis(300).toNanos();
+	private static final long MIN_HOLD_NANOS = Duration.ofMillis(300).toNanos();
 
 	/**
-	 * The way of the answer and its taking by the server; before this a request would
+	 * Time for the answer to reach the server and be applied. Earlier requests would
 	 * overtake the grant and be rejected.
 	 */
-	private static final long SETTLE_NANOS = Duration.ofMillis(4).toNanos();
+	private static final long GRANT_DELAY_NANOS = Duration.ofMillis(4).toNanos();
 
 	private final InstanceId self;
 
@@ -39,14 +39,14 @@
 
 	private Map<KeySpan, String> releasedSpans = new HashMap<>();
 
-	private final List<LateGrant> lateGrants = new ArrayList<>();
+	private final List<UnansweredGrant> unansweredGrants = new ArrayList<>();
 
 	/**
-	 * Creates a book with nothing in it. A process before this one may have granted
-	 * anything until now.
+	 * Creates a tracker without grants. A previous process may have granted any keys
+	 * until now.
 	 * @param self this instance
-	 * @param timing the times
-	 * @param now the time
+	 * @param timing the lease and grant durations
+	 * @param now the current time, in nanoseconds
 	 */
 	public GrantTracker(InstanceId self, LeaseTiming timing, long now) {
 		this.self = self;
@@ -56,12 +56,12 @@
 
 	/**
 	 * Answers a heartbeat.
-	 * @param map who holds what
-	 * @param report what the server says
-	 * @param leaseNanos how long this instance's lease goes on
-	 * @param now when the heartbeat came
-	 * @return what it is to hold; empty if nothing may be said, so that nothing is
-	 * renewed and nothing is taken away
+	 * @param map the current key map
+	 * @param report what the server reports
+	 * @param leaseNanos remaining time of this instance's lease
+	 * @param now arrival time of the heartbeat
+	 * @return the keys to hold; empty if this instance may not answer, so that nothing is
+	 * renewed and nothing is withdrawn
 	 */
 	public Optional<GrantAnswer> answerHeartbeat(KeyMap map, HoldReport report, long leaseNanos, long now) {
 		List<KeyHolding> own = applyMap(map, report.incarnation());
@@ -76,7 +76,7 @@
 				stopUsing(held.span(), now);
 			}
 			else {
-				// It may have released keys that are to stay after all.
+				// The server may have released keys before their move was cancelled.
 				this.releasedSpans.remove(held.span());
 				grants.add(new KeyGrant(held.span(), held.fence(), held.handover()));
 				grant(held, report, now, hold);
@@ -86,40 +86,40 @@
 	}
 
 	/**
-	 * The hold that may be granted now.
-	 * @param leaseNanos how long this instance's lease goes on
+	 * Returns the hold time that may be granted now.
+	 * @param leaseNanos remaining time of this instance's lease
 	 * @return nanoseconds; 0 if it would be too short
 	 */
 	long holdNanos(long leaseNanos) {
 		long hold = Math.min(this.timing.hold().toNanos(), this.timing.minusDrift(leaseNanos));
-		return (hold < SHORTEST_HOLD_NANOS) ? 0 : hold;
+		return (hold < MIN_HOLD_NANOS) ? 0 : hold;
 	}
 
 	/**
-	 * Takes the map that is in force.
-	 * @param map who holds what
-	 * @param life the life of the backend server
-	 * @return this life's holdings
+	 * Applies the current key map.
+	 * @param map the current key map
+	 * @param incarnation the incarnation of the backend server
+	 * @return the holdings of this incarnation
 	 */
-	List<KeyHolding> applyMap(KeyMap map, BackendIncarnation life) {
+	List<KeyHolding> applyMap(KeyMap map, BackendIncarnation incarnation) {
 		List<KeyHolding> own = map.heldBy(this.self)
 			.stream()
-			.filter((held) -> held.incarnation().equals(life))
+			.filter((held) -> held.incarnation().equals(incarnation))
 			.toList();
-		follow(own);
+		carryOver(own);
 		return own;
 	}
 
-	// When a holding can't be used any more unless it is granted again.
+	// Returns when a holding expires unless it is granted again.
 	long usableUntilNanos(KeyHolding held, long now) {
 		return Optional.ofNullable(this.granted.get(held.span()))
-			.filter((grant) -> grant.fence == held.fence().value() && grant.live(now))
+			.filter((grant) -> grant.fence == held.fence().value() && grant.isLive(now))
 			.map(Granted::endNanos)
 			.orElse(now);
 	}
 
-	// What goes along with a grant. Keys that were released and are to stay after all
-	// keep what their server handed over.
+	// Returns the handover to send with a grant. Keys that were released before their
+	// move was cancelled keep the handover of their own server.
 	String handover(KeyHolding held) {
 		return this.releasedSpans.getOrDefault(held.span(), held.handover());
 	}
@@ -128,46 +128,47 @@
 		return this.releasedSpans.containsKey(held.span());
 	}
 
-	// The hold began between the sending of the call and its answer.
+	// The hold began at some time between sending the call and receiving its answer.
 	void recordGrant(GrantCall.Grant call, long sentNanos, long now) {
 		long hold = call.hold().toNanos();
 		Granted before = this.granted.get(call.span());
-		long certainEnd = now + this.timing.plusDrift(hold);
-		if (before != null && before.certainEndNanos - certainEnd > 0) {
-			certainEnd = before.certainEndNanos;
+		long expired = now + this.timing.plusDrift(hold);
+		if (before != null && before.expiredNanos - expired > 0) {
+			expired = before.expiredNanos;
 		}
 		this.releasedSpans.remove(call.span());
-		this.granted.put(call.span(), new Granted(call.fence().value(), now, sentNanos + hold, certainEnd));
+		this.granted.put(call.span(), new Granted(call.fence().value(), now, sentNanos + hold, expired));
 	}
 
-	void released(KeySpan span, String handover) {
+	void recordRelease(KeySpan span, String handover) {
 		this.releasedSpans.put(span, handover);
 	}
 
-	// It counts from when it arrived, which was before it was given up.
+	// The hold starts when the call arrives, which was before the call was abandoned.
 	void recordUnansweredGrant(GrantCall.Grant call, long now) {
-		this.lateGrants.add(new LateGrant(call.span(), now + this.timing.plusDrift(call.hold().toNanos())));
+		this.unansweredGrants.add(new UnansweredGrant(call.span(), now + this.timing.plusDrift(call.hold().toNanos())));
 	}
 
-	// A process before this one may have sent grants that were not answered.
+	// A previous process may have sent grants that were never answered.
 	void recordPredecessorGrants() {
 		KeySpan all = new KeySpan(0, KeySpan.LAST_KEY);
-		this.lateGrants
-			.add(new LateGrant(all, this.startedNanos + this.timing.plusDrift(this.timing.hold().toNanos())));
+		this.unansweredGrants
+			.add(new UnansweredGrant(all, this.startedNanos + this.timing.plusDrift(this.timing.hold().toNanos())));
 	}
 
-	// The server releases what an answer leaves out, so nothing is handed to it after
-	// that. Until then it goes on serving the keys: they would be unserved for half a
-	// heartbeat's interval more if that ended with the plan.
+	// The server releases every key that an answer leaves out, so it must receive no more
+	// requests for the key from then on. Until then it continues to serve the keys:
+	// stopping when the move is planned would leave them unserved for another half of the
+	// heartbeat interval.
 	void stopUsing(KeySpan span, long now) {
-		this.granted.computeIfPresent(span, (key, grant) -> grant.until(now));
+		this.granted.computeIfPresent(span, (key, grant) -> grant.endingBy(now));
 	}
 
 	private void grant(KeyHolding held, HoldReport report, long now, long hold) {
 		Granted before = this.granted.get(held.span());
 		boolean known = report.holds(held.span(), held.fence())
-				|| before != null && before.fence == held.fence().value() && before.live(now);
-		long usable = known ? now : now + SETTLE_NANOS;
+				|| before != null && before.fence == held.fence().value() && before.isLive(now);
+		long usable = known ? now : now + GRANT_DELAY_NANOS;
 		if (known && before != null) {
 			usable = Math.min(before.usableNanos, now);
 		}
@@ -184,56 +185,58 @@
 		}
 	}
 
-	// Spans are cut and joined while they are held: what holds for a span holds for each
-	// part of it, and for a whole if it holds for each of its parts.
-	private void follow(List<KeyHolding> own) {
-		Map<KeySpan, Granted> still = new HashMap<>();
-		Map<KeySpan, String> gone = new HashMap<>();
+	// Spans are split and merged while they are held. State of a span applies to each of
+	// its parts, and a whole has a state only if all its parts have it.
+	private void carryOver(List<KeyHolding> own) {
+		Map<KeySpan, Granted> newGrants = new HashMap<>();
+		Map<KeySpan, String> newReleases = new HashMap<>();
 		for (KeyHolding held : own) {
 			this.granted.entrySet()
 				.stream()
 				.filter((entry) -> entry.getKey().overlaps(held.span()))
 				.map(Map.Entry::getValue)
-				.reduce(Granted::join)
-				.ifPresent((joined) -> still.put(held.span(), joined));
+				.reduce(Granted::merge)
+				.ifPresent((joined) -> newGrants.put(held.span(), joined));
 			this.releasedSpans.entrySet()
 				.stream()
 				.filter((entry) -> entry.getKey().covers(held.span()))
 				.map(Map.Entry::getValue)
 				.findFirst()
-				.ifPresent((handover) -> gone.put(held.span(), handover));
+				.ifPresent((handover) -> newReleases.put(held.span(), handover));
 		}
-		this.granted = still;
-		this.releasedSpans = gone;
+		this.granted = newGrants;
+		this.releasedSpans = newReleases;
 	}
 
 	/**
-	 * Whether a request for a key may be handed to the server now.
+	 * Returns whether a request for a key may be sent to the server now.
 	 * @param key the key
-	 * @param holding who holds it
-	 * @param life the server's life
-	 * @param now the time
-	 * @return true if the server holds it under that fence
+	 * @param holding the holding that contains the key
+	 * @param incarnation the server's incarnation
+	 * @param now the current time, in nanoseconds
+	 * @return true if the server holds the key under the holding's fence
 	 */
-	public boolean usable(int key, KeyHolding holding, BackendIncarnation life, long now) {
-		boolean own = holding.holder().equals(this.self) && holding.incarnation().equals(life);
+	public boolean usable(int key, KeyHolding holding, BackendIncarnation incarnation, long now) {
+		boolean own = holding.holder().equals(this.self) && holding.incarnation().equals(incarnation);
 		return own && this.granted.entrySet()
 			.stream()
 			.filter((entry) -> entry.getKey().contains(key))
 			.map(Map.Entry::getValue)
-			.anyMatch((grant) -> grant.fence == holding.fence().value() && now >= grant.usableNanos && grant.live(now));
+			.anyMatch(
+					(grant) -> grant.fence == holding.fence().value() && now >= grant.usableNanos && grant.isLive(now));
 	}
 
 	/**
-	 * Whether the server has certainly released a holding, so that it may go to another
-	 * holder.
+	 * Returns the handover if the server has definitely released a holding, so that the
+	 * holding may move to another holder.
 	 * @param holding a holding of this instance
-	 * @param now the time
-	 * @return what it handed over, empty text if nothing; empty if it may still hold it
+	 * @param now the current time, in nanoseconds
+	 * @return the handover, an empty string if there is none; empty if the server may
+	 * still hold the keys
 	 */
 	public Optional<String> released(KeyHolding holding, long now) {
-		this.lateGrants.removeIf((late) -> now - late.certainEndNanos >= 0);
-		if (this.lateGrants.stream().anyMatch((late) -> late.span.overlaps(holding.span()))) {
+		this.unansweredGrants.removeIf((grant) -> now - grant.expiredNanos >= 0);
+		if (this.unansweredGrants.stream().anyMatch((grant) -> grant.span.overlaps(holding.span()))) {
 			return Optional.empty();
 		}
 		String handover = this.releasedSpans.get(holding.span());
@@ -241,47 +244,47 @@
 			return Optional.of(handover);
 		}
 		long unknown = this.startedNanos + this.timing.plusDrift(this.timing.hold().toNanos());
-		long until = this.granted.entrySet()
+		long expired = this.granted.entrySet()
 			.stream()
 			.filter((entry) -> entry.getKey().overlaps(holding.span()))
-			.mapToLong((entry) -> entry.getValue().certainEndNanos)
+			.mapToLong((entry) -> entry.getValue().expiredNanos)
 			.reduce(unknown, (one, other) -> (one - other > 0) ? one : other);
-		return (now - until >= 0) ? Optional.of("") : Optional.empty();
+		return (now - expired >= 0) ? Optional.of("") : Optional.empty();
 	}
 
 	/**
-	 * A grant without an answer, which may take effect until it would have run out.
+	 * An unanswered grant, which may take effect at any time until it would have expired.
 	 *
 	 * @param span its keys
-	 * @param certainEndNanos when it has ended by any clock
+	 * @param expiredNanos when it has expired by any clock
 	 */
-	private record LateGrant(KeySpan span, long certainEndNanos) {
+	private record UnansweredGrant(KeySpan span, long expiredNanos) {
 	}
 
 	/**
 	 * A grant.
 	 *
 	 * @param fence its fence
-	 * @param usableNanos from when the server has it
-	 * @param endNanos when it ends by this clock
-	 * @param certainEndNanos when it has ended by any clock
+	 * @param usableNanos when the server may first receive requests under it
+	 * @param endNanos when it expires by the local clock
+	 * @param expiredNanos when it has expired by any clock
 	 */
-	private record Granted(long fence, long usableNanos, long endNanos, long certainEndNanos) {
+	private record Granted(long fence, long usableNanos, long endNanos, long expiredNanos) {
 
-		boolean live(long now) {
+		boolean isLive(long now) {
 			return now < this.endNanos;
 		}
 
-		Granted until(long now) {
-			return new Granted(this.fence, this.usableNanos, Math.min(this.endNanos, now), this.certainEndNanos);
+		Granted endingBy(long now) {
+			return new Granted(this.fence, this.usableNanos, Math.min(this.endNanos, now), this.expiredNanos);
 		}
 
-		// For a span that was granted in parts: usable once all are, and ended for
-		// certain only when the last one is.
-		Granted join(Granted other) {
+		// Combines the grants of the parts of a span: usable once all parts are, and
+		// expired for certain only once the last part is.
+		Granted merge(Granted other) {
 			boolean same = this.fence == other.fence;
 			return new Granted(same ? this.fence : -1, Math.max(this.usableNanos, other.usableNanos),
-					Math.min(this.endNanos, other.endNanos), Math.max(this.certainEndNanos, other.certainEndNanos));
+					Math.min(this.endNanos, other.endNanos), Math.max(this.expiredNanos, other.expiredNanos));
 		}
 
 	}
--- a/core/src/main/java/org/brasspier/core/keys/HoldReport.java
+++ b/core/src/main/java/org/brasspier/core/keys/HoldReport.java
@@ -6,11 +6,11 @@
 import org.brasspier.core.Fence;
 
 /**
- * What a backend server says of the keys it holds. Immutable and thread-safe.
+ * Report of a backend server about its keys. Immutable and thread-safe.
  *
- * @param incarnation the life that says so
- * @param holds what it holds or is still working on
- * @param freed what it has released since its last acknowledged heartbeat
+ * @param incarnation the reporting incarnation
+ * @param holds keys that it holds or that running requests still use
+ * @param freed keys released since its last acknowledged heartbeat
  */
 public record HoldReport(BackendIncarnation incarnation, List<HeldKeys> holds, List<ReleasedKeys> freed) {
 
--- a/core/src/main/java/org/brasspier/core/keys/HolderLoad.java
+++ b/core/src/main/java/org/brasspier/core/keys/HolderLoad.java
@@ -5,11 +5,11 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * How much is asked of one holder, and how much it can do. Immutable and thread-safe.
+ * Load and capacity of one holder. Immutable and thread-safe.
  *
  * @param instance its instance
- * @param capacity requests a second that its backend server can run, above 0
- * @param pieces what is asked for its keys, cut so that each piece can move on its own
+ * @param capacity requests per second that its backend server can run; above 0
+ * @param pieces the load of its keys, split into pieces that can move independently
  */
 public record HolderLoad(InstanceId instance, double capacity, List<KeyLoad> pieces) {
 
--- a/core/src/main/java/org/brasspier/core/keys/KeyGrant.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyGrant.java
@@ -3,11 +3,11 @@
 import org.brasspier.core.Fence;
 
 /**
- * Keys that a backend server is to hold. Immutable and thread-safe.
+ * Grant of a span of keys to a backend server. Immutable and thread-safe.
  *
  * @param span the keys
- * @param fence the fence
- * @param handover what their previous holder handed over; empty if nothing
+ * @param fence the fence under which the server holds them
+ * @param handover the previous holder's handover; empty if there is none
  */
 public record KeyGrant(KeySpan span, Fence fence, String handover) {
 }
--- a/core/src/main/java/org/brasspier/core/keys/KeyHolder.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyHolder.java
@@ -7,12 +7,12 @@
  * A backend server that can hold keys now. Immutable and thread-safe.
  *
  * @param instance its instance
- * @param incarnation its life
+ * @param incarnation its incarnation
  */
 public record KeyHolder(InstanceId instance, BackendIncarnation incarnation) {
 
-	// Written out: generated ones go through method handles, which take milliseconds to
-	// set up in a process that has just started.
+	// Written by hand: the generated methods use method handles, whose setup takes
+	// milliseconds in a process that has just started.
 	@Override
 	public boolean equals(@Nullable Object other) {
 		return other instanceof KeyHolder that && this.instance.equals(that.instance)
--- a/core/src/main/java/org/brasspier/core/keys/KeyHolding.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyHolding.java
@@ -6,27 +6,28 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * Who holds a span of keys. Immutable and thread-safe.
+ * Assignment of a span of keys to a holder. Immutable and thread-safe.
  *
  * @param span the keys
- * @param holder the instance whose backend server holds them
- * @param incarnation the life of that backend server
- * @param fence the fence under which it holds them; each change of holder has a higher
- * one
- * @param handover what the previous holder handed over on letting go, so that the keys
- * are warm; empty if it didn't
- * @param nextHolder the instance that is to have them next; empty if they stay
+ * @param holder the instance whose backend server holds the keys
+ * @param incarnation the incarnation of that backend server
+ * @param fence the fence under which the keys are held; increases with each change of
+ * holder
+ * @param handover state token that the previous holder handed over at its release, so
+ * that the new holder starts with a warm cache; empty if there is none
+ * @param nextHolder the instance that takes the keys over next; empty if no move is
+ * planned
  */
 public record KeyHolding(KeySpan span, InstanceId holder, BackendIncarnation incarnation, Fence fence, String handover,
 		Optional<InstanceId> nextHolder) {
 
-	KeyHolding withNextHolder(InstanceId wantedOwner) {
+	KeyHolding withNextHolder(InstanceId newNextHolder) {
 		return new KeyHolding(this.span, this.holder, this.incarnation, this.fence, this.handover,
-				Optional.of(wantedOwner));
+				Optional.of(newNextHolder));
 	}
 
-	KeyHolding withSpan(KeySpan part) {
-		return new KeyHolding(part, this.holder, this.incarnation, this.fence, this.handover, this.nextHolder);
+	KeyHolding withSpan(KeySpan newSpan) {
+		return new KeyHolding(newSpan, this.holder, this.incarnation, this.fence, this.handover, this.nextHolder);
 	}
 
 	boolean canMergeWith(KeyHolding other) {
--- a/core/src/main/java/org/brasspier/core/keys/KeyLoad.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyLoad.java
@@ -1,16 +1,16 @@
 package org.brasspier.core.keys;
 
 /**
- * How much is asked for some keys. Immutable and thread-safe.
+ * Load of a span of keys. Immutable and thread-safe.
  *
  * @param span the keys
- * @param rate requests a second, those that were turned away among them
+ * @param rate requests per second, including rejected ones
  */
 public record KeyLoad(KeySpan span, double rate) {
 
 	/**
 	 * Checks the rate.
-	 * @throws IllegalArgumentException if it is negative or no number
+	 * @throws IllegalArgumentException if it is negative or not a number
 	 */
 	public KeyLoad {
 		if (!(rate >= 0)) {
--- a/core/src/main/java/org/brasspier/core/keys/KeyMap.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyMap.java
@@ -18,26 +18,29 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * Who holds each key of one service, as the platform's store has it. It covers all keys,
- * each once. Every change of holder takes the next fence, so a fence that was given out
- * is never given again. Immutable and thread-safe.
+ * Assigns each key of one service to a holder, as stored in the platform's store. Covers
+ * every key exactly once. Each change of holder takes the next fence, so no fence is
+ * issued twice. Immutable and thread-safe.
  */
 public final class KeyMap {
 
 	/**
-	 * Spans a backend server begins with. Busy keys lie close together, so many narrow
-	 * spans spread them better than few wide ones; sixteen rows are a tenth of what an
+	 * Initial number of spans of each holder. Busy keys lie close together, so many
+	 * narrow spans spread them better than few wide ones. 16 rows are a tenth of what an
 	 * answer to a heartbeat may carry.
 	 */
 	static final int SPANS_PER_HOLDER = 16;
 
 	/**
-	 * Spans of a service to begin with. With many holders they are narrow anyway, and
-	 * every change of the map is passed on whole.
+	 * Approximate number of spans in the initial map. With many holders the spans are
+	 * narrow in any case, and every change sends the whole map.
 	 */
 	static final int INITIAL_SPANS = 256;
 
-	/** So many fit a row of the store, each with all that can be said of it. */
+	/**
+	 * The most spans that fit into one row of the store when each has all its optional
+	 * fields.
+	 */
 	static final int MAX_SPANS = 1000;
 
 	private final List<KeyHolding> holdings;
@@ -48,10 +51,10 @@
 
 	/**
 	 * Creates a map.
-	 * @param holdings who holds what, covering all keys once
-	 * @param nextFence a fence above all that were ever given out
-	 * @throws IllegalArgumentException if a key is missing or there twice, or a fence is
-	 * too high
+	 * @param holdings the holdings; together they cover all keys exactly once
+	 * @param nextFence a fence above all fences issued so far
+	 * @throws IllegalArgumentException if a key is missing or assigned twice, or a fence
+	 * is too high
 	 */
 	public KeyMap(List<KeyHolding> holdings, long nextFence) {
 		this.holdings = holdings.stream().sorted(Comparator.comparingInt((held) -> held.span().from())).toList();
@@ -65,32 +68,33 @@
 			expected = held.span().to() + 1;
 		}
 		if (expected != KeySpan.LAST_KEY + 1) {
-			throw new IllegalArgumentException("keys from %d on have no holder".formatted(expected));
+			throw new IllegalArgumentException("keys from %d upwards have no holder".formatted(expected));
 		}
 		this.firstKeys = this.holdings.stream().mapToInt((held) -> held.span().from()).toArray();
 	}
 
 	/**
-	 * The first map of a service: all keys in equal spans, dealt to the holders in turn.
-	 * @param holders who can hold keys; at least one
+	 * Returns the first map of a service: equal spans, assigned to the holders
+	 * round-robin.
+	 * @param holders servers that can hold keys; at least one
 	 * @return the map
 	 */
 	public static KeyMap initial(List<KeyHolder> holders) {
 		int count = holders.size() * Math.clamp(INITIAL_SPANS / holders.size(), 1, SPANS_PER_HOLDER);
 		long keys = KeySpan.LAST_KEY + 1L;
-		List<KeyHolding> dealt = IntStream.range(0, count).mapToObj((i) -> {
+		List<KeyHolding> assigned = IntStream.range(0, count).mapToObj((i) -> {
 			KeySpan span = new KeySpan((int) (keys * i / count), (int) (keys * (i + 1) / count - 1));
 			KeyHolder holder = holders.get(i % holders.size());
 			return new KeyHolding(span, holder.instance(), holder.incarnation(), new Fence(i + 1L), "",
 					Optional.empty());
 		}).toList();
-		return new KeyMap(dealt, count + 1L);
+		return new KeyMap(assigned, count + 1L);
 	}
 
 	/**
-	 * Joins neighbouring holdings that differ in nothing but their keys, so that the
-	 * number of spans does not grow with each cut.
-	 * @return the same map in as few spans as that allows
+	 * Merges adjacent holdings that differ only in their keys, so that the number of
+	 * spans does not grow with each split.
+	 * @return an equivalent map with as few spans as possible
 	 */
 	public KeyMap merged() {
 		List<KeyHolding> result = new ArrayList<>();
@@ -107,7 +111,7 @@
 	}
 
 	/**
-	 * All holdings, by key.
+	 * Returns all holdings in the order of their keys.
 	 * @return an unmodifiable list
 	 */
 	public List<KeyHolding> holdings() {
@@ -115,39 +119,39 @@
 	}
 
 	/**
-	 * The fence that the next change of holder takes.
-	 * @return above all fences in the map
+	 * Returns the fence for the next change of holder.
+	 * @return a fence above all fences in the map
 	 */
 	public long nextFence() {
 		return this.nextFence;
 	}
 
 	/**
-	 * Who holds a key.
+	 * Returns the holding that contains a key.
 	 * @param key the key, 0 to 65535
-	 * @return its holding
+	 * @return the holding
 	 */
 	public KeyHolding holding(int key) {
 		if (key < 0 || key > KeySpan.LAST_KEY) {
 			throw new IllegalArgumentException("key %d must be from 0 to %d".formatted(key, KeySpan.LAST_KEY));
 		}
-		int place = Arrays.binarySearch(this.firstKeys, key);
-		return this.holdings.get((place >= 0) ? place : -place - 2);
+		int index = Arrays.binarySearch(this.firstKeys, key);
+		return this.holdings.get((index >= 0) ? index : -index - 2);
 	}
 
 	/**
-	 * What an instance holds.
-	 * @param owner the instance
-	 * @return its holdings, by key
+	 * Returns the holdings of an instance.
+	 * @param holder the instance
+	 * @return its holdings in the order of their keys
 	 */
-	public List<KeyHolding> heldBy(InstanceId owner) {
-		return this.holdings.stream().filter((held) -> held.holder().equals(owner)).toList();
+	public List<KeyHolding> heldBy(InstanceId holder) {
+		return this.holdings.stream().filter((held) -> held.holder().equals(holder)).toList();
 	}
 
 	/**
-	 * Who has to act on this map.
-	 * @param before the map before it; empty if there was none
-	 * @return the owners of holdings that it changes, and those that are to have them
+	 * Returns the instances affected by the change from another map to this one.
+	 * @param before the previous map; empty if there was none
+	 * @return the holders and next holders of the holdings that differ
 	 */
 	public Set<InstanceId> affectedInstances(Optional<KeyMap> before) {
 		Set<KeyHolding> known = before.map(KeyMap::holdings).<Set<KeyHolding>>map(HashSet::new).orElseGet(Set::of);
@@ -158,10 +162,11 @@
 	}
 
 	/**
-	 * Gives holdings to new holders under the next fence.
-	 * @param moved which ones
-	 * @param holder who gets one
-	 * @param handover what its previous holder handed over; empty if nothing
+	 * Assigns holdings to new holders under the next fence.
+	 * @param moved selects the holdings to reassign
+	 * @param holder returns the new holder of a holding
+	 * @param handover returns the previous holder's handover for a holding; empty if
+	 * there is none
 	 * @return the new map
 	 */
 	public KeyMap reassigned(Predicate<KeyHolding> moved, Function<KeyHolding, KeyHolder> holder,
@@ -178,10 +183,10 @@
 	}
 
 	/**
-	 * Says who is to have some spans next; holdings are cut where a span is part of one.
-	 * Their holders go on until they have released them.
-	 * @param moves the next owner of each span; a span that is not part of one holding
-	 * that stays is passed over
+	 * Plans moves of spans; splits a holding where a span is only part of it. The current
+	 * holders keep serving until they have released the spans.
+	 * @param moves the next holder of each span; a span is ignored unless it lies within
+	 * one holding that has no next holder
 	 * @return the new map
 	 */
 	public KeyMap withPlannedMoves(Map<KeySpan, InstanceId> moves) {
@@ -215,14 +220,15 @@
 	}
 
 	/**
-	 * Says who is to have some holdings next. Their holders go on until they have
+	 * Plans moves of whole holdings. The current holders keep serving until they have
 	 * released them.
-	 * @param wanted the next owner of a holding; empty if it is to stay as it is
+	 * @param nextHolders returns the next holder of a holding; empty to leave the holding
+	 * unchanged
 	 * @return the new map
 	 */
-	public KeyMap withNextHolders(Function<KeyHolding, Optional<InstanceId>> wanted) {
+	public KeyMap withNextHolders(Function<KeyHolding, Optional<InstanceId>> nextHolders) {
 		return new KeyMap(this.holdings.stream()
-			.map((held) -> wanted.apply(held)
+			.map((held) -> nextHolders.apply(held)
 				.map((next) -> next.equals(held.holder()) ? held.withoutNextHolder() : held.withNextHolder(next))
 				.orElse(held))
 			.toList(), this.nextFence);
--- a/core/src/main/java/org/brasspier/core/keys/KeyPlanner.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyPlanner.java
@@ -13,9 +13,9 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * Decides who is to have which keys. It moves as little as it can, since every move costs
- * the keys some hundred milliseconds and, without a handover, their warm state. Stateless
- * and thread-safe.
+ * Assigns keys to holders. Moves as few keys as possible, because each move interrupts
+ * service for its keys for some hundred milliseconds and, without a handover, loses their
+ * warm state. Stateless and thread-safe.
  */
 public final class KeyPlanner {
 
@@ -23,33 +23,33 @@
 	}
 
 	/**
-	 * Takes the keys of lost owners and deals them to the others.
-	 * @param map who holds what
-	 * @param lost owners whose leases have certainly ended
-	 * @param holders who can hold keys now
+	 * Reassigns the keys of lost holders to the remaining holders.
+	 * @param map the current key map
+	 * @param lost holders whose leases have definitely ended
+	 * @param holders servers that can hold keys now
 	 * @return the new map; empty if nothing changes
 	 */
 	public static Optional<KeyMap> reassignLost(KeyMap map, Set<InstanceId> lost, List<KeyHolder> holders) {
-		boolean none = map.holdings().stream().noneMatch((held) -> lost.contains(held.holder()));
-		if (none || holders.isEmpty()) {
+		boolean nothingToDo = map.holdings().stream().noneMatch((held) -> lost.contains(held.holder()));
+		if (nothingToDo || holders.isEmpty()) {
 			return Optional.empty();
 		}
-		KeyAllocator dealer = new KeyAllocator(map, holders);
-		return Optional.of(map.reassigned((held) -> lost.contains(held.holder()), (held) -> dealer.least(held.span()),
-				(held) -> ""));
+		KeyAllocator allocator = new KeyAllocator(map, holders);
+		return Optional.of(map.reassigned((held) -> lost.contains(held.holder()),
+				(held) -> allocator.assignToSmallest(held.span()), (held) -> ""));
 	}
 
 	/**
-	 * Gives this instance's keys to the new life of its backend server.
-	 * @param map who holds what
-	 * @param holder the instance and the life of its backend server
+	 * Reassigns an instance's keys to the new incarnation of its backend server.
+	 * @param map the current key map
+	 * @param holder the instance and the incarnation of its backend server
 	 * @return the new map; empty if nothing changes
 	 */
 	public static Optional<KeyMap> reassignToIncarnation(KeyMap map, KeyHolder holder) {
-		boolean none = map.heldBy(holder.instance())
+		boolean nothingToDo = map.heldBy(holder.instance())
 			.stream()
 			.allMatch((held) -> held.incarnation().equals(holder.incarnation()));
-		if (none) {
+		if (nothingToDo) {
 			return Optional.empty();
 		}
 		return Optional.of(map.reassigned(
@@ -58,83 +58,84 @@
 	}
 
 	/**
-	 * Finds other targets for keys that were to go to somebody who can't have them.
-	 * Without it they are unserved: their server has released them, and their next holder
-	 * never takes them.
-	 * @param map who holds what
-	 * @param whose which holdings to look at
-	 * @param holders who can hold keys now
+	 * Chooses new next holders for holdings whose next holder can't take them. Otherwise
+	 * those keys would remain unserved: the current holder has released them, and the
+	 * next holder never takes them.
+	 * @param map the current key map
+	 * @param selected selects the holdings to check
+	 * @param holders servers that can hold keys now
 	 * @return the new map; empty if nothing changes
 	 */
-	public static Optional<KeyMap> retarget(KeyMap map, Predicate<KeyHolding> whose, List<KeyHolder> holders) {
-		return reassignLeaving(map, Set.of(), whose, holders);
+	public static Optional<KeyMap> retarget(KeyMap map, Predicate<KeyHolding> selected, List<KeyHolder> holders) {
+		return reassignLeaving(map, Set.of(), selected, holders);
 	}
 
 	/**
-	 * Finds new owners for all keys of an instance that leaves, and for those that were
-	 * to go to somebody who can't have them.
-	 * @param map who holds what
-	 * @param leaving the instances that leave
-	 * @param holders who can hold keys now, without those that leave
+	 * Chooses next holders for all keys of leaving instances, and for holdings whose next
+	 * holder can't take them.
+	 * @param map the current key map
+	 * @param leaving the leaving instances
+	 * @param holders servers that can hold keys now, without the leaving ones
 	 * @return the new map; empty if nothing changes
 	 */
 	public static Optional<KeyMap> reassignLeaving(KeyMap map, Set<InstanceId> leaving, List<KeyHolder> holders) {
 		return reassignLeaving(map, leaving, (held) -> true, holders);
 	}
 
-	private static Optional<KeyMap> reassignLeaving(KeyMap map, Set<InstanceId> leaving, Predicate<KeyHolding> whose,
+	private static Optional<KeyMap> reassignLeaving(KeyMap map, Set<InstanceId> leaving, Predicate<KeyHolding> selected,
 			List<KeyHolder> holders) {
-		Set<InstanceId> able = new HashSet<>(holders.stream().map(KeyHolder::instance).toList());
-		Predicate<KeyHolding> stays = (held) -> !whose.test(held)
-				|| held.nextHolder().map(able::contains).orElse(!leaving.contains(held.holder()));
-		if (holders.isEmpty() || map.holdings().stream().allMatch(stays)) {
+		Set<InstanceId> available = new HashSet<>(holders.stream().map(KeyHolder::instance).toList());
+		Predicate<KeyHolding> unchanged = (held) -> !selected.test(held)
+				|| held.nextHolder().map(available::contains).orElse(!leaving.contains(held.holder()));
+		if (holders.isEmpty() || map.holdings().stream().allMatch(unchanged)) {
 			return Optional.empty();
 		}
-		KeyAllocator dealer = new KeyAllocator(map, holders);
-		KeyMap planned = map.withNextHolders((held) -> stays.test(held) ? Optional.empty()
-				: Optional.of(able.contains(held.holder()) ? held.holder() : dealer.least(held.span()).instance()));
+		KeyAllocator allocator = new KeyAllocator(map, holders);
+		KeyMap planned = map.withNextHolders(
+				(held) -> unchanged.test(held) ? Optional.empty() : Optional.of(available.contains(held.holder())
+						? held.holder() : allocator.assignToSmallest(held.span()).instance()));
 		return changed(map, planned);
 	}
 
 	/**
-	 * Gives holders that have no keys an even part of them, from those with most. Who has
-	 * some keys may have few because they are busy ones; that is for
-	 * {@link KeyRebalancer}.
-	 * @param map who holds what
-	 * @param holders who can hold keys now
+	 * Moves an even part of the keys to each holder that has none, taking them from the
+	 * holders with the most keys. A holder with few keys may have few because they are
+	 * busy; {@link KeyRebalancer} handles that case.
+	 * @param map the current key map
+	 * @param holders servers that can hold keys now
 	 * @return the new map; empty if nothing changes
 	 */
 	public static Optional<KeyMap> fillEmptyHolders(KeyMap map, List<KeyHolder> holders) {
 		if (holders.isEmpty()) {
 			return Optional.empty();
 		}
-		KeyAllocator dealer = new KeyAllocator(map, holders);
-		List<KeyHolder> withoutKeys = dealer.withoutKeys();
-		if (withoutKeys.isEmpty()) {
+		KeyAllocator allocator = new KeyAllocator(map, holders);
+		List<KeyHolder> emptyHolders = allocator.emptyHolders();
+		if (emptyHolders.isEmpty()) {
 			return Optional.empty();
 		}
-		double even = (KeySpan.LAST_KEY + 1.0) / holders.size();
+		double evenCount = (KeySpan.LAST_KEY + 1.0) / holders.size();
 		Map<KeySpan, InstanceId> moves = new HashMap<>();
-		for (KeyHolder poor : withoutKeys) {
-			fillUp(map, dealer, poor.instance(), even, moves);
+		for (KeyHolder target : emptyHolders) {
+			fillHolder(map, allocator, target.instance(), evenCount, moves);
 		}
 		return changed(map, map.withNextHolders((held) -> Optional.ofNullable(moves.get(held.span()))));
 	}
 
-	private static void fillUp(KeyMap map, KeyAllocator dealer, InstanceId poor, double even,
+	private static void fillHolder(KeyMap map, KeyAllocator allocator, InstanceId target, double evenCount,
 			Map<KeySpan, InstanceId> moves) {
 		List<KeyHolding> movable = new ArrayList<>(map.holdings());
-		movable.removeIf((held) -> held.nextHolder().isPresent() || held.holder().equals(poor));
-		while (dealer.keys(poor) < even) {
+		movable.removeIf((held) -> held.nextHolder().isPresent() || held.holder().equals(target));
+		while (allocator.keys(target) < evenCount) {
 			Optional<KeyHolding> next = movable.stream()
-				.filter((held) -> dealer.keys(held.holder()) - held.span().size() >= dealer.keys(poor))
-				.max(Comparator.comparingInt((held) -> dealer.keys(held.holder())));
+				.filter((held) -> allocator.keys(held.holder()) - held.span().size() >= allocator.keys(target))
+				.max(Comparator.comparingInt((held) -> allocator.keys(held.holder())));
 			if (next.isEmpty()) {
 				return;
 			}
 			movable.remove(next.get());
-			dealer.move(next.get(), poor);
-			moves.put(next.get().span(), poor);
+			allocator.move(next.get(), target);
+			moves.put(next.get().span(), target);
 		}
 	}
 
@@ -143,7 +144,7 @@
 	}
 
 	/**
-	 * How many keys each holder has or is to have.
+	 * Number of keys that each holder owns or is about to own.
 	 */
 	private static final class KeyAllocator {
 
@@ -156,19 +157,19 @@
 			holders.forEach((holder) -> this.keys.put(holder.instance(), 0));
 			map.holdings()
 				.forEach((held) -> this.keys.computeIfPresent(held.nextHolder().orElse(held.holder()),
-						(key, had) -> had + held.span().size()));
+						(key, count) -> count + held.span().size()));
 		}
 
-		KeyHolder least(KeySpan span) {
-			KeyHolder least = this.holders.stream()
+		KeyHolder assignToSmallest(KeySpan span) {
+			KeyHolder smallest = this.holders.stream()
 				.min(Comparator.comparingInt((KeyHolder holder) -> keys(holder.instance()))
 					.thenComparing(KeyHolder::instance))
 				.orElseThrow();
-			this.keys.merge(least.instance(), span.size(), Integer::sum);
-			return least;
+			this.keys.merge(smallest.instance(), span.size(), Integer::sum);
+			return smallest;
 		}
 
-		List<KeyHolder> withoutKeys() {
+		List<KeyHolder> emptyHolders() {
 			return this.holders.stream().filter((holder) -> keys(holder.instance()) == 0).toList();
 		}
 
@@ -177,7 +178,7 @@
 		}
 
 		void move(KeyHolding held, InstanceId to) {
-			this.keys.computeIfPresent(held.holder(), (key, had) -> had - held.span().size());
+			this.keys.computeIfPresent(held.holder(), (key, count) -> count - held.span().size());
 			this.keys.merge(to, held.span().size(), Integer::sum);
 		}
 
--- a/core/src/main/java/org/brasspier/core/keys/KeyRebalancer.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyRebalancer.java
@@ -12,118 +12,127 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * Shifts keys from holders that are asked for much of what they can do to others. The
- * load is skewed demand: a few keys, close together, have half of all requests, which
- * keys those are changes, and servers differ in speed by a factor of three. Without it
- * the busiest server gets more than twice the mean and refuses while others rest.
- * Stateless and thread-safe.
+ * Moves keys from holders with high utilization to others. The expected load is skewed: a
+ * few adjacent keys have half of all requests, the set of busy keys changes, and servers
+ * differ in speed by a factor of three. Without rebalancing, the busiest server gets more
+ * than twice the mean load and rejects requests while others are idle. Stateless and
+ * thread-safe.
  */
 public final class KeyRebalancer {
 
 	/**
-	 * Below this share of what it can do a server has free slots for nearly every
-	 * request, and a move would only cost.
+	 * Utilization below which a holder gives nothing away: the server has a free slot for
+	 * nearly every request, and a move would only cost.
 	 */
-	private static final double BUSY = 0.4;
+	private static final double MIN_UTILIZATION = 0.4;
 
 	/**
-	 * How far above the mean share a holder must be before anything moves: twice what
-	 * chance alone makes of a four seconds' count.
+	 * How far a holder's utilization must exceed the mean before it gives keys away:
+	 * twice the random variation of a count over four seconds.
 	 */
-	private static final double TRIGGER = 0.12;
+	private static final double TRIGGER_MARGIN = 0.12;
 
-	/** Moving a piece must leave its receiver this much below what the giver had. */
-	private static final double GAIN = 0.93;
+	/**
+	 * A move must leave the receiver's utilization below this fraction of the giver's
+	 * utilization before the move.
+	 */
+	private static final double MAX_RECEIVER_FRACTION = 0.93;
 
 	/**
-	 * A server that is asked for so much of what it can do takes no more: the giver's
-	 * requests would be refused there instead, after a gap. Two full servers handed busy
-	 * keys to and fro each two to three seconds, and each time those were unserved for
-	 * 0.3 to 1.3 seconds.
+	 * Utilization at which a server receives no more keys: it would reject the giver's
+	 * requests as well, after a gap in service. Without this limit, two full servers
+	 * moved busy keys back and forth every two to three seconds, and each move left the
+	 * keys unserved for 0.3 to 1.3 seconds.
 	 */
-	private static final double FULL = 0.95;
+	private static final double FULL_UTILIZATION = 0.95;
 
 	/**
-	 * Moves of one round. Each leaves its keys unserved for about half a second, so a
-	 * round stays small against what it mends.
+	 * The most moves in one round. Each leaves its keys unserved for about half a second,
+	 * so the cost of a round stays small compared with its benefit.
 	 */
-	private static final int MOST_MOVES = 32;
+	private static final int MAX_MOVES = 32;
 
-	/** The rows that fit an answer to a heartbeat, with room to spare. */
-	private static final int MOST_SPANS = 72;
+	/**
+	 * The most spans of one holder, below the number of rows that fit into an answer to a
+	 * heartbeat.
+	 */
+	private static final int MAX_SPANS_PER_HOLDER = 72;
 
 	private KeyRebalancer() {
 	}
 
 	/**
-	 * Plans one round.
-	 * @param map who holds what
-	 * @param loads what is asked of each holder that can hold keys now
-	 * @return the map with the next holders of what moves; empty if nothing does
+	 * Plans one round of moves.
+	 * @param map the current key map
+	 * @param loads the load of each holder that can hold keys now
+	 * @return the map with the planned moves; empty if there are none
 	 */
 	public static Optional<KeyMap> plan(KeyMap map, List<HolderLoad> loads) {
 		if (loads.size() < 2) {
 			return Optional.empty();
 		}
-		Round round = new Round(map, loads);
+		Plan plan = new Plan(map, loads);
 		Map<KeySpan, InstanceId> moves = new HashMap<>();
-		// A piece that is cut out of a span leaves two in its place.
-		int room = Math.min(MOST_MOVES, (KeyMap.MAX_SPANS - map.holdings().size()) / 2);
-		while (moves.size() < room) {
-			Optional<Move> move = round.next();
+		// Splitting a piece off a holding adds up to two holdings.
+		int limit = Math.min(MAX_MOVES, (KeyMap.MAX_SPANS - map.holdings().size()) / 2);
+		while (moves.size() < limit) {
+			Optional<Move> move = plan.next();
 			if (move.isEmpty()) {
 				break;
 			}
 			moves.put(move.get().piece.span(), move.get().to);
-			round.carryOut(move.get());
+			plan.apply(move.get());
 		}
 		return moves.isEmpty() ? Optional.empty() : Optional.of(map.withPlannedMoves(moves));
 	}
 
 	/**
-	 * Loads as they would be after the moves so far.
+	 * Holder loads, projected after the moves planned so far.
 	 */
-	private static final class Round {
+	private static final class Plan {
 
-		private final List<HolderState> seats;
+		private final List<HolderState> holders;
 
-		private final double mean;
+		private final double meanUtilization;
 
-		Round(KeyMap map, List<HolderLoad> loads) {
-			this.seats = loads.stream()
+		Plan(KeyMap map, List<HolderLoad> loads) {
+			this.holders = loads.stream()
 				.map((load) -> new HolderState(load, map.heldBy(load.instance()).size()))
 				.toList();
 			double rate = loads.stream().mapToDouble(HolderLoad::rate).sum();
-			this.mean = rate / loads.stream().mapToDouble(HolderLoad::capacity).sum();
+			this.meanUtilization = rate / loads.stream().mapToDouble(HolderLoad::capacity).sum();
 		}
 
-		// From the busiest holder that has a piece to give: another one may be just as
-		// much in need, while the busiest has nothing that fits.
+		// Tries the busiest holder first, but moves on to others: a less busy holder may
+		// also need relief while the busiest has no piece that fits.
 		Optional<Move> next() {
-			return this.seats.stream()
-				.filter((seat) -> seat.share() >= BUSY
-						&& seat.share() >= this.mean + TRIGGER * Math.max(this.mean, BUSY))
-				.sorted(Comparator.comparingDouble(HolderState::share).reversed())
+			return this.holders.stream()
+				.filter((holder) -> holder.utilization() >= MIN_UTILIZATION
+						&& holder.utilization() >= this.meanUtilization
+								+ TRIGGER_MARGIN * Math.max(this.meanUtilization, MIN_UTILIZATION))
+				.sorted(Comparator.comparingDouble(HolderState::utilization).reversed())
 				.map(this::from)
 				.flatMap(Optional::stream)
 				.findFirst();
 		}
 
-		private Optional<Move> from(HolderState giver) {
-			return this.seats.stream()
-				.filter((seat) -> seat != giver && seat.spans < MOST_SPANS && seat.share() < FULL)
-				.sorted(Comparator.comparingDouble(HolderState::share))
-				.map((taker) -> piece(giver, taker).map((piece) -> new Move(giver, taker, piece)))
+		private Optional<Move> from(HolderState source) {
+			return this.holders.stream()
+				.filter((holder) -> holder != source && holder.spans < MAX_SPANS_PER_HOLDER
+						&& holder.utilization() < FULL_UTILIZATION)
+				.sorted(Comparator.comparingDouble(HolderState::utilization))
+				.map((target) -> piece(source, target).map((piece) -> new Move(source, target, piece)))
 				.flatMap(Optional::stream)
 				.findFirst();
 		}
 
-		// The largest piece that fits what the one has too much and the other has room
-		// for; if none is that small, the smallest, provided it helps at all.
-		private Optional<KeyLoad> piece(HolderState giver, HolderState taker) {
-			double wanted = Math.min(giver.rate - this.mean * giver.load.capacity(),
-					this.mean * taker.load.capacity() - taker.rate);
-			List<KeyLoad> movable = giver.movable();
+		// Picks the largest piece that exceeds neither the source's surplus nor the
+		// target's spare capacity. If no piece is that small, picks the smallest one,
+		// provided that moving it helps at all.
+		private Optional<KeyLoad> piece(HolderState source, HolderState target) {
+			double wanted = Math.min(source.rate - this.meanUtilization * source.load.capacity(),
+					this.meanUtilization * target.load.capacity() - target.rate);
+			List<KeyLoad> movable = source.movable();
 			Optional<KeyLoad> fitting = movable.stream()
 				.filter((piece) -> piece.rate() > 0 && piece.rate() <= wanted)
 				.max(Comparator.comparingDouble(KeyLoad::rate));
@@ -131,14 +140,15 @@
 				.or(() -> movable.stream()
 					.filter((piece) -> piece.rate() > Math.max(0, wanted))
 					.min(Comparator.comparingDouble(KeyLoad::rate)))
-				.filter((piece) -> (taker.rate + piece.rate()) / taker.load.capacity() < giver.share() * GAIN);
+				.filter((piece) -> (target.rate + piece.rate()) / target.load.capacity() < source.utilization()
+						* MAX_RECEIVER_FRACTION);
 		}
 
-		void carryOut(Move move) {
-			move.from.gone.add(move.piece.span());
+		void apply(Move move) {
+			move.from.movedSpans.add(move.piece.span());
 			move.from.rate -= move.piece.rate();
-			move.taker.rate += move.piece.rate();
-			move.taker.spans++;
+			move.target.rate += move.piece.rate();
+			move.target.spans++;
 		}
 
 	}
@@ -147,7 +157,7 @@
 
 		private final HolderLoad load;
 
-		private final Set<KeySpan> gone = new HashSet<>();
+		private final Set<KeySpan> movedSpans = new HashSet<>();
 
 		private double rate;
 
@@ -159,13 +169,13 @@
 			this.spans = spans;
 		}
 
-		double share() {
+		double utilization() {
 			return this.rate / this.load.capacity();
 		}
 
 		List<KeyLoad> movable() {
 			List<KeyLoad> left = new ArrayList<>(this.load.pieces());
-			left.removeIf((piece) -> this.gone.contains(piece.span()));
+			left.removeIf((piece) -> this.movedSpans.contains(piece.span()));
 			return left;
 		}
 
@@ -175,16 +185,16 @@
 
 		private final HolderState from;
 
-		private final HolderState taker;
+		private final HolderState target;
 
 		private final InstanceId to;
 
 		private final KeyLoad piece;
 
-		Move(HolderState from, HolderState taker, KeyLoad piece) {
+		Move(HolderState from, HolderState target, KeyLoad piece) {
 			this.from = from;
-			this.taker = taker;
-			this.to = taker.load.instance();
+			this.target = target;
+			this.to = target.load.instance();
 			this.piece = piece;
 		}
 
--- a/core/src/main/java/org/brasspier/core/keys/KeySpan.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeySpan.java
@@ -25,7 +25,7 @@
 	}
 
 	/**
-	 * Whether a key lies in it.
+	 * Returns whether the span contains a key.
 	 * @param key the key
 	 * @return true if it does
 	 */
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * Whether another span lies in it whole.
+	 * Returns whether this span contains all of another span.
 	 * @param other the other span
 	 * @return true if it does
 	 */
@@ -43,7 +43,7 @@
 	}
 
 	/**
-	 * Whether the two have a key in common.
+	 * Returns whether the two spans have a key in common.
 	 * @param other the other span
 	 * @return true if they do
 	 */
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	 * How many keys it has.
+	 * Returns the number of keys in the span.
 	 * @return at least 1
 	 */
 	public int size() {
@@ -64,8 +64,8 @@
 		return this.from + "-" + this.to;
 	}
 
-	// Written out: generated ones go through method handles, which take milliseconds to
-	// set up in a process that has just started.
+	// Written by hand: the generated methods use method handles, whose setup takes
+	// milliseconds in a process that has just started.
 	@Override
 	public boolean equals(@Nullable Object other) {
 		return other instanceof KeySpan that && this.from == that.from && this.to == that.to;
--- a/core/src/main/java/org/brasspier/core/keys/LeaseMonitor.java
+++ b/core/src/main/java/org/brasspier/core/keys/LeaseMonitor.java
@@ -9,26 +9,27 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * Watches the leases of other instances by the versions of their rows. A lease has ended
- * once its row has shown the same version for longer than a lease lasts: the renewal that
- * made that version was sent before it was first seen. Whoever acts on that names the
- * version in its write, so a renewal that comes in between wins.
+ * Monitors the leases of other instances by their row versions. A lease has ended once
+ * its row has shown the same version for longer than the lease duration, because the
+ * renewal that created this version was sent before it was first seen. A takeover write
+ * is conditional on that version, so a concurrent renewal makes it fail.
  * <p>
- * Where a row names this process as deputy, its promises to the holder are enough: the
- * holder grants nothing beyond them. So nothing needs to be watched for, and the keys of
- * a lost instance wait for a promise's end rather than for a lease's. Not thread-safe.
+ * Where a row names this process as deputy, the promises to the holder are sufficient:
+ * the holder grants nothing beyond them. No observation period is needed, and the keys of
+ * a lost instance become free at the end of a promise instead of a lease. Not
+ * thread-safe.
  */
 public final class LeaseMonitor {
 
 	/**
-	 * Nobody could renew while the store was away, so nobody is taken for lost as it
-	 * returns: one renewal interval and the way of a write pass first. Without this, the
-	 * first reader after an outage would take all keys of everyone else.
+	 * Grace period after a store outage, in which no lease is considered ended, since no
+	 * instance could renew: one renewal interval and the duration of a write. Without it,
+	 * the first reader after an outage would take the keys of all other instances.
 	 */
-	private static final long GRACE_NANOS = Duration.ofSeconds(3).toNanos();
+	private static final long GRACE_PERIOD_NANOS = Duration.ofSeconds(3).toNanos();
 
-	/** For a slow answer of the store. */
-	private static final long SLACK_NANOS = Duration.ofMillis(500).toNanos();
+	/** Allowance for a slow answer of the store. */
+	private static final long STORE_DELAY_NANOS = Duration.ofMillis(500).toNanos();
 
 	private final LeaseTiming timing;
 
@@ -36,19 +37,19 @@
 
 	private final PromiseTracker promises;
 
-	private final Map<InstanceId, Seen> seen = new HashMap<>();
+	private final Map<InstanceId, Observation> observed = new HashMap<>();
 
-	private long latestLookNanos;
+	private long latestReadNanos;
 
-	private long notBeforeNanos;
+	private long graceEndNanos;
 
-	private boolean looked;
+	private boolean hasRead;
 
 	/**
-	 * Creates a watch that has seen nothing.
-	 * @param timing the times
+	 * Creates a monitor without observations.
+	 * @param timing the lease and promise durations
 	 * @param self this process
-	 * @param promises what it has promised
+	 * @param promises the promises of this process
 	 */
 	public LeaseMonitor(LeaseTiming timing, Deputy self, PromiseTracker promises) {
 		this.timing = timing;
@@ -57,127 +58,132 @@
 	}
 
 	/**
-	 * Takes what the store showed. A row that another instance wrote as it took the keys
-	 * has a new version, but nobody renewed: counted as a renewal, it would make an
-	 * instance that is lost for good a holder again for as long as a lease.
-	 * @param rows each lease's row
-	 * @param now when the answer came
+	 * Records the lease rows read from the store. A row that another instance wrote when
+	 * it took the keys has a new version, but is no renewal: counting it as one would
+	 * make a permanently lost instance a holder again for the duration of a lease.
+	 * @param rows the row of each lease
+	 * @param now when the answer arrived, in nanoseconds
 	 */
 	public void onRowsRead(Map<InstanceId, LeaseRow> rows, long now) {
-		if (!this.looked || now - this.latestLookNanos > GRACE_NANOS) {
-			this.notBeforeNanos = now + GRACE_NANOS;
+		if (!this.hasRead || now - this.latestReadNanos > GRACE_PERIOD_NANOS) {
+			this.graceEndNanos = now + GRACE_PERIOD_NANOS;
 		}
-		this.looked = true;
-		this.latestLookNanos = now;
-		this.seen.keySet().retainAll(rows.keySet());
-		rows.forEach((instance, row) -> this.seen.merge(instance, new Seen(row, now),
+		this.hasRead = true;
+		this.latestReadNanos = now;
+		this.observed.keySet().retainAll(rows.keySet());
+		rows.forEach((instance, row) -> this.observed.merge(instance, new Observation(row, now),
 				(before, after) -> (before.row.version() >= after.row.version()) ? before : after));
 	}
 
 	/**
-	 * Whether an instance has a lease's row.
+	 * Returns whether an instance has a lease row.
 	 * @param instance the instance
-	 * @return true if the latest look showed one
+	 * @return true if the latest read showed one
 	 */
 	public boolean hasRow(InstanceId instance) {
-		return this.seen.containsKey(instance);
+		return this.observed.containsKey(instance);
 	}
 
 	/**
-	 * The version of an instance's lease.
+	 * Returns the row version of an instance's lease.
 	 * @param instance the instance
-	 * @return what the latest look showed; empty if there is no row
+	 * @return the version in the latest read; empty if there is no row
 	 */
 	public Optional<Long> rowVersion(InstanceId instance) {
-		return Optional.ofNullable(this.seen.get(instance)).map((seen) -> seen.row.version());
+		return Optional.ofNullable(this.observed.get(instance)).map((observed) -> observed.row.version());
 	}
 
 	/**
-	 * Whether an instance has renewed lately, so that it may be given keys and may plan.
-	 * One that the store turns away may hold its keys for seconds more, but it can't
-	 * learn that others are now its own, and plans nothing: while one such planned, a
-	 * full server had its keys for twelve seconds beside two idle ones.
+	 * Returns whether an instance has renewed its lease recently, so that it may receive
+	 * keys and plan moves. An instance that can't reach the store may hold its keys for
+	 * some seconds more, but doesn't learn that it was assigned new keys, so it must not
+	 * plan. When such an instance planned moves, a full server kept its keys for 12
+	 * seconds beside two idle ones.
 	 * <p>
-	 * Nobody could renew just before the store returned, and rows may say of instances
-	 * that are gone by then that they are ready. So for a while those count that have
-	 * answered from daemon to daemon: keys handed to one that was gone were unserved for
-	 * four seconds.
+	 * No instance could renew shortly before the end of a store outage, and rows may
+	 * still mark instances as ready that have left since. Therefore, during the grace
+	 * period, only instances that have recently answered another daemon count. Without
+	 * this rule, keys moved to an instance that had left and were unserved for four
+	 * seconds.
 	 * @param instance the instance
-	 * @param heard whether it has said lately that it can take keys
-	 * @param now the time
-	 * @return false if it has no lease, its lease was taken away, or it was not renewed
-	 * for two intervals
+	 * @param heard whether it has recently reported that it can take keys
+	 * @param now the current time, in nanoseconds
+	 * @return false if it has no lease, its lease was taken, or it was not renewed for
+	 * two intervals
 	 */
 	public boolean isRenewing(InstanceId instance, boolean heard, long now) {
-		Seen row = this.seen.get(instance);
-		if (row == null || row.row.taken() || freeForDeputy(instance, row.row, now)) {
+		Observation row = this.observed.get(instance);
+		if (row == null || row.row.taken() || releasedToDeputy(instance, row.row, now)) {
 			return false;
 		}
-		return inGracePeriod(now) ? heard : stillNanos(row) <= overdueNanos();
+		return inGracePeriod(now) ? heard : unchangedNanos(row) <= maxUnchangedNanos();
 	}
 
 	/**
-	 * Whether the store has only just begun to answer, or answer again.
-	 * @param now the time
-	 * @return true for a while
+	 * Returns whether the store has only just started to answer, or resumed after an
+	 * outage.
+	 * @param now the current time, in nanoseconds
+	 * @return true during the grace period
 	 */
 	public boolean inGracePeriod(long now) {
-		return this.looked && now - this.notBeforeNanos < 0;
+		return this.hasRead && now - this.graceEndNanos < 0;
 	}
 
-	// A row stands still for an interval, and is looked at as seldom.
-	private long overdueNanos() {
-		return this.timing.renewalInterval().toNanos() * 2 + SLACK_NANOS;
+	// A row stays unchanged for one renewal interval, and is read as rarely.
+	private long maxUnchangedNanos() {
+		return this.timing.renewalInterval().toNanos() * 2 + STORE_DELAY_NANOS;
 	}
 
 	/**
-	 * Whether an instance's lease has certainly ended.
+	 * Returns the row version of an instance's lease if the lease has definitely ended.
 	 * @param instance the instance
-	 * @param now the time
-	 * @return the version of its row, to be named in the write that acts on it; 0 if it
-	 * has no row; empty if the lease may still go on
+	 * @param now the current time, in nanoseconds
+	 * @return the row version on which the takeover write must be conditional; 0 if there
+	 * is no row; empty if the lease may still be in force
 	 */
 	public Optional<Long> endedRowVersion(InstanceId instance, long now) {
-		Seen seen = this.seen.get(instance);
-		if (seen != null && freeForDeputy(instance, seen.row, now)) {
-			return Optional.of(seen.row.version());
+		Observation observed = this.observed.get(instance);
+		if (observed != null && releasedToDeputy(instance, observed.row, now)) {
+			return Optional.of(observed.row.version());
 		}
-		if (!this.looked || now - this.notBeforeNanos < 0) {
+		if (!this.hasRead || now - this.graceEndNanos < 0) {
 			return Optional.empty();
 		}
-		if (seen == null) {
+		if (observed == null) {
 			return Optional.of(0L);
 		}
-		// Counted to the latest look: that nobody looked for a while says nothing.
-		boolean over = seen.row.taken() || stillNanos(seen) >= this.timing.plusDrift(this.timing.lease().toNanos());
-		return over ? Optional.of(seen.row.version()) : Optional.empty();
+		// Counts up to the latest read: time without any read proves nothing.
+		boolean ended = observed.row.taken()
+				|| unchangedNanos(observed) >= this.timing.plusDrift(this.timing.lease().toNanos());
+		return ended ? Optional.of(observed.row.version()) : Optional.empty();
 	}
 
-	// The holder grants nothing beyond the promises of the deputy that it names.
-	private boolean freeForDeputy(InstanceId instance, LeaseRow row, long now) {
+	// The holder grants nothing beyond the promises of its named deputy.
+	private boolean releasedToDeputy(InstanceId instance, LeaseRow row, long now) {
 		return row.deputy().filter(this.self::equals).isPresent() && !this.promises.isBound(instance, now);
 	}
 
-	private long stillNanos(Seen seen) {
-		return this.latestLookNanos - seen.sinceNanos;
+	private long unchangedNanos(Observation observed) {
+		return this.latestReadNanos - observed.sinceNanos;
 	}
 
 	/**
-	 * Whether a lease may be about to end, so that it is worth while to look more often.
-	 * @param holders whose leases matter
-	 * @param now the time
-	 * @return true if one is not known yet or was not renewed for two intervals, or if
-	 * its holder was promised something and has fallen silent
+	 * Returns whether a lease may be about to end, so that more frequent reads are
+	 * worthwhile.
+	 * @param holders the holders to check
+	 * @param now the current time, in nanoseconds
+	 * @return true if a lease is unknown or was not renewed for two intervals, or if its
+	 * holder has let this process's promise expire without requesting another
 	 */
 	public boolean anySuspect(Set<InstanceId> holders, long now) {
 		return holders.stream().anyMatch((holder) -> {
-			Seen seen = this.seen.get(holder);
-			return seen == null || freeForDeputy(holder, seen.row, now)
-					|| (!seen.row.taken() && stillNanos(seen) > overdueNanos());
+			Observation observed = this.observed.get(holder);
+			return observed == null || releasedToDeputy(holder, observed.row, now)
+					|| (!observed.row.taken() && unchangedNanos(observed) > maxUnchangedNanos());
 		});
 	}
 
-	private record Seen(LeaseRow row, long sinceNanos) {
+	private record Observation(LeaseRow row, long sinceNanos) {
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/keys/LeaseRow.java
+++ b/core/src/main/java/org/brasspier/core/keys/LeaseRow.java
@@ -5,18 +5,18 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * A holder's lease as the platform's store shows it. Immutable and thread-safe.
+ * A holder's lease as stored in the platform's store. Immutable and thread-safe.
  *
  * @param version the row's version
- * @param takenBy who took the lease away; empty if its holder wrote the row
- * @param deputy who may take the keys early; empty if nobody may
+ * @param takenBy the instance that took the lease; empty if the holder wrote the row
+ * @param deputy the process that may take the keys before the lease ends; empty if none
  */
 public record LeaseRow(long version, Optional<InstanceId> takenBy, Optional<Deputy> deputy) {
 
 	/**
-	 * A row that its holder wrote.
+	 * Returns a row written by its holder.
 	 * @param version the row's version
-	 * @param deputy who may take the keys early
+	 * @param deputy the process that may take the keys before the lease ends
 	 * @return the row
 	 */
 	public static LeaseRow of(long version, Optional<Deputy> deputy) {
@@ -24,7 +24,7 @@
 	}
 
 	/**
-	 * Whether the lease was taken away and not renewed since.
+	 * Returns whether the lease was taken and not renewed since.
 	 * @return true if so
 	 */
 	public boolean taken() {
--- a/core/src/main/java/org/brasspier/core/keys/OwnLease.java
+++ b/core/src/main/java/org/brasspier/core/keys/OwnLease.java
@@ -7,25 +7,26 @@
 import java.util.Set;
 
 /**
- * This instance's right to grant keys, renewed by conditional writes of its row in the
- * platform's store. It counts from when the renewal was <em>sent</em>, since the store
- * may have taken it at any moment after that, and others wait from when they saw it.
+ * This instance's lease, the right to grant keys, renewed by conditional writes of its
+ * row in the platform's store. The lease starts when the renewal was <em>sent</em>: the
+ * store may have applied it at any moment after that, and other instances start their
+ * wait when they see it.
  * <p>
- * The row may name a deputy, which may take the keys as soon as it is bound by no promise
- * to this instance. So while a deputy is named, or may be named by a renewal whose
- * outcome isn't known, the lease lasts no longer than the latest promise of that deputy,
- * counted from when it was asked for. In exchange a lost holder's keys are free after a
- * promise of some seconds, and not only after a lease that is long enough to outlast an
- * outage of the store. All times are nanoseconds of a clock that also runs while the
+ * The row may name a deputy, which may take the keys over as soon as none of its promises
+ * to this instance is in force. Therefore, while a deputy is named, or may be named by a
+ * renewal with unknown outcome, the lease ends with the latest promise of that deputy,
+ * counted from the time of the request for it. In return, the keys of a lost holder
+ * become free after a promise of a few seconds instead of a lease that is long enough to
+ * outlast a store outage. All times are nanoseconds of a clock that also runs while the
  * machine is suspended. Not thread-safe.
  */
 public final class OwnLease {
 
-	private static final long FOR_GOOD = Long.MAX_VALUE;
+	private static final long NEVER_EXPIRES = Long.MAX_VALUE;
 
 	private final LeaseTiming timing;
 
-	private final Set<Deputy> unsettled = new HashSet<>();
+	private final Set<Deputy> unconfirmedDeputies = new HashSet<>();
 
 	private final Map<Deputy, Long> promisedUntilNanos = new HashMap<>();
 
@@ -35,95 +36,95 @@
 
 	private long endNanos;
 
-	private long givenUpNanos = Long.MIN_VALUE;
+	private long relinquishedNanos = Long.MIN_VALUE;
 
 	private boolean held;
 
 	/**
 	 * Creates a lease that isn't held.
-	 * @param timing the times
+	 * @param timing the lease and promise durations
 	 */
 	public OwnLease(LeaseTiming timing) {
 		this.timing = timing;
 	}
 
 	/**
-	 * Takes that a renewal is about to be sent.
-	 * @param named the deputy that it names
+	 * Records that a renewal is about to be sent.
+	 * @param newDeputy the deputy that it names; empty if none
 	 */
-	public void onRenewalStarted(Optional<Deputy> named) {
-		named.ifPresent(this.unsettled::add);
+	public void onRenewalStarted(Optional<Deputy> newDeputy) {
+		newDeputy.ifPresent(this.unconfirmedDeputies::add);
 	}
 
 	/**
-	 * Takes an acknowledged renewal. It named the row's version, so renewals before it
-	 * whose answers were lost have had no effect and never will.
+	 * Records an acknowledged renewal. Its condition was the row's version, so earlier
+	 * renewals whose answers were lost had no effect and never will.
 	 * @param sentNanos when it was sent
-	 * @param version the row's version that it made
-	 * @param named the deputy that it names
+	 * @param version the row version that it created
+	 * @param newDeputy the deputy that it names; empty if none
 	 */
-	public void onRenewed(long sentNanos, long version, Optional<Deputy> named) {
+	public void onRenewed(long sentNanos, long version, Optional<Deputy> newDeputy) {
 		this.rowVersion = version;
 		this.endNanos = sentNanos + this.timing.lease().toNanos();
-		this.held = sentNanos > this.givenUpNanos;
-		this.deputy = named;
-		this.unsettled.clear();
-		this.promisedUntilNanos.values().removeIf((until) -> until - sentNanos <= 0 || until == FOR_GOOD);
+		this.held = sentNanos > this.relinquishedNanos;
+		this.deputy = newDeputy;
+		this.unconfirmedDeputies.clear();
+		this.promisedUntilNanos.values().removeIf((until) -> until - sentNanos <= 0 || until == NEVER_EXPIRES);
 	}
 
 	/**
-	 * Takes a promise.
-	 * @param from who promised
-	 * @param askedNanos when it was asked for it
+	 * Records a promise. Ignored if it was requested before the lease was relinquished.
+	 * @param from the deputy that gave it
+	 * @param requestedNanos when this instance requested it
 	 */
-	public void onPromise(Deputy from, long askedNanos) {
-		if (askedNanos <= this.givenUpNanos) {
+	public void onPromise(Deputy from, long requestedNanos) {
+		if (requestedNanos <= this.relinquishedNanos) {
 			return;
 		}
-		this.promisedUntilNanos.merge(from, askedNanos + this.timing.promise().toNanos(), Math::max);
+		this.promisedUntilNanos.merge(from, requestedNanos + this.timing.promise().toNanos(), Math::max);
 	}
 
 	/**
-	 * Takes that a process answered for an instance. Another process of the same instance
-	 * is gone then. If its promise was still in force it can't have tried to take
-	 * anything, and never will; if not, a write of its may be under way.
+	 * Records that a process of an instance answered. Any other process of the same
+	 * instance has ended. If that process's promise was still in force, it can't have
+	 * tried to take keys and never will; otherwise one of its writes may still be in
+	 * flight.
 	 * @param answering the process that answered
-	 * @param now the time
+	 * @param now the current time, in nanoseconds
 	 */
 	public void onProcessSeen(Deputy answering, long now) {
 		this.promisedUntilNanos.replaceAll((other, until) -> {
 			boolean replaced = other.instance().equals(answering.instance()) && other.process() != answering.process();
-			return (replaced && now < until) ? FOR_GOOD : until;
+			return (replaced && now < until) ? NEVER_EXPIRES : until;
 		});
 	}
 
 	/**
-	 * Takes that the row is at another version than this instance knew: a write whose
-	 * answer was lost took effect, or another instance took the lease away. The lease
-	 * ends until it is renewed from that version.
-	 * @param version the version that the store showed; 0 if there is no row
+	 * Records that the row has a version unknown to this instance: either a write whose
+	 * answer was lost took effect, or another instance took the lease. The lease ends
+	 * until it is renewed from that version.
+	 * @param version the version in the store; 0 if there is no row
 	 */
 	public void onRowChanged(long version) {
 		this.rowVersion = version;
 		this.held = false;
 		this.deputy = Optional.empty();
-		this.unsettled.clear();
+		this.unconfirmedDeputies.clear();
 	}
 
 	/**
-	 * Gives the lease up, so that the deputy can be told that it is bound no longer.
-	 * Nothing is granted until a renewal that is sent later, and what was promised before
-	 * counts no more.
-	 * @param now the time
+	 * Relinquishes the lease, so that the deputy can be released from its promise.
+	 * Nothing is granted until a later renewal, and earlier promises no longer count.
+	 * @param now the current time, in nanoseconds
 	 */
 	public void relinquish(long now) {
 		this.held = false;
-		this.givenUpNanos = now;
+		this.relinquishedNanos = now;
 		this.promisedUntilNanos.clear();
 	}
 
 	/**
-	 * The version that the next renewal begins from.
+	 * Returns the row version on which the next renewal is conditional.
 	 * @return 0 if there is no row yet
 	 */
 	public long rowVersion() {
@@ -131,7 +132,7 @@
 	}
 
 	/**
-	 * The deputy that the row names, as far as is known.
+	 * Returns the deputy named by the row, as far as known.
 	 * @return empty if none
 	 */
 	public Optional<Deputy> deputy() {
@@ -139,9 +140,9 @@
 	}
 
 	/**
-	 * How long ago the latest renewal that was acknowledged was sent.
-	 * @param now the time
-	 * @return nanoseconds; more than a lease if there was none
+	 * Returns the time since the latest acknowledged renewal was sent.
+	 * @param now the current time, in nanoseconds
+	 * @return nanoseconds; more than the lease duration if the lease isn't held
 	 */
 	public long nanosSinceRenewal(long now) {
 		long lease = this.timing.lease().toNanos();
@@ -149,9 +150,9 @@
 	}
 
 	/**
-	 * How long a promise goes on.
-	 * @param from who gave it
-	 * @param now the time
+	 * Returns the remaining time of a promise.
+	 * @param from the deputy that gave it
+	 * @param now the current time, in nanoseconds
 	 * @return nanoseconds; 0 if there is none
 	 */
 	public long promiseRemainingNanos(Deputy from, long now) {
@@ -159,8 +160,8 @@
 	}
 
 	/**
-	 * How long the lease goes on.
-	 * @param now the time
+	 * Returns the remaining time of the lease.
+	 * @param now the current time, in nanoseconds
 	 * @return nanoseconds; 0 if it isn't held
 	 */
 	public long remainingNanos(long now) {
@@ -171,7 +172,7 @@
 		if (this.deputy.isPresent()) {
 			remaining = Math.min(remaining, promiseRemainingNanos(this.deputy.get(), now));
 		}
-		for (Deputy other : this.unsettled) {
+		for (Deputy other : this.unconfirmedDeputies) {
 			remaining = Math.min(remaining, promiseRemainingNanos(other, now));
 		}
 		return Math.max(0, remaining);
--- a/core/src/main/java/org/brasspier/core/keys/PromiseTracker.java
+++ b/core/src/main/java/org/brasspier/core/keys/PromiseTracker.java
@@ -6,9 +6,9 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * What this process has promised to holders that name it as their deputy: not to take
- * their keys for a while. All times are nanoseconds of a clock that also runs while the
- * machine is suspended. Not thread-safe.
+ * Tracks the promises of this process, as a deputy, to holders: not to take their keys
+ * for some time. All times are nanoseconds of a clock that also runs while the machine is
+ * suspended. Not thread-safe.
  */
 public final class PromiseTracker {
 
@@ -16,27 +16,27 @@
 
 	private final Map<InstanceId, Long> boundUntilNanos = new HashMap<>();
 
-	private final Map<InstanceId, Long> attempted = new HashMap<>();
+	private final Map<InstanceId, Long> attemptedVersions = new HashMap<>();
 
 	/**
-	 * Creates a book without promises.
-	 * @param timing the times
+	 * Creates a tracker without promises.
+	 * @param timing the lease and promise durations
 	 */
 	public PromiseTracker(LeaseTiming timing) {
 		this.timing = timing;
 	}
 
 	/**
-	 * Promises a holder to leave its keys alone. Refused once this process has tried to
-	 * take them from the lease row that the holder goes by: the store may carry that
-	 * write out seconds after it was sent, and only a newer row makes it fail.
+	 * Promises a holder not to take its keys. Refused once this process has tried to take
+	 * them at the holder's lease row version: the store may apply that write seconds
+	 * after it was sent, and only a newer row makes it fail.
 	 * @param holder the holder
-	 * @param rowVersion the version of its lease row as it knows it
-	 * @param now the time
-	 * @return whether it is promised
+	 * @param rowVersion the version of its lease row as known to the holder
+	 * @param now the current time, in nanoseconds
+	 * @return whether the promise was given
 	 */
 	public boolean promise(InstanceId holder, long rowVersion, long now) {
-		Long tried = this.attempted.get(holder);
+		Long tried = this.attemptedVersions.get(holder);
 		if (tried != null && tried >= rowVersion) {
 			return false;
 		}
@@ -45,7 +45,7 @@
 	}
 
 	/**
-	 * Takes that a holder needs no promise any more: it grants nothing.
+	 * Withdraws the promise to a holder that grants nothing any more.
 	 * @param holder the holder
 	 */
 	public void release(InstanceId holder) {
@@ -53,10 +53,10 @@
 	}
 
 	/**
-	 * Whether a promise to a holder is in force.
+	 * Returns whether a promise to a holder is in force.
 	 * @param holder the holder
-	 * @param now the time
-	 * @return true if its keys must be left alone
+	 * @param now the current time, in nanoseconds
+	 * @return true if this process must not take its keys
 	 */
 	public boolean isBound(InstanceId holder, long now) {
 		Long until = this.boundUntilNanos.get(holder);
@@ -64,12 +64,12 @@
 	}
 
 	/**
-	 * Takes that a write is about to be sent that takes a holder's keys.
+	 * Records that a write that takes a holder's keys is about to be sent.
 	 * @param holder the holder
-	 * @param rowVersion the version of its lease row that the write names
+	 * @param rowVersion the version of its lease row on which the write is conditional
 	 */
 	public void recordTakeoverAttempt(InstanceId holder, long rowVersion) {
-		this.attempted.merge(holder, rowVersion, Math::max);
+		this.attemptedVersions.merge(holder, rowVersion, Math::max);
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/keys/package-info.java
+++ b/core/src/main/java/org/brasspier/core/keys/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Which backend server holds which keys of a service that is divided by key, who may move
- * them, and what a daemon may grant to the backend server beside it. No input, output,
- * clock or thread: times are passed in.
+ * Assigns the keys of a sharded service to backend servers, decides who may move them,
+ * and what a daemon may grant to its local backend server. Performs no I/O, reads no
+ * clock and starts no threads: callers pass the time in.
  */
 @NullMarked
 package org.brasspier.core.keys;
--- a/core/src/test/java/org/brasspier/core/keys/DeputyLeaseTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/DeputyLeaseTests.java
@@ -14,46 +14,45 @@
 
 	private static final Deputy DEPUTY = new Deputy(B, 5);
 
-	private static final Deputy NEXT = new Deputy(C, 6);
+	private static final Deputy OTHER_DEPUTY = new Deputy(C, 6);
 
 	private final OwnLease lease = new OwnLease(TIMING);
 
 	private final PromiseTracker promises = new PromiseTracker(TIMING);
 
-	private final LeaseMonitor watch = new LeaseMonitor(TIMING, DEPUTY, this.promises);
+	private final LeaseMonitor monitor = new LeaseMonitor(TIMING, DEPUTY, this.promises);
 
 	/**
-	 * An instance is lost. Its deputy has heard nothing since its last promise and takes
-	 * the keys as that ends. Waiting for the whole lease instead left a quarter of all
-	 * keys unserved for eleven seconds.
+	 * Guards against waiting for the whole lease of a lost instance although its deputy's
+	 * last promise has ended: a quarter of all keys were unserved for eleven seconds.
 	 */
 	@Test
-	void aLostHoldersKeysAreFreeForItsDeputyOnceThePromiseHasEnded() {
+	void deputyCanTakeKeysOfLostHolderWhenItsPromiseHasEnded() {
 		this.promises.promise(A, 7, 0);
-		this.watch.onRowsRead(Map.of(A, LeaseRow.of(7, Optional.of(DEPUTY))), millis(100));
-		assertThat(this.watch.endedRowVersion(A, PROMISE)).isEmpty();
-		assertThat(this.watch.endedRowVersion(A, TIMING.plusDrift(PROMISE))).hasValue(7L);
-		assertThat(this.watch.anySuspect(Set.of(A), TIMING.plusDrift(PROMISE))).isTrue();
+		this.monitor.onRowsRead(Map.of(A, LeaseRow.of(7, Optional.of(DEPUTY))), millis(100));
+		assertThat(this.monitor.endedRowVersion(A, PROMISE)).isEmpty();
+		assertThat(this.monitor.endedRowVersion(A, TIMING.plusDrift(PROMISE))).hasValue(7L);
+		assertThat(this.monitor.anySuspect(Set.of(A), TIMING.plusDrift(PROMISE))).isTrue();
 	}
 
 	@Test
-	void nobodyButTheDeputyTakesKeysBeforeTheLeaseHasEnded() {
-		this.watch.onRowsRead(Map.of(A, LeaseRow.of(7, Optional.of(NEXT))), 0);
-		assertThat(this.watch.endedRowVersion(A, millis(9_000))).isEmpty();
+	void onlyTheDeputyCanTakeKeysBeforeTheLeaseHasEnded() {
+		this.monitor.onRowsRead(Map.of(A, LeaseRow.of(7, Optional.of(OTHER_DEPUTY))), 0);
+		assertThat(this.monitor.endedRowVersion(A, millis(9_000))).isEmpty();
 	}
 
 	/**
-	 * A deputy's daemon restarts and is named by its predecessor's number. It has
-	 * forgotten what was promised, so it is nobody's deputy.
+	 * Guards against takeovers by a restarted deputy: the row names the previous process,
+	 * whose promises the new one doesn't know.
 	 */
 	@Test
-	void aProcessThatHasForgottenItsPromisesIsNoDeputy() {
-		this.watch.onRowsRead(Map.of(A, LeaseRow.of(7, Optional.of(new Deputy(B, 4)))), 0);
-		assertThat(this.watch.endedRowVersion(A, millis(9_000))).isEmpty();
+	void restartedProcessIsNotTheDeputyNamedBefore() {
+		this.monitor.onRowsRead(Map.of(A, LeaseRow.of(7, Optional.of(new Deputy(B, 4)))), 0);
+		assertThat(this.monitor.endedRowVersion(A, millis(9_000))).isEmpty();
 	}
 
 	@Test
-	void aLeaseThatNamesADeputyEndsWithThePromiseCountedFromTheAsking() {
+	void leaseWithDeputyEndsWithThePromiseCountedFromItsRequest() {
 		this.lease.onPromise(DEPUTY, millis(100));
 		this.lease.onRenewed(millis(200), 7, Optional.of(DEPUTY));
 		assertThat(this.lease.remainingNanos(millis(200))).isEqualTo(PROMISE - millis(100));
@@ -61,11 +60,11 @@
 	}
 
 	/**
-	 * The store is away for eight seconds. The holder can't renew, but its deputy goes on
-	 * promising, so the keys are served on until the whole lease ends.
+	 * During a store outage of eight seconds the holder can't renew, but its deputy
+	 * continues to promise. The keys must be served until the whole lease ends.
 	 */
 	@Test
-	void aHolderGoesOnWithoutTheStoreAsLongAsItsDeputyPromises() {
+	void holderKeepsItsLeaseDuringStoreOutageWhileItsDeputyPromises() {
 		this.lease.onPromise(DEPUTY, 0);
 		this.lease.onRenewed(0, 7, Optional.of(DEPUTY));
 		for (long at = 0; at < 9_000; at += 500) {
@@ -76,28 +75,29 @@
 	}
 
 	/**
-	 * The answer to a renewal that names another deputy is lost. Either deputy may be in
-	 * the row, so the lease must end with whichever promise ends first.
+	 * The answer to a renewal that names another deputy is lost, so the row may name
+	 * either deputy. The lease must end with whichever promise ends first.
 	 */
 	@Test
-	void aRenewalOfUnknownOutcomeBindsTheHolderToBothDeputies() {
+	void renewalWithUnknownOutcomeLimitsTheLeaseToBothPromises() {
 		this.lease.onPromise(DEPUTY, 0);
 		this.lease.onRenewed(0, 7, Optional.of(DEPUTY));
 		this.lease.onPromise(DEPUTY, millis(3_000));
-		this.lease.onPromise(NEXT, millis(1_000));
-		this.lease.onRenewalStarted(Optional.of(NEXT));
+		this.lease.onPromise(OTHER_DEPUTY, millis(1_000));
+		this.lease.onRenewalStarted(Optional.of(OTHER_DEPUTY));
 		assertThat(this.lease.remainingNanos(millis(3_000))).isEqualTo(PROMISE - millis(2_000));
 		this.lease.onRenewed(millis(3_200), 8, Optional.of(DEPUTY));
 		assertThat(this.lease.remainingNanos(millis(3_200))).isEqualTo(PROMISE - millis(200));
 	}
 
 	/**
-	 * The deputy sends the write that takes the keys, and the store is slow to carry it
-	 * out. The holder, whose link to the deputy was cut, asks again. A promise now would
-	 * let it grant keys that change hands a second later.
+	 * Guards against keys with two holders: the deputy has sent its takeover write, the
+	 * store applies it late, and the holder, whose link to the deputy was cut, requests
+	 * another promise. A promise now would let the holder grant keys that change holder a
+	 * second later.
 	 */
 	@Test
-	void aDeputyThatHasTriedToTakeKeysPromisesNothingUntilTheLeaseIsRenewed() {
+	void deputyRefusesPromisesAfterTakeoverAttemptUntilTheLeaseIsRenewed() {
 		assertThat(this.promises.promise(A, 7, 0)).isTrue();
 		this.promises.recordTakeoverAttempt(A, 7);
 		assertThat(this.promises.promise(A, 7, millis(5_000))).isFalse();
@@ -105,29 +105,29 @@
 	}
 
 	/**
-	 * A backend server ends while the store is away, and so does the daemon beside it. It
-	 * says so to its deputy, which takes the keys as the store returns; without that they
-	 * were unserved for four seconds more.
+	 * A backend server stops during a store outage, and so does its local daemon. The
+	 * daemon releases the deputy from its promise, and the deputy takes the keys when the
+	 * store returns. Without the release they were unserved for four seconds longer.
 	 */
 	@Test
-	void aHolderThatGivesUpFreesItsKeysAtOnce() {
+	void relinquishedLeaseFreesKeysImmediately() {
 		this.lease.onPromise(DEPUTY, 0);
 		this.lease.onRenewed(0, 7, Optional.of(DEPUTY));
 		this.promises.promise(A, 7, 0);
-		this.watch.onRowsRead(Map.of(A, LeaseRow.of(7, Optional.of(DEPUTY))), millis(100));
+		this.monitor.onRowsRead(Map.of(A, LeaseRow.of(7, Optional.of(DEPUTY))), millis(100));
 		this.lease.relinquish(millis(150));
 		this.promises.release(A);
 		assertThat(this.lease.remainingNanos(millis(200))).isEqualTo(0);
-		assertThat(this.watch.endedRowVersion(A, millis(200))).hasValue(7L);
+		assertThat(this.monitor.endedRowVersion(A, millis(200))).hasValue(7L);
 	}
 
 	/**
-	 * The server is back at once, and the lease is renewed. The deputy was told that it
-	 * is bound no longer, so an answer of its from before must not count, nor a renewal
-	 * that was under way.
+	 * The server returns immediately and the lease is renewed. The deputy was released
+	 * from its promise, so neither an earlier answer of the deputy nor a renewal that was
+	 * in flight may count.
 	 */
 	@Test
-	void whatWasPromisedBeforeALeaseWasGivenUpCountsNoMore() {
+	void promisesAndRenewalsSentBeforeRelinquishingDoNotCount() {
 		this.lease.onPromise(DEPUTY, 0);
 		this.lease.onRenewed(0, 7, Optional.of(DEPUTY));
 		this.lease.relinquish(millis(150));
@@ -141,11 +141,11 @@
 	}
 
 	/**
-	 * The store is away and the deputy's daemon restarts. The process that promised is
-	 * gone and can't take anything, so the holder goes on to the end of its lease.
+	 * The deputy's daemon restarts during a store outage. The process that promised has
+	 * ended and can't take any keys, so the holder keeps its lease to the end.
 	 */
 	@Test
-	void aDeputyThatWasReplacedBeforeItsPromiseEndedBindsNobody() {
+	void deputyReplacedDuringItsPromiseNoLongerLimitsTheLease() {
 		this.lease.onPromise(DEPUTY, 0);
 		this.lease.onRenewed(0, 7, Optional.of(DEPUTY));
 		this.lease.onProcessSeen(new Deputy(B, 99), millis(2_000));
@@ -153,11 +153,11 @@
 	}
 
 	/**
-	 * The same, but the new process answers only after the old one's promise had ended:
-	 * the old one may have sent a write before it went, so the lease stays ended.
+	 * The new process answers only after the promise of the old one has ended. The old
+	 * process may have sent a takeover write before it ended, so the lease stays ended.
 	 */
 	@Test
-	void aDeputyThatWasReplacedAfterItsPromiseEndedMayHaveTakenTheKeys() {
+	void deputyReplacedAfterItsPromiseStillEndsTheLease() {
 		this.lease.onPromise(DEPUTY, 0);
 		this.lease.onRenewed(0, 7, Optional.of(DEPUTY));
 		this.lease.onProcessSeen(new Deputy(B, 99), PROMISE);
--- a/core/src/test/java/org/brasspier/core/keys/GrantCallSchedulerTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/GrantCallSchedulerTests.java
@@ -11,58 +11,58 @@
 
 	private static final long LEASE = TIMING.lease().toNanos();
 
-	/** No process before this one can have granted anything that still lasts. */
-	private static final long LATER = TIMING.plusDrift(TIMING.hold().toNanos());
+	/** Time after which grants of a previous process have expired. */
+	private static final long AFTER_PREDECESSOR_NANOS = TIMING.plusDrift(TIMING.hold().toNanos());
 
 	private final KeyMap map = KeyMap.initial(holders(A, B));
 
-	private final GrantTracker book = new GrantTracker(A, TIMING, 0);
+	private final GrantTracker tracker = new GrantTracker(A, TIMING, 0);
 
-	private final GrantCallScheduler calls = new GrantCallScheduler(this.book);
+	private final GrantCallScheduler scheduler = new GrantCallScheduler(this.tracker);
 
 	private final KeyHolding own = this.map.heldBy(A).get(0);
 
-	private List<GrantCall> due(KeyMap known, long now) {
-		return this.calls.dueCalls(known, holder(A).incarnation(), LEASE, now);
+	private List<GrantCall> due(KeyMap current, long now) {
+		return this.scheduler.dueCalls(current, holder(A).incarnation(), LEASE, now);
 	}
 
-	private KeyMap leaving() {
+	private KeyMap mapWithPlannedMove() {
 		return this.map.withPlannedMoves(Map.of(this.own.span(), B));
 	}
 
-	private KeyHolding leavingHolding() {
-		return leaving().holding(this.own.span().from());
+	private KeyHolding movingHolding() {
+		return mapWithPlannedMove().holding(this.own.span().from());
 	}
 
 	private void grantAll(long now) {
 		for (List<GrantCall> next = due(this.map, now); !next.isEmpty(); next = due(this.map, now)) {
-			next.forEach((call) -> this.calls.onGranted((GrantCall.Grant) call, now, now));
+			next.forEach((call) -> this.scheduler.onGranted((GrantCall.Grant) call, now, now));
 		}
 	}
 
 	private GrantCall.Release release(long now) {
-		return (GrantCall.Release) due(leaving(), now).stream()
+		return (GrantCall.Release) due(mapWithPlannedMove(), now).stream()
 			.filter((call) -> call instanceof GrantCall.Release)
 			.findFirst()
 			.orElseThrow();
 	}
 
 	private boolean usable(long now) {
-		return this.book.usable(this.own.span().from(), this.own, holder(A).incarnation(), now);
+		return this.tracker.usable(this.own.span().from(), this.own, holder(A).incarnation(), now);
 	}
 
 	@Test
-	void keysAreUsedOnceTheirGrantIsAnswered() {
+	void keyIsUsableAfterItsGrantIsAnswered() {
 		GrantCall.Grant grant = (GrantCall.Grant) due(this.map, 0).get(0);
 		assertThat(usable(millis(1))).isFalse();
-		this.calls.onGranted(grant, 0, millis(2));
-		assertThat(this.book.usable(grant.span().from(), this.map.holding(grant.span().from()), holder(A).incarnation(),
-				millis(3)))
+		this.scheduler.onGranted(grant, 0, millis(2));
+		assertThat(this.tracker.usable(grant.span().from(), this.map.holding(grant.span().from()),
+				holder(A).incarnation(), millis(3)))
 			.isTrue();
 	}
 
 	@Test
-	void aGrantIsNotSentAgainWhileItIsUnderWayOrFresh() {
+	void grantIsNotSentAgainWhileItIsPendingOrFresh() {
 		grantAll(0);
 		assertThat(due(this.map, millis(1000))).isEmpty();
 		assertThat(due(this.map, millis(2000))).isNotEmpty();
@@ -70,97 +70,101 @@
 	}
 
 	@Test
-	void nothingIsGrantedOnceTheLeaseHasRunOut() {
-		assertThat(this.calls.dueCalls(this.map, holder(A).incarnation(), 0, 0)).isEmpty();
+	void nothingIsGrantedAfterTheLeaseHasEnded() {
+		assertThat(this.scheduler.dueCalls(this.map, holder(A).incarnation(), 0, 0)).isEmpty();
 	}
 
 	@Test
-	void aHoldThatBeginsWhenItsCallArrivesEndsWithinTheLease() {
-		GrantCall.Grant grant = (GrantCall.Grant) this.calls
+	void holdThatStartsAtArrivalEndsWithinTheLease() {
+		GrantCall.Grant grant = (GrantCall.Grant) this.scheduler
 			.dueCalls(this.map, holder(A).incarnation(), millis(2000), 0)
 			.get(0);
 		assertThat(TIMING.plusDrift(grant.hold().toNanos())).isAtMost(millis(1500));
 	}
 
 	@Test
-	void keysThatAreToLeaveAreReleasedAndNoLongerUsed() {
-		grantAll(LATER);
-		GrantCall.Release release = release(LATER + millis(10));
+	void movingKeysAreReleasedAndNoLongerUsable() {
+		grantAll(AFTER_PREDECESSOR_NANOS);
+		GrantCall.Release release = release(AFTER_PREDECESSOR_NANOS + millis(10));
 		assertThat(release.span()).isEqualTo(this.own.span());
-		assertThat(usable(LATER + millis(11))).isFalse();
-		assertThat(this.book.released(leavingHolding(), LATER + millis(11))).isEmpty();
-		this.calls.onReleased(release, "token");
-		assertThat(this.book.released(leavingHolding(), LATER + millis(12))).hasValue("token");
+		assertThat(usable(AFTER_PREDECESSOR_NANOS + millis(11))).isFalse();
+		assertThat(this.tracker.released(movingHolding(), AFTER_PREDECESSOR_NANOS + millis(11))).isEmpty();
+		this.scheduler.onReleased(release, "token");
+		assertThat(this.tracker.released(movingHolding(), AFTER_PREDECESSOR_NANOS + millis(12))).hasValue("token");
 	}
 
-	/** Guards against a grant that takes effect after the keys were released. */
+	/** Guards against a grant that takes effect after its keys were released. */
 	@Test
-	void keysWhoseGrantWasNotAnsweredWaitUntilItHasRunOutDespiteTheirRelease() {
-		GrantCall.Grant grant = (GrantCall.Grant) due(this.map, LATER).get(0);
+	void keysWithUnansweredGrantWaitForItsExpiryDespiteTheirRelease() {
+		GrantCall.Grant grant = (GrantCall.Grant) due(this.map, AFTER_PREDECESSOR_NANOS).get(0);
 		assertThat(grant.span()).isEqualTo(this.own.span());
-		assertThat(this.calls.isGrantPending(this.own.span())).isTrue();
-		this.calls.onUnanswered(grant, LATER + millis(400));
-		this.calls.onReleased(release(LATER + millis(700)), "token");
-		long end = LATER + millis(400) + TIMING.plusDrift(grant.hold().toNanos());
-		assertThat(this.book.released(leavingHolding(), end - 1)).isEmpty();
-		assertThat(this.book.released(leavingHolding(), end)).hasValue("token");
+		assertThat(this.scheduler.isGrantPending(this.own.span())).isTrue();
+		this.scheduler.onUnanswered(grant, AFTER_PREDECESSOR_NANOS + millis(400));
+		this.scheduler.onReleased(release(AFTER_PREDECESSOR_NANOS + millis(700)), "token");
+		long end = AFTER_PREDECESSOR_NANOS + millis(400) + TIMING.plusDrift(grant.hold().toNanos());
+		assertThat(this.tracker.released(movingHolding(), end - 1)).isEmpty();
+		assertThat(this.tracker.released(movingHolding(), end)).hasValue("token");
 	}
 
-	/** Guards against an unanswered grant of the process before this one. */
+	/** Guards against an unanswered grant of the previous process. */
 	@Test
-	void aNewProcessWaitsDespiteAReleaseForWhatItsPredecessorMayHaveGranted() {
-		this.calls.onReleased(release(millis(10)), "token");
-		assertThat(this.book.released(leavingHolding(), LATER - 1)).isEmpty();
-		assertThat(this.book.released(leavingHolding(), LATER)).hasValue("token");
+	void newProcessWaitsForGrantsOfItsPredecessorDespiteARelease() {
+		this.scheduler.onReleased(release(millis(10)), "token");
+		assertThat(this.tracker.released(movingHolding(), AFTER_PREDECESSOR_NANOS - 1)).isEmpty();
+		assertThat(this.tracker.released(movingHolding(), AFTER_PREDECESSOR_NANOS)).hasValue("token");
 	}
 
 	/** Guards against a release that overtakes a grant on another connection. */
 	@Test
-	void keysAreReleasedOnlyAfterTheirGrantHasEnded() {
-		due(this.map, LATER);
-		assertThat(due(leaving(), LATER + millis(1)).stream().map(GrantCall::span).toList())
+	void releaseIsNotSentWhileAGrantOfTheKeysIsPending() {
+		due(this.map, AFTER_PREDECESSOR_NANOS);
+		assertThat(
+				due(mapWithPlannedMove(), AFTER_PREDECESSOR_NANOS + millis(1)).stream().map(GrantCall::span).toList())
 			.doesNotContain(this.own.span());
 	}
 
 	@Test
-	void aReleaseWithoutAnAnswerIsOverWhenTheHoldHasRunOut() {
-		grantAll(LATER);
-		GrantCall.Release release = release(LATER + millis(10));
-		this.calls.onUnanswered(release, LATER + millis(400));
-		long end = LATER + TIMING.plusDrift(TIMING.hold().toNanos());
-		assertThat(this.book.released(leavingHolding(), end - 1)).isEmpty();
-		assertThat(this.book.released(leavingHolding(), end)).hasValue("");
+	void unansweredReleaseCompletesWhenTheHoldHasExpired() {
+		grantAll(AFTER_PREDECESSOR_NANOS);
+		GrantCall.Release release = release(AFTER_PREDECESSOR_NANOS + millis(10));
+		this.scheduler.onUnanswered(release, AFTER_PREDECESSOR_NANOS + millis(400));
+		long end = AFTER_PREDECESSOR_NANOS + TIMING.plusDrift(TIMING.hold().toNanos());
+		assertThat(this.tracker.released(movingHolding(), end - 1)).isEmpty();
+		assertThat(this.tracker.released(movingHolding(), end)).hasValue("");
 	}
 
 	@Test
-	void keysThatAreToStayAfterAllAreGrantedAgainWithWhatTheirServerHandedOver() {
-		grantAll(LATER);
-		this.calls.onReleased(release(LATER + millis(10)), "token");
-		GrantCall again = due(this.map, LATER + millis(20)).get(0);
-		assertThat(again.span()).isEqualTo(this.own.span());
-		assertThat(((GrantCall.Grant) again).handover()).isEqualTo("token");
+	void keysWhoseMoveIsCancelledAreGrantedAgainWithTheirHandover() {
+		grantAll(AFTER_PREDECESSOR_NANOS);
+		this.scheduler.onReleased(release(AFTER_PREDECESSOR_NANOS + millis(10)), "token");
+		GrantCall second = due(this.map, AFTER_PREDECESSOR_NANOS + millis(20)).get(0);
+		assertThat(second.span()).isEqualTo(this.own.span());
+		assertThat(((GrantCall.Grant) second).handover()).isEqualTo("token");
 	}
 
 	/**
-	 * Guards against keys that stay unserved because their server has seen a higher
+	 * Guards against keys that remain unserved because their server has seen a higher
 	 * fence.
 	 */
 	@Test
-	void aSupersededGrantAsksForANewFence() {
-		GrantCall.Grant grant = (GrantCall.Grant) due(this.map, LATER).get(0);
-		this.calls.onSuperseded(grant, LATER + millis(1));
-		assertThat(this.calls.needsNewFence(this.own)).isTrue();
-		assertThat(this.book.usable(this.own.span().from(), this.own, holder(A).incarnation(), LATER + millis(2)))
+	void supersededGrantNeedsANewFence() {
+		GrantCall.Grant grant = (GrantCall.Grant) due(this.map, AFTER_PREDECESSOR_NANOS).get(0);
+		this.scheduler.onSuperseded(grant, AFTER_PREDECESSOR_NANOS + millis(1));
+		assertThat(this.scheduler.needsNewFence(this.own)).isTrue();
+		assertThat(this.tracker.usable(this.own.span().from(), this.own, holder(A).incarnation(),
+				AFTER_PREDECESSOR_NANOS + millis(2)))
 			.isFalse();
 	}
 
 	@Test
-	void aServerThatStartedAgainIsGrantedItsKeysUnderItsNewLife() {
-		grantAll(LATER);
-		KeyHolder again = new KeyHolder(A, new BackendIncarnation(holder(A).incarnation().id(), 2));
-		KeyMap renewed = KeyPlanner.reassignToIncarnation(this.map, again).orElseThrow();
-		GrantCall first = this.calls.dueCalls(renewed, again.incarnation(), LEASE, LATER + millis(10)).get(0);
-		assertThat(first.incarnation()).isEqualTo(again.incarnation());
+	void restartedServerIsGrantedItsKeysAsNewIncarnation() {
+		grantAll(AFTER_PREDECESSOR_NANOS);
+		KeyHolder second = new KeyHolder(A, new BackendIncarnation(holder(A).incarnation().id(), 2));
+		KeyMap renewed = KeyPlanner.reassignToIncarnation(this.map, second).orElseThrow();
+		GrantCall first = this.scheduler
+			.dueCalls(renewed, second.incarnation(), LEASE, AFTER_PREDECESSOR_NANOS + millis(10))
+			.get(0);
+		assertThat(first.incarnation()).isEqualTo(second.incarnation());
 		assertThat(first.fence().value()).isAtLeast(this.map.nextFence());
 	}
 
--- a/core/src/test/java/org/brasspier/core/keys/GrantModel.java
+++ b/core/src/test/java/org/brasspier/core/keys/GrantModel.java
@@ -16,10 +16,10 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * Daemons that grant keys to the servers beside them while the keys move to and fro.
- * Calls and heartbeats are lost, answered late, or carried out seconds after they were
- * given up; daemons and servers start again. Leases are taken to go on, since
- * {@link LeaseModel} plays those. Time is in nanoseconds.
+ * Simulates daemons that grant keys to their local servers while the keys move. Calls and
+ * heartbeats are lost, answered late, or applied seconds after they were abandoned;
+ * daemons and servers restart. Leases never end, since {@link LeaseModel} covers those.
+ * Time is in nanoseconds.
  */
 final class GrantModel {
 
@@ -31,16 +31,16 @@
 
 	private static final long STEP = Duration.ofMillis(100).toNanos();
 
-	private static final long BEAT = Duration.ofMillis(870).toNanos();
+	private static final long HEARTBEAT_INTERVAL = Duration.ofMillis(870).toNanos();
 
 	private static final long CALL_TIMEOUT = Duration.ofMillis(400).toNanos();
 
 	private static final long RELEASE_TIMEOUT = Duration.ofSeconds(5).toNanos();
 
-	/** More of them say nothing new. */
-	private static final int MOST_VIOLATIONS = 10;
+	/** Further violations add no information. */
+	private static final int MAX_VIOLATIONS = 10;
 
-	private static final long DAY = Duration.ofSeconds(60).toNanos();
+	private static final long RUN_TIME = Duration.ofSeconds(60).toNanos();
 
 	private final SplittableRandom random;
 
@@ -70,10 +70,10 @@
 		this.map = KeyMap.initial(this.instances.stream().map(Instance::holder).toList());
 	}
 
-	void play() {
+	void run() {
 		this.instances.forEach(Instance::start);
 		after(millis(500, 1_000), this::planMove);
-		while (!this.events.isEmpty() && this.now < DAY) {
+		while (!this.events.isEmpty() && this.now < RUN_TIME) {
 			Event next = this.events.poll();
 			this.now = next.at;
 			next.action.run();
@@ -116,14 +116,14 @@
 
 	private void check() {
 		for (int key = 0; key <= KeySpan.LAST_KEY; key += 1_024) {
-			int probe = key;
+			int sampledKey = key;
 			List<InstanceId> holding = this.instances.stream()
-				.filter((instance) -> instance.holds(probe))
+				.filter((instance) -> instance.holds(sampledKey))
 				.map((instance) -> instance.id)
 				.toList();
-			if (holding.size() > 1 && this.violations.size() < MOST_VIOLATIONS) {
-				this.violations
-					.add("key %d held by %s at %d ms".formatted(probe, holding, Duration.ofNanos(this.now).toMillis()));
+			if (holding.size() > 1 && this.violations.size() < MAX_VIOLATIONS) {
+				this.violations.add("key %d held by %s at %d ms".formatted(sampledKey, holding,
+						Duration.ofNanos(this.now).toMillis()));
 			}
 		}
 	}
@@ -132,17 +132,17 @@
 	}
 
 	/**
-	 * Keys in a server's hands.
+	 * Keys held by a server.
 	 *
 	 * @param span the keys
 	 * @param fence their fence
-	 * @param until when the hold ends by the server's clock
+	 * @param until when the hold expires by the server's clock
 	 */
 	private record Held(KeySpan span, long fence, long until) {
 	}
 
 	/**
-	 * A daemon and the server beside it.
+	 * A daemon and its local server.
 	 */
 	private final class Instance {
 
@@ -150,43 +150,43 @@
 
 		private final Map<KeySpan, Held> server = new HashMap<>();
 
-		private final Map<KeySpan, Long> seen = new HashMap<>();
+		private final Map<KeySpan, Long> seenFences = new HashMap<>();
 
-		private final Set<ReleasedKeys> freed = new HashSet<>();
+		private final Set<ReleasedKeys> unacknowledgedReleases = new HashSet<>();
 
-		private int born = 1;
+		private int startCount = 1;
 
-		private GrantTracker book;
+		private GrantTracker tracker;
 
-		private GrantCallScheduler calls;
+		private GrantCallScheduler scheduler;
 
 		Instance(int index) {
 			this.id = new InstanceId("instance-" + index);
-			this.book = new GrantTracker(this.id, TIMING, 0);
-			this.calls = new GrantCallScheduler(this.book);
+			this.tracker = new GrantTracker(this.id, TIMING, 0);
+			this.scheduler = new GrantCallScheduler(this.tracker);
 		}
 
 		KeyHolder holder() {
-			return new KeyHolder(this.id, new BackendIncarnation("server", this.born));
+			return new KeyHolder(this.id, new BackendIncarnation("server", this.startCount));
 		}
 
 		void start() {
 			after(millis(0, 100), this::step);
-			after(millis(0, 800), this::beat);
+			after(millis(0, 800), this::heartbeat);
 			after(millis(5_000, 40_000), this::restartDaemon);
 			after(millis(5_000, 40_000), this::restartServer);
 		}
 
 		private void restartDaemon() {
-			this.book = new GrantTracker(this.id, TIMING, GrantModel.this.now);
-			this.calls = new GrantCallScheduler(this.book);
+			this.tracker = new GrantTracker(this.id, TIMING, GrantModel.this.now);
+			this.scheduler = new GrantCallScheduler(this.tracker);
 		}
 
 		private void restartServer() {
 			this.server.clear();
-			this.seen.clear();
-			this.freed.clear();
-			this.born++;
+			this.seenFences.clear();
+			this.unacknowledgedReleases.clear();
+			this.startCount++;
 			GrantModel.this.map = KeyPlanner.reassignToIncarnation(GrantModel.this.map, holder())
 				.orElse(GrantModel.this.map);
 		}
@@ -200,18 +200,18 @@
 		private void step() {
 			after(STEP, this::step);
 			if (GrantModel.this.delivery instanceof GrantDelivery.ByCall) {
-				this.calls.dueCalls(GrantModel.this.map, holder().incarnation(), LEASE, GrantModel.this.now)
+				this.scheduler.dueCalls(GrantModel.this.map, holder().incarnation(), LEASE, GrantModel.this.now)
 					.forEach(this::call);
 			}
-			handOver();
+			moveReleasedKeys();
 		}
 
-		private void handOver() {
+		private void moveReleasedKeys() {
 			for (KeyHolding held : GrantModel.this.map.heldBy(this.id)) {
-				if (held.nextHolder().isEmpty() || this.calls.isGrantPending(held.span())) {
+				if (held.nextHolder().isEmpty() || this.scheduler.isGrantPending(held.span())) {
 					continue;
 				}
-				this.book.released(held, GrantModel.this.now).ifPresent((handover) -> {
+				this.tracker.released(held, GrantModel.this.now).ifPresent((handover) -> {
 					Instance next = GrantModel.this.instances.stream()
 						.filter((other) -> held.nextHolder().equals(Optional.of(other.id)))
 						.findFirst()
@@ -224,53 +224,54 @@
 		}
 
 		private void call(GrantCall call) {
-			GrantCallScheduler by = this.calls;
-			int livedBy = this.born;
+			GrantCallScheduler sender = this.scheduler;
+			int sentTo = this.startCount;
 			long sent = GrantModel.this.now;
 			boolean lost = chance(25);
 			switch (call) {
 				case GrantCall.Grant grant -> {
 					long delay = lost ? millis(10, 6_000) : millis(1, 20);
 					after(delay, () -> {
-						boolean accepted = livedBy == this.born && apply(grant, sent);
+						boolean accepted = sentTo == this.startCount && apply(grant, sent);
 						if (!lost) {
-							after(millis(1, 5), () -> answered(by, grant, accepted, sent));
+							after(millis(1, 5), () -> answered(sender, grant, accepted, sent));
 						}
 					});
 					if (lost) {
-						after(CALL_TIMEOUT, () -> by.onUnanswered(grant, GrantModel.this.now));
+						after(CALL_TIMEOUT, () -> sender.onUnanswered(grant, GrantModel.this.now));
 					}
 				}
 				case GrantCall.Release release -> {
-					this.server.values().removeIf((held) -> release.span().overlaps(held.span) && livedBy == this.born);
+					this.server.values()
+						.removeIf((held) -> release.span().overlaps(held.span) && sentTo == this.startCount);
 					if (lost) {
-						after(RELEASE_TIMEOUT, () -> by.onUnanswered(release, GrantModel.this.now));
+						after(RELEASE_TIMEOUT, () -> sender.onUnanswered(release, GrantModel.this.now));
 					}
 					else {
-						after(millis(1, 300), () -> by.onReleased(release, "token"));
+						after(millis(1, 300), () -> sender.onReleased(release, "token"));
 					}
 				}
 			}
 		}
 
-		private void answered(GrantCallScheduler by, GrantCall.Grant grant, boolean accepted, long sent) {
+		private void answered(GrantCallScheduler sender, GrantCall.Grant grant, boolean accepted, long sent) {
 			if (accepted) {
-				by.onGranted(grant, sent, GrantModel.this.now);
+				sender.onGranted(grant, sent, GrantModel.this.now);
 			}
 			else {
-				by.onSuperseded(grant, GrantModel.this.now);
+				sender.onSuperseded(grant, GrantModel.this.now);
 			}
 		}
 
-		// Counted from when the call arrived, by a clock that runs up to 2 % slow.
+		// The hold starts when the call arrives, by a clock that runs up to 2 % slow.
 		private boolean apply(GrantCall.Grant grant, long arrived) {
-			boolean superseded = this.seen.entrySet()
+			boolean superseded = this.seenFences.entrySet()
 				.stream()
 				.anyMatch((entry) -> entry.getKey().overlaps(grant.span()) && entry.getValue() > grant.fence().value());
 			if (superseded) {
 				return false;
 			}
-			this.seen.merge(grant.span(), grant.fence().value(), Math::max);
+			this.seenFences.merge(grant.span(), grant.fence().value(), Math::max);
 			long until = arrived + TIMING.plusDrift(grant.hold().toNanos());
 			GrantModel.this.lateGrants += (GrantModel.this.now - arrived > CALL_TIMEOUT) ? 1 : 0;
 			this.server.values().removeIf((held) -> held.span.overlaps(grant.span()));
@@ -278,8 +279,8 @@
 			return true;
 		}
 
-		private void beat() {
-			after(BEAT, this::beat);
+		private void heartbeat() {
+			after(HEARTBEAT_INTERVAL, this::heartbeat);
 			if (!(GrantModel.this.delivery instanceof GrantDelivery.InHeartbeats)) {
 				return;
 			}
@@ -289,19 +290,19 @@
 				.stream()
 				.map((held) -> new HeldKeys(held.span, new org.brasspier.core.Fence(held.fence)))
 				.toList();
-			List<ReleasedKeys> released = List.copyOf(this.freed);
+			List<ReleasedKeys> released = List.copyOf(this.unacknowledgedReleases);
 			HoldReport report = new HoldReport(holder().incarnation(), holds, released);
 			after(millis(1, 20),
-					() -> this.book.answerHeartbeat(GrantModel.this.map, report, LEASE, GrantModel.this.now)
+					() -> this.tracker.answerHeartbeat(GrantModel.this.map, report, LEASE, GrantModel.this.now)
 						.filter((answer) -> !chance(25))
-						.ifPresent((answer) -> after(millis(1, 900), () -> take(answer, report, sent))));
+						.ifPresent((answer) -> after(millis(1, 900), () -> applyAnswer(answer, report, sent))));
 		}
 
-		private void take(GrantAnswer answer, HoldReport report, long sent) {
+		private void applyAnswer(GrantAnswer answer, HoldReport report, long sent) {
 			if (!report.incarnation().equals(holder().incarnation())) {
 				return;
 			}
-			this.freed.removeAll(report.freed());
+			this.unacknowledgedReleases.removeAll(report.freed());
 			Map<KeySpan, Held> before = new HashMap<>(this.server);
 			this.server.clear();
 			long until = sent + TIMING.plusDrift(answer.hold().toNanos());
@@ -311,7 +312,7 @@
 			before.keySet()
 				.stream()
 				.filter((span) -> this.server.keySet().stream().noneMatch(span::overlaps))
-				.forEach((span) -> this.freed.add(new ReleasedKeys(span, "token")));
+				.forEach((span) -> this.unacknowledgedReleases.add(new ReleasedKeys(span, "token")));
 		}
 
 	}
--- a/core/src/test/java/org/brasspier/core/keys/GrantModelTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/GrantModelTests.java
@@ -14,22 +14,22 @@
 		return Stream.of(new GrantDelivery.InHeartbeats(), new GrantDelivery.ByCall());
 	}
 
-	/** Guards against two servers that hold one key while grants are carried out late. */
+	/** Guards against two servers that hold the same key when grants take effect late. */
 	@ParameterizedTest
 	@MethodSource("deliveries")
-	void noKeyHasTwoHoldersWhateverIsLostOrCarriedOutLate(GrantDelivery delivery) {
+	void noKeyHasTwoHoldersWhenMessagesAreLostOrAppliedLate(GrantDelivery delivery) {
 		int moves = 0;
 		int lateGrants = 0;
 		for (long seed : LongStream.range(0, 40).toArray()) {
 			GrantModel model = new GrantModel(seed, delivery);
-			model.play();
+			model.run();
 			assertWithMessage("seed %s", seed).that(model.violations()).isEmpty();
 			moves += model.moves();
 			lateGrants += model.lateGrants();
 		}
 		assertWithMessage("keys moved").that(moves).isGreaterThan(1000);
 		boolean byCall = delivery instanceof GrantDelivery.ByCall;
-		assertWithMessage("grants carried out late").that(lateGrants).isAtLeast(byCall ? 1000 : 0);
+		assertWithMessage("grants applied late").that(lateGrants).isAtLeast(byCall ? 1000 : 0);
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/keys/KeyFixtures.java
+++ b/core/src/test/java/org/brasspier/core/keys/KeyFixtures.java
@@ -7,7 +7,7 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * Names and times that several tests use.
+ * Instances, durations and factory methods shared by tests.
  */
 abstract class KeyFixtures {
 
--- a/core/src/test/java/org/brasspier/core/keys/KeyMapTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/KeyMapTests.java
@@ -26,13 +26,13 @@
 	}
 
 	@Test
-	void aMapWithAMissingKeyIsRefused() {
+	void mapWithAMissingKeyIsRejected() {
 		List<KeyHolding> some = this.map.holdings().subList(1, this.map.holdings().size());
 		assertThrows(IllegalArgumentException.class, () -> new KeyMap(some, this.map.nextFence()));
 	}
 
 	@Test
-	void whatMovesGetsAFenceThatWasNeverGivenOut() {
+	void reassignedKeysGetAFenceThatWasNeverIssued() {
 		long next = this.map.nextFence();
 		KeyMap moved = this.map.reassigned((held) -> held.holder().equals(A), (held) -> holder(B), (held) -> "");
 		assertThat(moved.heldBy(A)).isEmpty();
@@ -42,49 +42,49 @@
 	}
 
 	@Test
-	void carvingLeavesTheRestWhereItIs() {
+	void plannedMoveOfAPartLeavesTheRestUnchanged() {
 		KeySpan part = new KeySpan(100, 199);
-		KeyMap carved = this.map.withPlannedMoves(Map.of(part, B));
-		assertThat(carved.holding(150).nextHolder()).hasValue(B);
-		assertThat(carved.holding(99).nextHolder()).isEmpty();
-		assertThat(carved.holding(200).nextHolder()).isEmpty();
-		assertThat(carved.holding(200).fence()).isEqualTo(this.map.holding(200).fence());
+		KeyMap split = this.map.withPlannedMoves(Map.of(part, B));
+		assertThat(split.holding(150).nextHolder()).hasValue(B);
+		assertThat(split.holding(99).nextHolder()).isEmpty();
+		assertThat(split.holding(200).nextHolder()).isEmpty();
+		assertThat(split.holding(200).fence()).isEqualTo(this.map.holding(200).fence());
 	}
 
 	@Test
-	void joiningUndoesACutThatIsNoLongerNeeded() {
-		KeyMap carved = this.map.withPlannedMoves(Map.of(new KeySpan(100, 199), B));
-		KeyMap back = carved
+	void mergingUndoesASplitThatIsNoLongerNeeded() {
+		KeyMap split = this.map.withPlannedMoves(Map.of(new KeySpan(100, 199), B));
+		KeyMap back = split
 			.withNextHolders((held) -> held.nextHolder().isPresent() ? Optional.of(held.holder()) : Optional.empty());
 		assertThat(back.merged().holdings()).isEqualTo(this.map.holdings());
 	}
 
 	@Test
-	void theKeysOfALostOwnerAreDealtEvenly() {
+	void keysOfALostHolderAreSpreadEvenly() {
 		KeyMap after = KeyPlanner.reassignLost(this.map, Set.of(A), holders(B, C)).orElseThrow();
 		assertThat(after.heldBy(A)).isEmpty();
 		assertThat(Math.abs(keysOf(after, holder(B)) - keysOf(after, holder(C)))).isAtMost(5000);
 	}
 
 	@Test
-	void aNewLifeOfAServerGetsItsKeysUnderANewFence() {
-		KeyHolder again = new KeyHolder(A, new BackendIncarnation(holder(A).incarnation().id(), 2));
-		KeyMap after = KeyPlanner.reassignToIncarnation(this.map, again).orElseThrow();
-		assertThat(after.heldBy(A).stream().allMatch((held) -> held.incarnation().equals(again.incarnation())))
+	void newIncarnationOfAServerGetsItsKeysUnderANewFence() {
+		KeyHolder restarted = new KeyHolder(A, new BackendIncarnation(holder(A).incarnation().id(), 2));
+		KeyMap after = KeyPlanner.reassignToIncarnation(this.map, restarted).orElseThrow();
+		assertThat(after.heldBy(A).stream().allMatch((held) -> held.incarnation().equals(restarted.incarnation())))
 			.isTrue();
 		assertThat(after.heldBy(A).get(0).fence().value()).isAtLeast(this.map.nextFence());
-		assertThat(KeyPlanner.reassignToIncarnation(after, again)).isEmpty();
+		assertThat(KeyPlanner.reassignToIncarnation(after, restarted)).isEmpty();
 	}
 
 	@Test
-	void anInstanceThatLeavesGivesAllItHasToOthers() {
+	void allKeysOfALeavingInstanceGetNextHolders() {
 		KeyMap after = KeyPlanner.reassignLeaving(this.map, Set.of(A), holders(B, C)).orElseThrow();
 		assertThat(after.heldBy(A).stream().allMatch((held) -> held.nextHolder().isPresent())).isTrue();
 		assertThat(after.heldBy(B).stream().anyMatch((held) -> held.nextHolder().isPresent())).isFalse();
 	}
 
 	@Test
-	void keysThatWereToGoToSomebodyWhoIsLostGoElsewhere() {
+	void keysPlannedForAnUnavailableHolderAreRetargeted() {
 		KeyMap towardsA = this.map
 			.withNextHolders((held) -> held.holder().equals(B) ? Optional.of(A) : Optional.empty());
 		KeyMap after = KeyPlanner.reassignLeaving(towardsA, Set.of(), holders(B, C)).orElseThrow();
@@ -92,7 +92,7 @@
 	}
 
 	@Test
-	void aNewcomerIsGivenAnEvenPart() {
+	void newHolderGetsAnEvenPart() {
 		KeyMap two = KeyMap.initial(holders(A, B));
 		KeyMap after = KeyPlanner.fillEmptyHolders(two, holders(A, B, C)).orElseThrow();
 		int coming = after.holdings()
@@ -105,7 +105,7 @@
 	}
 
 	@Test
-	void aMapConcernsTheOwnersOfWhatItChangesAndThoseThatAreToHaveIt() {
+	void affectedInstancesAreHoldersAndNextHoldersOfChangedHoldings() {
 		KeyMap moving = this.map.withPlannedMoves(Map.of(this.map.heldBy(A).get(0).span(), B));
 		assertThat(this.map.affectedInstances(Optional.empty())).containsExactly(A, B, C);
 		assertThat(this.map.affectedInstances(Optional.of(this.map))).isEmpty();
--- a/core/src/test/java/org/brasspier/core/keys/KeyRebalancerLoadTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/KeyRebalancerLoadTests.java
@@ -14,8 +14,9 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Servers of unequal speed under skewed demand that turns hot in one place, second by
- * second: what a server can't run is refused and comes back twice.
+ * Simulates, second by second, servers of different capacity under skewed load with a
+ * range that suddenly becomes hot. A request beyond a server's capacity is rejected and
+ * resent twice.
  */
 class KeyRebalancerLoadTests extends KeyFixtures {
 
@@ -24,7 +25,7 @@
 
 	private static final double[] CAPACITY = { 90, 90, 150, 150, 210, 210 };
 
-	private static final int RETURNS = 2;
+	private static final int MAX_RESENDS = 2;
 
 	private final Random random = new Random(7);
 
@@ -32,7 +33,7 @@
 
 	private final Map<InstanceId, KeyMeter> meters = new HashMap<>();
 
-	private List<Integer> returning = new ArrayList<>();
+	private List<Integer> resends = new ArrayList<>();
 
 	private long now;
 
@@ -47,28 +48,28 @@
 		return this.meters.computeIfAbsent(instance, (id) -> new KeyMeter(0));
 	}
 
-	// Plays a second and returns what was asked of the busiest server, as a share of what
-	// it can run.
-	private double second(int fresh, double hotShare, int hotFrom) {
+	// Simulates one second and returns the highest utilization of a server: its requests
+	// as a share of its capacity.
+	private double simulateSecond(int fresh, double hotShare, int hotFrom) {
 		Map<InstanceId, Integer> served = new HashMap<>();
-		List<Integer> coming = new ArrayList<>(this.returning);
+		List<Integer> arrivals = new ArrayList<>(this.resends);
 		for (int i = 0; i < fresh; i++) {
-			coming.add(key(hotShare, hotFrom) * (RETURNS + 1) + RETURNS);
+			arrivals.add(key(hotShare, hotFrom) * (MAX_RESENDS + 1) + MAX_RESENDS);
 		}
-		Collections.shuffle(coming, this.random);
+		Collections.shuffle(arrivals, this.random);
 		List<Integer> next = new ArrayList<>();
-		for (int coded : coming) {
-			int key = coded / (RETURNS + 1);
+		for (int coded : arrivals) {
+			int key = coded / (MAX_RESENDS + 1);
 			InstanceId owner = this.map.holding(key).holder();
 			meter(owner).recordRequest(key);
 			if (served.merge(owner, 1, Integer::sum) <= CAPACITY[ALL.indexOf(owner)]) {
 				continue;
 			}
-			if (coded % (RETURNS + 1) > 0) {
+			if (coded % (MAX_RESENDS + 1) > 0) {
 				next.add(coded - 1);
 			}
 		}
-		this.returning = next;
+		this.resends = next;
 		this.now += millis(1000);
 		ALL.forEach((instance) -> meter(instance).updateRates(this.now));
 		return served.entrySet()
@@ -78,7 +79,7 @@
 			.orElseThrow();
 	}
 
-	private void balance() {
+	private void rebalance() {
 		List<HolderLoad> loads = ALL.stream()
 			.map((instance) -> new HolderLoad(instance, CAPACITY[ALL.indexOf(instance)],
 					meter(instance).split(this.map.heldBy(instance).stream().map(KeyHolding::span).toList())))
@@ -92,16 +93,16 @@
 	}
 
 	/**
-	 * Guards against servers that refuse for many seconds while others of their service
-	 * rest.
+	 * Guards against servers that reject requests for many seconds while other servers of
+	 * their service are idle.
 	 */
 	@Test
-	void aRangeThatTurnsHotIsSpreadWithinSixSeconds() {
+	void hotRangeIsSpreadWithinSixSeconds() {
 		List<Double> busiest = new ArrayList<>();
 		for (int second = 1; second <= 20; second++) {
-			busiest.add(second(650, 0.35, 30_000));
+			busiest.add(simulateSecond(650, 0.35, 30_000));
 			if (second > 1) {
-				balance();
+				rebalance();
 			}
 		}
 		assertThat(busiest.get(1)).isGreaterThan(2.0);
--- a/core/src/test/java/org/brasspier/core/keys/KeyRebalancerTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/KeyRebalancerTests.java
@@ -22,7 +22,7 @@
 
 	private static final List<InstanceId> ALL = List.of(A, B, C, D);
 
-	/** Servers of one service differ in speed by a factor of three. */
+	/** Servers of one service differ in capacity by a factor of three. */
 	private static final Map<InstanceId, Double> CAPACITY = Map.of(A, 93.0, B, 187.0, C, 187.0, D, 280.0);
 
 	private KeyMap map = KeyMap.initial(holders(A, B, C, D));
@@ -31,7 +31,7 @@
 
 	private long now;
 
-	private void second(int[] keys) {
+	private void simulateSecond(int[] keys) {
 		this.now += millis(1000);
 		for (int key : keys) {
 			meter(this.map.holding(key).holder()).recordRequest(key);
@@ -50,14 +50,14 @@
 			.toList();
 	}
 
-	private void carryOut(KeyMap planned) {
+	private void applyMoves(KeyMap planned) {
 		this.map = planned
 			.reassigned((held) -> held.nextHolder().isPresent(), (held) -> holder(held.nextHolder().orElseThrow()),
 					(held) -> "warm")
 			.merged();
 	}
 
-	private double worstShare(int[] keys) {
+	private double maxUtilization(int[] keys) {
 		return ALL.stream()
 			.mapToDouble((instance) -> IntStream.of(keys)
 				.filter((key) -> this.map.holding(key).holder().equals(instance))
@@ -66,7 +66,7 @@
 			.orElseThrow();
 	}
 
-	// Popularity falls as a power of the rank, and ranks lie side by side.
+	// Popularity falls as a power of the rank, and keys of adjacent rank are adjacent.
 	private static int[] skewed(Random random, int first, int count) {
 		return IntStream.range(0, count)
 			.map((i) -> (first + (int) (Math.pow(random.nextDouble(), 7.5) * 60_000)) % (KeySpan.LAST_KEY + 1))
@@ -74,26 +74,26 @@
 	}
 
 	/**
-	 * Half of all lookups are for a hundredth of the keys, which lie side by side, and
-	 * one server is three times as fast as another. Equal spans gave the busiest server
-	 * more than twice the mean, and it refused a fifth of the lookups while others
-	 * rested. Some rounds of moves later none may be near its limit.
+	 * Half of all lookups are for 1 % of the keys, which are adjacent, and one server is
+	 * three times as fast as another. Equal spans gave the busiest server more than twice
+	 * the mean load, and it rejected a fifth of the lookups while others were idle. After
+	 * some rounds of moves no server may be near its limit.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 0, 7_000, 31_000, 64_000 })
-	void skewedDemandIsSpreadByWhatEachServerCanDo(int first) {
+	void skewedLoadIsSpreadByServerCapacity(int first) {
 		Random random = new Random(first);
 		int[] keys = skewed(random, first, 375);
 		for (int round = 0; round < 8; round++) {
-			second(skewed(random, first, 375));
-			second(skewed(random, first, 375));
-			KeyRebalancer.plan(this.map, loads()).ifPresent(this::carryOut);
+			simulateSecond(skewed(random, first, 375));
+			simulateSecond(skewed(random, first, 375));
+			KeyRebalancer.plan(this.map, loads()).ifPresent(this::applyMoves);
 		}
-		assertThat(worstShare(keys)).isLessThan(0.8);
+		assertThat(maxUtilization(keys)).isLessThan(0.8);
 	}
 
 	@Test
-	void evenDemandMovesNothing() {
+	void evenLoadMovesNothing() {
 		Random random = new Random(5);
 		double total = CAPACITY.values().stream().mapToDouble(Double::doubleValue).sum();
 		for (int second = 0; second < 10; second++) {
@@ -102,21 +102,21 @@
 				return random.ints((long) (375 * CAPACITY.get(instance) / total), 0, own.size())
 					.map((i) -> own.get(i).span().from() + random.nextInt(own.get(i).span().size()));
 			}).toArray();
-			second(keys);
+			simulateSecond(keys);
 		}
 		assertThat(KeyRebalancer.plan(this.map, loads())).isEmpty();
 	}
 
 	@Test
-	void idleServersAreLeftAlone() {
-		second(skewed(new Random(1), 0, 40));
+	void lightLoadMovesNothing() {
+		simulateSecond(skewed(new Random(1), 0, 40));
 		assertThat(KeyRebalancer.plan(this.map, loads())).isEmpty();
 	}
 
 	/**
-	 * All servers are asked for more than they can do, one of them for twice as much. Its
-	 * keys would only be refused elsewhere, after a second in which nobody serves them;
-	 * they were handed to and fro each two to three seconds.
+	 * All servers have more load than they can serve, one of them twice as much as the
+	 * others. Its keys would only be rejected elsewhere, after a second in which they are
+	 * unserved; they were moved back and forth every two to three seconds.
 	 */
 	@Test
 	void nothingMovesBetweenFullServers() {
@@ -126,50 +126,50 @@
 					.range(0, (int) (CAPACITY.get(instance) * (instance.equals(A) ? 2.5 : 1.1)))
 					.map((i) -> this.map.heldBy(instance).get(i % 16).span().from() + i / 16))
 				.toArray();
-			second(keys);
+			simulateSecond(keys);
 		}
 		assertThat(KeyRebalancer.plan(this.map, loads())).isEmpty();
 	}
 
 	/**
-	 * One key has more requests than any one server can do. No move mends that, and
-	 * handing the key around would only add the gaps of its moves.
+	 * One key has more requests than any one server can serve. No move helps, and moving
+	 * the key would only add a gap in service each time.
 	 */
 	@Test
-	void aSingleKeyThatIsTooBusyForAnyServerIsNotHandedAround() {
+	void singleKeyThatExceedsEveryServerIsNotMoved() {
 		int[] keys = Stream.generate(() -> 40_000).limit(400).mapToInt(Integer::intValue).toArray();
 		InstanceId fastest = D;
 		this.map = this.map.reassigned((held) -> held.span().contains(40_000), (held) -> holder(fastest), (held) -> "");
-		second(keys);
-		second(keys);
+		simulateSecond(keys);
+		simulateSecond(keys);
 		Optional<KeyMap> planned = KeyRebalancer.plan(this.map, loads());
 		assertThat(planned.map((map) -> map.holding(40_000).nextHolder().orElse(fastest))).isAnyOf(Optional.empty(),
 				Optional.of(fastest));
 	}
 
 	@Test
-	void aSurgeIsSeenWithinTwoSeconds() {
-		second(skewed(new Random(1), 0, 20));
-		second(skewed(new Random(2), 0, 400));
+	void surgeIsDetectedWithinTwoSeconds() {
+		simulateSecond(skewed(new Random(1), 0, 20));
+		simulateSecond(skewed(new Random(2), 0, 400));
 		assertThat(KeyRebalancer.plan(this.map, loads())).isPresent();
 	}
 
 	@Test
-	void theNumberOfSpansStaysWithinAnAnswerToAHeartbeat() {
+	void spansOfEachHolderFitIntoAHeartbeatAnswer() {
 		Random random = new Random(3);
 		for (int round = 0; round < 60; round++) {
-			second(skewed(random, round * 3000, 400));
-			KeyRebalancer.plan(this.map, loads()).ifPresent(this::carryOut);
+			simulateSecond(skewed(random, round * 3000, 400));
+			KeyRebalancer.plan(this.map, loads()).ifPresent(this::applyMoves);
 		}
 		assertThat(ALL.stream().mapToInt((instance) -> this.map.heldBy(instance).size()).max().orElseThrow())
 			.isAtMost(110);
 	}
 
 	/**
-	 * Guards against a map that is cut until the store refuses it for its size.
+	 * Guards against a map that is split until the store rejects it because of its size.
 	 */
 	@Test
-	void aMapThatFillsItsRowIsCutNoFurther() {
+	void mapOfMaximumSizeIsNotSplitFurther() {
 		int spans = KeyMap.MAX_SPANS;
 		List<KeyHolding> holdings = IntStream.range(0, spans).mapToObj((i) -> {
 			KeySpan span = new KeySpan((KeySpan.LAST_KEY + 1) * i / spans,
@@ -187,7 +187,7 @@
 	}
 
 	@Test
-	void aServiceOfManyHoldersBeginsWithFewSpansEach() {
+	void initialMapOfManyHoldersHasFewSpansEach() {
 		List<InstanceId> many = IntStream.range(0, 42).mapToObj((i) -> new InstanceId("holder-" + i)).toList();
 		assertThat(KeyMap.initial(holders(many.toArray(InstanceId[]::new))).holdings().size())
 			.isAtMost(KeyMap.INITIAL_SPANS);
--- a/core/src/test/java/org/brasspier/core/keys/LeaseModel.java
+++ b/core/src/test/java/org/brasspier/core/keys/LeaseModel.java
@@ -15,9 +15,10 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * Instances that renew leases, promise and take, over a store and links that delay, lose
- * and hold up what they carry. Processes are killed, restarted and suspended, and their
- * clocks run at different rates. Time is in nanoseconds of nobody's clock.
+ * Simulates instances that renew leases, give promises and take keys over, with a store
+ * and links that delay, lose or hold back messages. Processes are killed, restarted and
+ * suspended, and their clocks run at different rates. Time is in nanoseconds of an ideal
+ * clock.
  */
 final class LeaseModel {
 
@@ -25,16 +26,19 @@
 
 	private static final LeaseTiming TIMING = LeaseTiming.DEFAULT;
 
-	/** Rates from 0.991 to 1.009: nearly the 2 % by which two clocks may differ. */
-	private static final double MOST_DRIFT = 0.009;
+	/**
+	 * Clock rates from 0.991 to 1.009, so that two clocks differ by nearly the permitted
+	 * 2 %.
+	 */
+	private static final double MAX_CLOCK_DRIFT = 0.009;
 
 	private static final long STEP = Duration.ofMillis(250).toNanos();
 
-	private static final long ASK_EVERY = Duration.ofMillis(500).toNanos();
+	private static final long PROMISE_REQUEST_INTERVAL = Duration.ofMillis(500).toNanos();
 
-	private static final long FRESH = Duration.ofMillis(1200).toNanos();
+	private static final long FRESH_PROMISE_AGE = Duration.ofMillis(1200).toNanos();
 
-	private static final long DAY = Duration.ofSeconds(60).toNanos();
+	private static final long RUN_TIME = Duration.ofSeconds(60).toNanos();
 
 	private final SplittableRandom random;
 
@@ -53,19 +57,19 @@
 
 	private long storeVersion;
 
-	private int takes;
+	private int takeovers;
 
-	private int earlyTakes;
+	private int takeoversByDeputy;
 
 	LeaseModel(long seed) {
 		this.random = new SplittableRandom(seed);
 		IntStream.range(0, INSTANCES).forEach((index) -> this.instances.add(new Instance(index)));
 	}
 
-	void play() {
+	void run() {
 		this.instances.forEach(Instance::start);
 		this.instances.forEach(this::planFaults);
-		while (!this.events.isEmpty() && this.now < DAY) {
+		while (!this.events.isEmpty() && this.now < RUN_TIME) {
 			Event next = this.events.poll();
 			this.now = next.at;
 			next.action.run();
@@ -77,12 +81,12 @@
 		return this.violations;
 	}
 
-	int takes() {
-		return this.takes;
+	int takeovers() {
+		return this.takeovers;
 	}
 
-	int earlyTakes() {
-		return this.earlyTakes;
+	int takeoversByDeputy() {
+		return this.takeoversByDeputy;
 	}
 
 	private void after(long nanos, Runnable action) {
@@ -98,44 +102,45 @@
 			long begins = millis(2_000, 55_000);
 			long lasts = millis(300, 12_000);
 			switch (this.random.nextInt(5)) {
-				case 0 -> spell(begins, lasts, (on) -> instance.storeAway = on);
-				case 1 -> spell(begins, lasts, (on) -> instance.linksCut = on);
-				case 2 -> spell(begins, lasts, (on) -> instance.suspended = on);
-				case 3 -> spell(begins, lasts, (on) -> instance.serverDead = on);
-				default -> spell(begins, lasts, instance::killed);
+				case 0 -> scheduleFault(begins, lasts, (on) -> instance.storeAway = on);
+				case 1 -> scheduleFault(begins, lasts, (on) -> instance.linksCut = on);
+				case 2 -> scheduleFault(begins, lasts, (on) -> instance.suspended = on);
+				case 3 -> scheduleFault(begins, lasts, (on) -> instance.serverDead = on);
+				default -> scheduleFault(begins, lasts, instance::killed);
 			}
 		}
 	}
 
-	private void spell(long begins, long lasts, Consumer<Boolean> fault) {
+	private void scheduleFault(long begins, long lasts, Consumer<Boolean> fault) {
 		after(begins, () -> fault.accept(true));
 		after(begins + lasts, () -> fault.accept(false));
 	}
 
-	// A link delivers soon, seldom late, or not at all; what a cut holds up comes later.
-	private void carry(Instance from, Instance to, Runnable delivery) {
+	// A link delivers quickly, rarely late, or not at all; messages held back by a cut
+	// arrive later.
+	private void deliver(Instance from, Instance to, Runnable delivery) {
 		boolean cut = from.linksCut || to.linksCut;
 		if (this.random.nextInt(100) < 3 || cut && this.random.nextInt(3) > 0) {
 			return;
 		}
 		boolean late = cut || this.random.nextInt(100) < 5;
-		after(late ? millis(100, 6_000) : millis(1, 5), () -> to.whenAwake(delivery));
+		after(late ? millis(100, 6_000) : millis(1, 5), () -> to.runWhenAwake(delivery));
 	}
 
-	// A write is refused, carried out with or without an answer, or carried out seconds
-	// later if its condition still holds.
+	// A write is refused, applied with or without an answer, or applied seconds later if
+	// its condition still holds.
 	private void commit(Instance writer, InstanceId row, long expected, LeaseRow written, Consumer<Reply> reply) {
 		Process by = writer.process;
 		if (writer.storeAway) {
 			after(millis(500, 1_500), () -> writer.answer(by, () -> reply.accept(Reply.LOST)));
 			return;
 		}
-		int luck = this.random.nextInt(100);
-		long delay = (luck < 10) ? millis(1_000, 6_000) : millis(2, 300);
-		boolean answered = luck >= 20;
+		int draw = this.random.nextInt(100);
+		long delay = (draw < 10) ? millis(1_000, 6_000) : millis(2, 300);
+		boolean answered = draw >= 20;
 		after(delay, () -> {
 			boolean holds = this.rows.getOrDefault(row, LeaseRow.of(0, Optional.empty())).version() == expected;
-			long version = holds ? carryOut(row, written) : 0;
+			long version = holds ? applyWrite(row, written) : 0;
 			if (answered) {
 				after(millis(1, 5), () -> writer.answer(by, () -> reply.accept(new Reply(true, version))));
 			}
@@ -145,22 +150,22 @@
 		}
 	}
 
-	private long carryOut(InstanceId row, LeaseRow written) {
+	private long applyWrite(InstanceId row, LeaseRow written) {
 		this.storeVersion++;
 		LeaseRow before = this.rows.put(row, new LeaseRow(this.storeVersion, written.takenBy(), written.deputy()));
 		if (written.taken()) {
-			this.takes++;
-			this.earlyTakes += (before != null && before.deputy().map(Deputy::instance).equals(written.takenBy())) ? 1
-					: 0;
+			this.takeovers++;
+			this.takeoversByDeputy += (before != null
+					&& before.deputy().map(Deputy::instance).equals(written.takenBy())) ? 1 : 0;
 		}
 		return this.storeVersion;
 	}
 
 	/**
-	 * What the store says of a write.
+	 * The store's answer to a write.
 	 *
-	 * @param heard whether it answered at all
-	 * @param version the new version; 0 if the condition did not hold
+	 * @param heard whether the store answered at all
+	 * @param version the new row version; 0 if the condition did not hold
 	 */
 	private record Reply(boolean heard, long version) {
 
@@ -172,7 +177,7 @@
 	}
 
 	/**
-	 * What a process remembers, and what is gone with it.
+	 * State of a process, which is lost when the process ends.
 	 */
 	private static final class Process {
 
@@ -182,7 +187,7 @@
 
 		private final PromiseTracker promises = new PromiseTracker(TIMING);
 
-		private final LeaseMonitor watch;
+		private final LeaseMonitor monitor;
 
 		private final Map<Deputy, Long> heard = new HashMap<>();
 
@@ -190,21 +195,21 @@
 
 		private boolean renewing;
 
-		private boolean taking;
+		private boolean takeoverPending;
 
 		private long renewed;
 
-		private long asked;
+		private long requested;
 
 		Process(InstanceId instance, long number) {
 			this.deputy = new Deputy(instance, number);
-			this.watch = new LeaseMonitor(TIMING, this.deputy, this.promises);
+			this.monitor = new LeaseMonitor(TIMING, this.deputy, this.promises);
 		}
 
 	}
 
 	/**
-	 * An instance, whose processes come and go.
+	 * An instance, whose processes start and end.
 	 */
 	private final class Instance {
 
@@ -228,7 +233,7 @@
 
 		Instance(int index) {
 			this.id = new InstanceId("instance-" + index);
-			this.rate = 1 + LeaseModel.this.random.nextDouble(-MOST_DRIFT, MOST_DRIFT);
+			this.rate = 1 + LeaseModel.this.random.nextDouble(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT);
 			this.offset = millis(1_000, 1_000_000);
 			this.process = new Process(this.id, index);
 		}
@@ -248,9 +253,9 @@
 			}
 		}
 
-		void whenAwake(Runnable action) {
+		void runWhenAwake(Runnable action) {
 			if (this.suspended) {
-				after(millis(10, 50), () -> whenAwake(action));
+				after(millis(10, 50), () -> runWhenAwake(action));
 			}
 			else if (this.alive) {
 				action.run();
@@ -258,7 +263,7 @@
 		}
 
 		void answer(Process asker, Runnable action) {
-			whenAwake(() -> {
+			runWhenAwake(() -> {
 				if (asker == this.process) {
 					action.run();
 				}
@@ -272,27 +277,27 @@
 			}
 		}
 
-		private void step(Process own, long local) {
+		private void step(Process own, long localNanos) {
 			if (!this.storeAway) {
-				after(millis(2, 400), () -> answer(own, () -> looked(own, Map.copyOf(LeaseModel.this.rows))));
+				after(millis(2, 400), () -> answer(own, () -> onRowsRead(own, Map.copyOf(LeaseModel.this.rows))));
 			}
 			if (!own.rowKnown) {
 				return;
 			}
 			if (this.serverDead) {
-				giveUp(own, local);
+				giveUp(own, localNanos);
 				return;
 			}
-			if (local - own.asked >= ASK_EVERY) {
-				own.asked = local;
-				others().forEach((other) -> ask(own, other, local));
+			if (localNanos - own.requested >= PROMISE_REQUEST_INTERVAL) {
+				own.requested = localNanos;
+				others().forEach((other) -> requestPromise(own, other, localNanos));
 			}
-			boolean replace = own.lease.deputy().filter((named) -> !fresh(own, named, local)).isPresent();
-			if (!own.renewing && (replace || local - own.renewed >= TIMING.renewalInterval().toNanos())) {
-				renew(own, local);
+			boolean replace = own.lease.deputy().filter((named) -> !fresh(own, named, localNanos)).isPresent();
+			if (!own.renewing && (replace || localNanos - own.renewed >= TIMING.renewalInterval().toNanos())) {
+				renew(own, localNanos);
 			}
-			if (!own.taking) {
-				others().forEach((other) -> take(own, other, local));
+			if (!own.takeoverPending) {
+				others().forEach((other) -> takeOver(own, other, localNanos));
 			}
 		}
 
@@ -300,8 +305,8 @@
 			return LeaseModel.this.instances.stream().filter((other) -> other != this).toList();
 		}
 
-		private void looked(Process own, Map<InstanceId, LeaseRow> rows) {
-			own.watch.onRowsRead(rows, clock());
+		private void onRowsRead(Process own, Map<InstanceId, LeaseRow> rows) {
+			own.monitor.onRowsRead(rows, clock());
 			long version = Optional.ofNullable(rows.get(this.id)).map(LeaseRow::version).orElse(0L);
 			if (!own.rowKnown || version > own.lease.rowVersion()) {
 				own.lease.onRowChanged(version);
@@ -309,47 +314,48 @@
 			}
 		}
 
-		private void ask(Process own, Instance other, long local) {
+		private void requestPromise(Process own, Instance other, long localNanos) {
 			long version = own.lease.rowVersion();
-			carry(this, other, () -> {
+			deliver(this, other, () -> {
 				Process promising = other.process;
 				boolean promised = promising.promises.promise(this.id, version, other.clock());
-				carry(other, this, () -> answer(own, () -> {
+				deliver(other, this, () -> answer(own, () -> {
 					own.lease.onProcessSeen(promising.deputy, clock());
 					if (promised) {
-						own.lease.onPromise(promising.deputy, local);
-						own.heard.put(promising.deputy, local);
+						own.lease.onPromise(promising.deputy, localNanos);
+						own.heard.put(promising.deputy, localNanos);
 					}
 				}));
 			});
 		}
 
-		private void giveUp(Process own, long local) {
-			if (own.lease.remainingNanos(local) == 0) {
+		private void giveUp(Process own, long localNanos) {
+			if (own.lease.remainingNanos(localNanos) == 0) {
 				return;
 			}
-			own.lease.relinquish(local);
+			own.lease.relinquish(localNanos);
 			LeaseModel.this.instances.stream()
 				.filter((other) -> own.lease.deputy().filter(other.process.deputy::equals).isPresent())
-				.forEach((deputy) -> carry(this, deputy, () -> deputy.process.promises.release(this.id)));
+				.forEach((deputy) -> deliver(this, deputy, () -> deputy.process.promises.release(this.id)));
 		}
 
-		private boolean fresh(Process own, Deputy deputy, long local) {
+		private boolean fresh(Process own, Deputy deputy, long localNanos) {
 			Long latest = own.heard.get(deputy);
-			return latest != null && local - latest < FRESH && own.lease.promiseRemainingNanos(deputy, local) > 0;
+			return latest != null && localNanos - latest < FRESH_PROMISE_AGE
+					&& own.lease.promiseRemainingNanos(deputy, localNanos) > 0;
 		}
 
-		private void renew(Process own, long local) {
+		private void renew(Process own, long localNanos) {
 			own.renewing = true;
-			own.renewed = local;
+			own.renewed = localNanos;
 			Optional<Deputy> named = own.lease.deputy()
-				.filter((deputy) -> fresh(own, deputy, local))
-				.or(() -> own.heard.keySet().stream().filter((deputy) -> fresh(own, deputy, local)).findFirst());
+				.filter((deputy) -> fresh(own, deputy, localNanos))
+				.or(() -> own.heard.keySet().stream().filter((deputy) -> fresh(own, deputy, localNanos)).findFirst());
 			own.lease.onRenewalStarted(named);
 			commit(this, this.id, own.lease.rowVersion(), LeaseRow.of(0, named), (reply) -> {
 				own.renewing = false;
 				if (reply.heard() && reply.version() > 0) {
-					own.lease.onRenewed(local, reply.version(), named);
+					own.lease.onRenewed(localNanos, reply.version(), named);
 				}
 				else if (reply.heard()) {
 					own.lease.onRowChanged(own.lease.rowVersion());
@@ -358,13 +364,15 @@
 			});
 		}
 
-		private void take(Process own, Instance other, long local) {
-			own.watch.endedRowVersion(other.id, local).filter((version) -> !rowTaken(other)).ifPresent((version) -> {
-				own.taking = true;
-				own.promises.recordTakeoverAttempt(other.id, version);
-				commit(this, other.id, version, new LeaseRow(0, Optional.of(this.id), Optional.empty()),
-						(reply) -> own.taking = false);
-			});
+		private void takeOver(Process own, Instance other, long localNanos) {
+			own.monitor.endedRowVersion(other.id, localNanos)
+				.filter((version) -> !rowTaken(other))
+				.ifPresent((version) -> {
+					own.takeoverPending = true;
+					own.promises.recordTakeoverAttempt(other.id, version);
+					commit(this, other.id, version, new LeaseRow(0, Optional.of(this.id), Optional.empty()),
+							(reply) -> own.takeoverPending = false);
+				});
 		}
 
 		private boolean rowTaken(Instance other) {
@@ -372,11 +380,11 @@
 			return row != null && row.taken();
 		}
 
-		// Whoever took the keys may grant them from now on.
+		// The instance that took the keys may grant them from now on.
 		void check() {
 			if (rowTaken(this) && this.alive && this.process.lease.remainingNanos(clock()) > 0) {
-				LeaseModel.this.violations.add("%s still holds what was taken, at %d ms".formatted(this.id,
-						Duration.ofNanos(LeaseModel.this.now).toMillis()));
+				LeaseModel.this.violations.add("%s still holds its lease after its keys were taken, at %d ms"
+					.formatted(this.id, Duration.ofNanos(LeaseModel.this.now).toMillis()));
 			}
 		}
 
--- a/core/src/test/java/org/brasspier/core/keys/LeaseModelTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/LeaseModelTests.java
@@ -13,28 +13,28 @@
 	private static final int SEEDS = 200;
 
 	/**
-	 * A holder must have stopped granting before anybody takes its keys, whatever
-	 * happens: links that hold up or lose promises, writes that the store carries out
-	 * seconds after they were sent, processes that restart and forget, machines that are
-	 * suspended, clocks that run apart. Else two backend servers hold one key.
+	 * Guards against two backend servers that hold the same key: a holder must have
+	 * stopped granting before any instance takes its keys. The model includes links that
+	 * delay or lose promises, writes applied seconds after they were sent, restarted
+	 * processes without memory, suspended machines and clocks that differ in rate.
 	 */
 	@Test
-	void nobodyTakesTheKeysOfAHolderThatStillGrantsThem() {
+	void keysAreNotTakenFromAHolderThatStillGrantsThem() {
 		LongStream.range(0, SEEDS).forEach((seed) -> {
 			LeaseModel model = new LeaseModel(seed);
-			model.play();
+			model.run();
 			assertWithMessage("seed %s", seed).that(model.violations()).isEmpty();
 		});
 	}
 
 	@Test
-	void keysAreTakenBothByDeputiesAndAfterWholeLeases() {
-		List<LeaseModel> played = LongStream.range(0, SEEDS).mapToObj(LeaseModel::new).toList();
-		played.forEach(LeaseModel::play);
-		int early = played.stream().mapToInt(LeaseModel::earlyTakes).sum();
-		int all = played.stream().mapToInt(LeaseModel::takes).sum();
-		assertThat(early).isGreaterThan(SEEDS);
-		assertThat(all).isGreaterThan(early);
+	void keysAreTakenByDeputiesAndAfterWholeLeases() {
+		List<LeaseModel> models = LongStream.range(0, SEEDS).mapToObj(LeaseModel::new).toList();
+		models.forEach(LeaseModel::run);
+		int byDeputy = models.stream().mapToInt(LeaseModel::takeoversByDeputy).sum();
+		int all = models.stream().mapToInt(LeaseModel::takeovers).sum();
+		assertThat(byDeputy).isGreaterThan(SEEDS);
+		assertThat(all).isGreaterThan(byDeputy);
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/keys/LeaseTimingTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/LeaseTimingTests.java
@@ -9,11 +9,11 @@
 class LeaseTimingTests {
 
 	/**
-	 * A platform bounds holds to three seconds. Answers that grant four would be rejected
-	 * whole, and no key would ever be served.
+	 * A platform limits holds to three seconds. It would reject whole answers that grant
+	 * four seconds, and no key would ever be served.
 	 */
 	@Test
-	void noHoldIsLongerThanThePlatformAllows() {
+	void holdIsLimitedByThePlatform() {
 		LeaseTiming bounded = LeaseTiming.DEFAULT.withMaxHold(Duration.ofSeconds(3));
 		assertThat(bounded.hold()).isEqualTo(Duration.ofSeconds(3));
 		assertThat(bounded.promise()).isEqualTo(Duration.ofSeconds(3));
@@ -21,7 +21,7 @@
 	}
 
 	@Test
-	void aLongerBoundChangesNothing() {
+	void longerLimitChangesNothing() {
 		assertThat(LeaseTiming.DEFAULT.withMaxHold(Duration.ofSeconds(10))).isEqualTo(LeaseTiming.DEFAULT);
 	}
 
