--- a/core/src/main/java/org/brasspier/core/admission/AdmissionController.java
+++ b/core/src/main/java/org/brasspier/core/admission/AdmissionController.java
@@ -19,14 +19,16 @@
 import org.brasspier.core.admission.AdmissionSettings.ClassRules;
 
 /**
- * Decides for one backend server which request runs, waits or is refused at once. All
- * times are nanoseconds of one monotonic clock that the caller reads. Never refuses a
- * request that it has let run, so each of its refusals is "not run". Not thread-safe.
+ * Admission control for one backend server: decides which requests run, wait or are
+ * rejected. All times are nanoseconds of one monotonic clock that the caller reads. Never
+ * refuses a request after starting it, so each of its refusals means "not run". Not
+ * thread-safe.
  * <p>
- * Use: {@link #offer} each request; hand over what is to run; call {@link #finished} once
- * for each handed over when the backend server is certainly no longer at it (its answer
- * came, or its connection is closed); call {@link #advance} every few milliseconds while
- * anything waits; carry out what the calls return.
+ * Usage: {@link #offer} each request; send requests that are to run to the backend
+ * server; call {@link #finished} once for each of them when the backend server has
+ * certainly stopped processing it (it answered, or the connection is closed); call
+ * {@link #advance} every few milliseconds while requests wait; carry out what the calls
+ * return.
  */
 public final class AdmissionController {
 
@@ -34,21 +36,24 @@
 
 	private final ServiceTimes times;
 
-	private ClassScheduler turns;
+	private ClassScheduler scheduler;
 
 	private final CallerShares shares = new CallerShares();
 
-	/** How much of its mean a run may take at most for its request to be in time. */
-	private static final double RUN_ALLOWANCE = 1.5;
+	/**
+	 * Multiple of the mean service time that a run is expected to need at most when
+	 * checking whether a request finishes within its target.
+	 */
+	private static final double RUN_TIME_FACTOR = 1.5;
 
-	/** Requests for which there is always room to wait. */
-	private static final int SHORT_QUEUE = 2;
+	/** Number of requests that may always wait, whatever the class permits. */
+	private static final int MIN_QUEUE_LENGTH = 2;
 
-	private final Map<RequestClass, RetryAfterEstimator> retryTimes = new EnumMap<>(RequestClass.class);
+	private final Map<RequestClass, RetryAfterEstimator> retryAfter = new EnumMap<>(RequestClass.class);
 
 	private final Map<RequestClass, ClassQueue> queues = new EnumMap<>(RequestClass.class);
 
-	private final Map<RequestClass, QueueWaitEstimator> paces = new EnumMap<>(RequestClass.class);
+	private final Map<RequestClass, QueueWaitEstimator> waitEstimators = new EnumMap<>(RequestClass.class);
 
 	private final Map<Long, WaitingRequest> waiting = new HashMap<>();
 
@@ -59,14 +64,14 @@
 	private boolean draining;
 
 	/**
-	 * Creates a controller with nothing running.
-	 * @param limits what the backend server announced
+	 * Creates a controller without running requests.
+	 * @param limits the limits announced by the backend server
 	 * @param settings the rules of each class
 	 */
 	public AdmissionController(AdmissionLimits limits, AdmissionSettings settings) {
 		this.settings = settings;
 		this.times = new ServiceTimes(settings);
-		this.turns = new ClassScheduler(settings, this.times);
+		this.scheduler = new ClassScheduler(settings, this.times);
 		this.slots = new SlotAllocation(limits, this.times);
 		Arrays.stream(RequestClass.values())
 			.forEach((requestClass) -> this.queues.put(requestClass, new ClassQueue(this.shares)));
@@ -74,52 +79,53 @@
 
 	/**
 	 * Decides on a new request.
-	 * @param request the request; its id must not be waiting or running
-	 * @param now the time
+	 * @param request the request; its id must not be in use by a waiting or running
+	 * request
+	 * @param now the current time, in nanoseconds
 	 * @return whether it runs, waits or is refused
 	 */
 	public AdmissionDecision offer(PendingRequest request, long now) {
 		this.slots.onOffered(request.requestClass(), now);
 		if (this.draining) {
-			return new Refuse(Failure.of(ErrorKind.NO_BACKEND, "the backend server is leaving"));
+			return new Refuse(Failure.of(ErrorKind.NO_BACKEND, "the backend server is draining"));
 		}
 		if (request.deadlineNanos() - now <= 0) {
-			return new Refuse(Failure.of(ErrorKind.DEADLINE_PASSED, "the deadline passed on the way"));
+			return new Refuse(Failure.of(ErrorKind.DEADLINE_PASSED, "the deadline passed before admission"));
 		}
-		if (hopeless(request, now)) {
+		if (cannotFinishInTime(request, now)) {
 			return new Refuse(overloaded("the deadline can't be met", request, now));
 		}
 		if (queue(request.requestClass()).isEmpty() && this.slots.hasFreeSlot(request.requestClass(), now)) {
 			start(request, now);
 			return new Run();
 		}
-		if (request.overdue() && retryTimes(request.requestClass()).overloaded(now)) {
-			return new Refuse(overloaded("its target has passed and no slot is free", request, now));
+		if (request.overdue() && retryAfter(request.requestClass()).isOverloaded(now)) {
+			return new Refuse(overloaded("its target latency has passed and no slot is free", request, now));
 		}
 		return enqueue(request, now);
 	}
 
 	/**
-	 * How long a request would wait for a slot if it were offered now.
+	 * Returns how long a request would wait for a slot if it were offered now.
 	 * @param request the request
-	 * @param now the time
+	 * @param now the current time, in nanoseconds
 	 * @return empty if it would run at once or be refused
 	 */
 	public Optional<Duration> expectedQueueWait(PendingRequest request, long now) {
 		RequestClass requestClass = request.requestClass();
 		boolean runs = queue(requestClass).isEmpty() && this.slots.hasFreeSlot(requestClass, now);
 		double wait = expectedWait(requestClass, now);
-		if (runs || this.draining || late(request, wait, now) || wait > usefulWait(requestClass)) {
+		if (runs || this.draining || late(request, wait, now) || wait > maxUsefulWait(requestClass)) {
 			return Optional.empty();
 		}
 		return Optional.of(Duration.ofNanos((long) (wait + this.times.mean(requestClass) / this.slots.limit())));
 	}
 
-	// A caller's last resend, with less time left than its work takes. Even with a
-	// free slot it would mostly run in vain, end as "unknown" and be paid for by others.
-	// An idle server takes it all the same, or an estimate that a stall has raised would
-	// refuse everything for good.
-	private boolean hopeless(PendingRequest request, long now) {
+	// Handles a caller's last resend, with less time left than its run takes. Even with a
+	// free slot it would usually run in vain, end as "unknown" and delay other requests.
+	// An idle server accepts it nevertheless; otherwise an estimate raised by a stall
+	// would refuse all requests forever.
+	private boolean cannotFinishInTime(PendingRequest request, long now) {
 		return !this.running.isEmpty() && now > latestUsefulStart(request);
 	}
 
@@ -128,36 +134,37 @@
 	}
 
 	/**
-	 * Takes back the slot of a request.
-	 * @param id the number of a request that was to run; unknown ones are ignored
+	 * Releases the slot of a request.
+	 * @param id the number of a running request; unknown numbers are ignored
 	 * @param outcome how it ended
-	 * @param now the time
-	 * @return what runs next and what is given up
+	 * @param now the current time, in nanoseconds
+	 * @return which requests run next and which are refused
 	 */
 	public NextRequests finished(long id, RunOutcome outcome, long now) {
 		Running ended = this.running.remove(id);
 		if (ended == null) {
 			return NextRequests.NONE;
 		}
-		long took = now - ended.sinceNanos();
+		long took = now - ended.startNanos();
 		RequestClass requestClass = ended.request().requestClass();
 		this.slots.release(requestClass, now);
-		this.shares.charge(ended.request().caller(), took - ended.chargedNanos());
+		this.shares.charge(ended.request().caller(), took - ended.expectedNanos());
 		this.shares.onEnded(ended.request().caller());
-		learn(ended, outcome, took);
+		recordOutcome(ended, outcome, took);
 		return advance(now);
 	}
 
 	/**
-	 * Gives up what can no longer make its deadline and fills slots that are free.
-	 * @param now the time
-	 * @return what runs next and what is given up
+	 * Refuses waiting requests that can no longer meet their deadline and fills free
+	 * slots.
+	 * @param now the current time, in nanoseconds
+	 * @return which requests run next and which are refused
 	 */
 	public NextRequests advance(long now) {
 		if (this.waiting.isEmpty()) {
 			return NextRequests.NONE;
 		}
-		List<RefusedRequest> refused = giveUpLate(now);
+		List<RefusedRequest> refused = dropLate(now);
 		List<Long> run = new ArrayList<>();
 		for (Optional<PendingRequest> next = take(now); next.isPresent(); next = take(now)) {
 			run.add(next.get().id());
@@ -166,10 +173,10 @@
 	}
 
 	/**
-	 * Forgets a waiting request whose caller is gone. A running one keeps its slot until
-	 * {@link #finished}.
+	 * Removes a waiting request whose caller has disconnected. A running request keeps
+	 * its slot until {@link #finished}.
 	 * @param id the number of the request
-	 * @return true if it was waiting and so certainly will not run
+	 * @return true if it was waiting, so that it certainly will not run
 	 */
 	public boolean cancelWaiting(long id) {
 		WaitingRequest entry = this.waiting.remove(id);
@@ -177,7 +184,7 @@
 	}
 
 	/**
-	 * Takes over what the backend server announces now.
+	 * Applies the limits that the backend server announces.
 	 * @param limits the new limits
 	 */
 	public void updateLimits(AdmissionLimits limits) {
@@ -185,30 +192,32 @@
 	}
 
 	/**
-	 * Takes over what operators' document says of the service. What waits or runs goes
-	 * on.
-	 * @param changed the rules of each class
-	 * @param callerPercent the most of the slots that a named caller may hold while
-	 * others wait, in percent
+	 * Applies the service's rules from the operators' document. Waiting and running
+	 * requests are not affected.
+	 * @param newSettings the rules of each class
+	 * @param callerPercent the largest percentage of the slots that a named caller may
+	 * hold while others wait
 	 */
-	public void updateRules(AdmissionSettings changed, Map<CallerId, Integer> callerPercent) {
-		this.settings = changed;
-		this.turns = new ClassScheduler(changed, this.times);
+	public void updateRules(AdmissionSettings newSettings, Map<CallerId, Integer> callerPercent) {
+		this.settings = newSettings;
+		this.scheduler = new ClassScheduler(newSettings, this.times);
 		this.shares.maxPercent(callerPercent);
 	}
 
 	/**
-	 * Refuses new requests from now on, or takes them again. What waits or runs goes on.
-	 * @param leaving whether the backend server is leaving
+	 * Starts or stops refusing new requests. Waiting and running requests are not
+	 * affected.
+	 * @param drain whether the backend server is draining
 	 */
-	public void setDraining(boolean leaving) {
-		this.draining = leaving;
+	public void setDraining(boolean drain) {
+		this.draining = drain;
 	}
 
 	/**
-	 * Gives up everything that waits, as when the backend server is lost.
-	 * @param failure the answer for all of it; its kind must be one that did not run
-	 * @return the requests given up
+	 * Refuses all waiting requests, for example when the backend server is lost.
+	 * @param failure the failure for all of them; its kind must mean that the request did
+	 * not run
+	 * @return the refused requests
 	 */
 	public List<RefusedRequest> refuseWaiting(Failure failure) {
 		List<Long> all = List.copyOf(this.waiting.keySet());
@@ -217,8 +226,8 @@
 	}
 
 	/**
-	 * How long a request of a class runs, from what was observed; what a refused request
-	 * would have added to its range's load.
+	 * Returns the observed mean run time of a class; it estimates the load that a refused
+	 * request would have added to its range.
 	 * @param requestClass the class
 	 * @return the mean, in nanoseconds
 	 */
@@ -227,7 +236,7 @@
 	}
 
 	/**
-	 * How many requests hold a slot.
+	 * Returns the number of requests that hold a slot.
 	 * @return at least 0
 	 */
 	public int running() {
@@ -235,7 +244,7 @@
 	}
 
 	/**
-	 * How many requests wait.
+	 * Returns the number of waiting requests.
 	 * @return at least 0
 	 */
 	public int waiting() {
@@ -243,7 +252,7 @@
 	}
 
 	/**
-	 * How many requests of a class hold a slot.
+	 * Returns the number of requests of a class that hold a slot.
 	 * @param requestClass the class
 	 * @return at least 0
 	 */
@@ -255,7 +264,7 @@
 	}
 
 	/**
-	 * How many requests of a class wait.
+	 * Returns the number of waiting requests of a class.
 	 * @param requestClass the class
 	 * @return at least 0
 	 */
@@ -263,18 +272,19 @@
 		return queue(requestClass).size();
 	}
 
-	private void learn(Running ended, RunOutcome outcome, long took) {
+	private void recordOutcome(Running ended, RunOutcome outcome, long took) {
 		RequestClass requestClass = ended.request().requestClass();
 		switch (outcome) {
 			case ANSWERED -> {
-				this.slots.observed().observe(ended.concurrency(), took / Math.max(1, this.times.mean(requestClass)));
+				this.slots.concurrencyLimit()
+					.observe(ended.concurrency(), took / Math.max(1, this.times.mean(requestClass)));
 				this.times.observe(requestClass, took);
 			}
 			case INTERRUPTED -> this.times.observeAtLeast(requestClass, took);
-			case SHED -> this.slots.observed().shed(ended.concurrency());
+			case SHED -> this.slots.concurrencyLimit().onShed(ended.concurrency());
 			case NOT_STARTED -> {
-				// A refused fence at the first order taught a limit of one slot, which
-				// turned callers away for a minute.
+				// Not counted as shedding: a fence refused at the first order once
+				// lowered the limit to one slot, and callers were rejected for a minute.
 			}
 		}
 	}
@@ -282,20 +292,20 @@
 	private AdmissionDecision enqueue(PendingRequest request, long now) {
 		RequestClass requestClass = request.requestClass();
 		double wait = expectedWait(requestClass, now);
-		// Saturation: a request that can't make its deadline only takes a slot from one
-		// that can, so it is told so before it waits.
+		// Under saturation, a request that can't meet its deadline would only take a slot
+		// from one that can, so it is refused before it waits.
 		if (late(request, wait, now)) {
 			return new Refuse(overloaded("the deadline can't be met", request, now));
 		}
 		Optional<RefusedRequest> displaced = Optional.empty();
-		if (wait > usefulWait(requestClass)) {
-			displaced = queue(requestClass).displaceFor(request.caller()).map((other) -> giveUp(other, now));
+		if (wait > maxUsefulWait(requestClass)) {
+			displaced = queue(requestClass).displaceFor(request.caller()).map((other) -> drop(other, now));
 			if (displaced.isEmpty()) {
 				return new Refuse(overloaded("the queue is full", request, now));
 			}
 		}
 		if (queue(requestClass).isEmpty()) {
-			pace(requestClass).onFirstQueued(now);
+			waitEstimator(requestClass).onFirstQueued(now);
 		}
 		WaitingRequest entry = new WaitingRequest(request, latestStart(request, now));
 		this.waiting.put(request.id(), entry);
@@ -307,50 +317,51 @@
 		return now + wait + this.times.mean(request.requestClass()) > request.deadlineNanos();
 	}
 
-	// Under saturation every request that is let in waits as long as the queue allows, so
-	// one that would be answered after its target is only let in in place of one that
-	// would not. A short queue is allowed whatever the class takes, so that no slot
-	// rests.
-	private double usefulWait(RequestClass requestClass) {
+	// Under saturation every admitted request waits as long as the queue permits. A
+	// request that would be answered after its target would only be admitted in place of
+	// one that would be answered in time. A short queue is always allowed, whatever the
+	// class needs, so that no slot is idle.
+	private double maxUsefulWait(RequestClass requestClass) {
 		ClassRules rules = this.settings.of(requestClass);
 		double mean = this.times.mean(requestClass);
-		double inTime = rules.maxWait().toNanos() - RUN_ALLOWANCE * mean;
-		double shortQueue = SHORT_QUEUE * mean / this.slots.limit();
-		return Math.min(rules.maxExpectedWait().toNanos(), Math.max(inTime, shortQueue));
+		double maxWaitInTime = rules.maxWait().toNanos() - RUN_TIME_FACTOR * mean;
+		double shortQueue = MIN_QUEUE_LENGTH * mean / this.slots.limit();
+		return Math.min(rules.maxExpectedWait().toNanos(), Math.max(maxWaitInTime, shortQueue));
 	}
 
-	// Who has waited as long as its class may has been overtaken by others; its caller is
-	// told at once instead of shortly before the deadline.
+	// A request that has waited for its class's limit has been overtaken by others. Its
+	// caller is told at once instead of shortly before the deadline.
 	private long latestStart(PendingRequest request, long now) {
 		RequestClass requestClass = request.requestClass();
 		return Math.min(latestUsefulStart(request), now + this.settings.of(requestClass).maxWait().toNanos());
 	}
 
-	private List<RefusedRequest> giveUpLate(long now) {
+	private List<RefusedRequest> dropLate(long now) {
 		List<RefusedRequest> refused = new ArrayList<>();
 		for (RequestClass requestClass : RequestClass.values()) {
-			queue(requestClass).removeLate(now).forEach((late) -> refused.add(giveUp(late, now)));
+			queue(requestClass).removeLate(now).forEach((late) -> refused.add(drop(late, now)));
 		}
 		return refused;
 	}
 
-	private RefusedRequest giveUp(WaitingRequest entry, long now) {
+	private RefusedRequest drop(WaitingRequest entry, long now) {
 		PendingRequest request = entry.request();
 		this.waiting.remove(request.id());
-		return new RefusedRequest(request.id(),
-				overloaded("gave way to what can still be served in time", request, now));
+		return new RefusedRequest(request.id(), overloaded(
+				"dropped from the queue in favor of requests that can still be served in time", request, now));
 	}
 
 	private Optional<PendingRequest> take(long now) {
-		Optional<RequestClass> turn = this.turns
+		Optional<RequestClass> nextClass = this.scheduler
 			.next((requestClass) -> !queue(requestClass).isEmpty() && this.slots.hasFreeSlot(requestClass, now));
-		Optional<PendingRequest> next = turn.flatMap((requestClass) -> queue(requestClass).take(this.slots.limit()))
+		Optional<PendingRequest> next = nextClass
+			.flatMap((requestClass) -> queue(requestClass).take(this.slots.limit()))
 			.map(WaitingRequest::request);
 		next.ifPresent((request) -> {
 			this.waiting.remove(request.id());
-			pace(request.requestClass()).onDequeued(now);
+			waitEstimator(request.requestClass()).onDequeued(now);
 			start(request, now);
-			this.turns.onSlotTaken(request.requestClass(), (other) -> !queue(other).isEmpty());
+			this.scheduler.onSlotTaken(request.requestClass(), (other) -> !queue(other).isEmpty());
 		});
 		return next;
 	}
@@ -358,7 +369,7 @@
 	private void start(PendingRequest request, long now) {
 		double expected = this.times.mean(request.requestClass());
 		this.slots.take(request.requestClass(), now);
-		retryTimes(request.requestClass()).onStarted(now);
+		retryAfter(request.requestClass()).onStarted(now);
 		this.shares.charge(request.caller(), expected);
 		this.shares.onStarted(request.caller());
 		this.running.put(request.id(), new Running(request, now, expected, this.running.size() + 1));
@@ -370,38 +381,40 @@
 			.mapToDouble((other) -> queue(other).size() * this.times.mean(other))
 			.sum();
 		int own = queue(requestClass).size();
-		double observed = (own > 0) ? pace(requestClass).expectedWaitNanos(own + 1, now) : 0;
+		double observed = (own > 0) ? waitEstimator(requestClass).expectedWaitNanos(own + 1, now) : 0;
 		return Math.max(ahead / this.slots.limit(), observed);
 	}
 
 	private Failure overloaded(String detail, PendingRequest request, long now) {
 		RequestClass requestClass = request.requestClass();
 		if (!request.overdue()) {
-			retryTimes(requestClass).onRefused(now);
+			retryAfter(requestClass).onRefused(now);
 		}
-		double turn = Math.max(this.times.mean(requestClass) / this.slots.limit(), queueTurn(requestClass, now));
-		Duration pause = retryTimes(requestClass).nextPause(now, expectedWait(requestClass, now), turn);
+		double interval = Math.max(this.times.mean(requestClass) / this.slots.limit(),
+				dequeueInterval(requestClass, now));
+		Duration pause = retryAfter(requestClass).nextPause(now, expectedWait(requestClass, now), interval);
 		return new Failure(ErrorKind.OVERLOADED, detail, pause);
 	}
 
-	private RetryAfterEstimator retryTimes(RequestClass requestClass) {
-		return this.retryTimes.computeIfAbsent(requestClass, (key) -> new RetryAfterEstimator());
+	private RetryAfterEstimator retryAfter(RequestClass requestClass) {
+		return this.retryAfter.computeIfAbsent(requestClass, (key) -> new RetryAfterEstimator());
 	}
 
-	// Where other classes go first, the queue moves slower than the server does.
-	private double queueTurn(RequestClass requestClass, long now) {
-		return queue(requestClass).isEmpty() ? 0 : pace(requestClass).expectedWaitNanos(1, now);
+	// Where other classes have priority, the queue drains more slowly than the server
+	// runs requests.
+	private double dequeueInterval(RequestClass requestClass, long now) {
+		return queue(requestClass).isEmpty() ? 0 : waitEstimator(requestClass).expectedWaitNanos(1, now);
 	}
 
 	private ClassQueue queue(RequestClass requestClass) {
 		return this.queues.computeIfAbsent(requestClass, (key) -> new ClassQueue(this.shares));
 	}
 
-	private QueueWaitEstimator pace(RequestClass requestClass) {
-		return this.paces.computeIfAbsent(requestClass, (key) -> new QueueWaitEstimator());
+	private QueueWaitEstimator waitEstimator(RequestClass requestClass) {
+		return this.waitEstimators.computeIfAbsent(requestClass, (key) -> new QueueWaitEstimator());
 	}
 
-	private record Running(PendingRequest request, long sinceNanos, double chargedNanos, int concurrency) {
+	private record Running(PendingRequest request, long startNanos, double expectedNanos, int concurrency) {
 
 	}
 
--- a/core/src/main/java/org/brasspier/core/admission/AdmissionDecision.java
+++ b/core/src/main/java/org/brasspier/core/admission/AdmissionDecision.java
@@ -5,31 +5,31 @@
 import org.brasspier.core.Failure;
 
 /**
- * What becomes of a request that asks to be run. Immutable and thread-safe.
+ * Decision on a request that was offered. Immutable and thread-safe.
  */
 public sealed interface AdmissionDecision {
 
 	/**
-	 * It runs now and holds a slot until {@link AdmissionController#finished}.
+	 * The request runs now and holds a slot until {@link AdmissionController#finished}.
 	 */
 	record Run() implements AdmissionDecision {
 
 	}
 
 	/**
-	 * It waits. Its end of waiting comes from a later call.
+	 * The request waits. A later call returns whether it runs or is refused.
 	 *
-	 * @param displaced a waiting request of a caller beyond its share that had to make
-	 * room and must get its answer now
+	 * @param displaced a waiting request of a caller above its share, which was removed
+	 * to make room and must be answered now
 	 */
 	record Queued(Optional<RefusedRequest> displaced) implements AdmissionDecision {
 
 	}
 
 	/**
-	 * It is refused at once and certainly did not run.
+	 * The request is refused and certainly did not run.
 	 *
-	 * @param failure the kind of error and when to try again
+	 * @param failure the kind of error and when to retry
 	 */
 	record Refuse(Failure failure) implements AdmissionDecision {
 
--- a/core/src/main/java/org/brasspier/core/admission/AdmissionLimits.java
+++ b/core/src/main/java/org/brasspier/core/admission/AdmissionLimits.java
@@ -1,7 +1,7 @@
 package org.brasspier.core.admission;
 
 /**
- * What a backend server announced that it can take. Immutable and thread-safe.
+ * Limits announced by a backend server. Immutable and thread-safe.
  *
  * @param slots how many requests it runs at once, at least 1
  * @param connections how many connections it accepts, at least 1
@@ -21,8 +21,8 @@
 	}
 
 	/**
-	 * How many requests may be with the backend server at once: each holds a slot and a
-	 * connection.
+	 * Returns how many requests the backend server may process at once: each needs a slot
+	 * and a connection.
 	 * @return at least 1
 	 */
 	public int concurrency() {
--- a/core/src/main/java/org/brasspier/core/admission/AdmissionSettings.java
+++ b/core/src/main/java/org/brasspier/core/admission/AdmissionSettings.java
@@ -7,19 +7,19 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * How each class of request is queued. Immutable and thread-safe.
+ * Queueing rules of each request class. Immutable and thread-safe.
  *
  * @param classes the rules of each class
  */
 public record AdmissionSettings(Map<RequestClass, ClassRules> classes) {
 
-	private static final double WHOLE_PERCENT = 100;
+	private static final double PERCENT = 100;
 
 	/**
-	 * Rules that fit services whose lookups take some tens of milliseconds. Waits: a
-	 * lookup is worth nothing to a crew after a second, so its queue holds no more than a
-	 * short burst; a posting may wait a little; an audit reader can wait. Shares: what a
-	 * class is sure of when a class before it could use everything.
+	 * Defaults for services whose lookups take some tens of milliseconds. Waits: a lookup
+	 * is of no use to a person after a second, so its queue holds no more than a short
+	 * burst; a posting may wait a little; an audit reader can wait. Shares: the part
+	 * guaranteed to a class when a class of higher priority could use all slots.
 	 */
 	public static final AdmissionSettings DEFAULT = new AdmissionSettings(Map.of(RequestClass.INTERNAL,
 			new ClassRules(Duration.ofMillis(100), Duration.ofMillis(100), 1.0, Duration.ofMillis(5)),
@@ -44,7 +44,7 @@
 	}
 
 	/**
-	 * The rules of one class.
+	 * Returns the rules of one class.
 	 * @param requestClass the class
 	 * @return its rules
 	 */
@@ -57,27 +57,27 @@
 	}
 
 	/**
-	 * These rules with larger sure shares where operators ask for them.
-	 * @param percent the share that each class is to be sure of at least, in percent;
-	 * classes that are left out keep theirs
+	 * Returns these rules with the guaranteed shares raised to the given minimums.
+	 * @param percent the minimum guaranteed share of each class, in percent; classes that
+	 * are absent keep their share
 	 * @return the rules
 	 */
 	public AdmissionSettings withGuaranteedShares(Map<RequestClass, Integer> percent) {
-		Map<RequestClass, ClassRules> raised = new EnumMap<>(this.classes);
-		percent.forEach((requestClass, share) -> raised.computeIfPresent(requestClass,
-				(key, rules) -> rules.withGuaranteedShare(Math.max(rules.guaranteedShare(), share / WHOLE_PERCENT))));
-		return new AdmissionSettings(raised);
+		Map<RequestClass, ClassRules> newClasses = new EnumMap<>(this.classes);
+		percent.forEach((requestClass, share) -> newClasses.computeIfPresent(requestClass,
+				(key, rules) -> rules.withGuaranteedShare(Math.max(rules.guaranteedShare(), share / PERCENT))));
+		return new AdmissionSettings(newClasses);
 	}
 
 	/**
 	 * The rules of one class.
 	 *
-	 * @param maxExpectedWait the expected wait beyond which a new request is refused at
+	 * @param maxExpectedWait the expected wait above which a new request is refused at
 	 * once
-	 * @param maxWait how long one that was let in may wait until it is given up; longer
-	 * than the expected wait, which errs most for classes that others go before
-	 * @param guaranteedShare the share of slot time that the class gets even if a class
-	 * before it asks for more than there is
+	 * @param maxWait the longest wait of an admitted request, after which it is refused;
+	 * longer than the expected wait, whose error is largest for classes of low priority
+	 * @param guaranteedShare the share of slot time that the class receives even if a
+	 * class of higher priority requests more than all of it
 	 * @param initialServiceTime the service time assumed before any was observed
 	 */
 	public record ClassRules(Duration maxExpectedWait, Duration maxWait, double guaranteedShare,
@@ -91,7 +91,7 @@
 			if (!maxExpectedWait.isPositive() || maxWait.compareTo(maxExpectedWait) < 0
 					|| !initialServiceTime.isPositive() || guaranteedShare < 0 || guaranteedShare > 1) {
 				throw new IllegalArgumentException(
-						"letInWait %s and firstGuess %s must be positive, longestWait %s no shorter, sureShare %s from 0 to 1"
+						"maxExpectedWait %s and initialServiceTime %s must be positive, maxWait %s no shorter than maxExpectedWait, guaranteedShare %s from 0 to 1"
 							.formatted(maxExpectedWait, initialServiceTime, maxWait, guaranteedShare));
 			}
 		}
--- a/core/src/main/java/org/brasspier/core/admission/CallerShares.java
+++ b/core/src/main/java/org/brasspier/core/admission/CallerShares.java
@@ -7,24 +7,26 @@
 import org.brasspier.core.CallerId;
 
 /**
- * Which caller is next, so that one client office or bank can't crowd the others out:
- * start-time fair queueing over the slot time that each caller used. Not thread-safe.
+ * Selects the next caller, so that no single caller, such as a client office or a bank,
+ * can starve the others: start-time fair queueing over the slot time used by each caller.
+ * Not thread-safe.
  */
 final class CallerShares {
 
 	/**
-	 * The number of callers remembered. A forgotten one starts level with the others,
-	 * which is harmless; the bound keeps made-up caller names from filling memory.
+	 * The number of callers remembered. A caller that was evicted starts level with the
+	 * others, which is harmless; the limit prevents made-up caller names from filling
+	 * memory.
 	 */
-	private static final int MOST_CALLERS = 256;
+	private static final int MAX_CALLERS = 256;
 
-	private static final int WHOLE_PERCENT = 100;
+	private static final int PERCENT = 100;
 
 	private final Map<CallerId, Double> usedNanos = new LinkedHashMap<>(16, 0.75f, true) {
 
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<CallerId, Double> eldest) {
-			return size() > MOST_CALLERS;
+			return size() > MAX_CALLERS;
 		}
 
 	};
@@ -35,7 +37,8 @@
 
 	private double virtualTimeNanos;
 
-	// The most of the slots that a named caller may hold while others wait, in percent.
+	// Sets the largest percentage of the slots that a named caller may hold while others
+	// wait.
 	void maxPercent(Map<CallerId, Integer> percent) {
 		this.maxPercent = Map.copyOf(percent);
 	}
@@ -48,23 +51,23 @@
 		this.holding.computeIfPresent(caller, (key, count) -> (count > 1) ? count - 1 : null);
 	}
 
-	// Made for an office that operators know to flood: turns alone would leave it an
-	// equal
-	// share of every burst. It always gets one slot, or it could never be served.
+	// Limits callers that operators know to cause floods: fair queueing alone would give
+	// such a caller an equal share of every burst. One slot is always allowed; otherwise
+	// the caller would never be served.
 	boolean atLimit(CallerId caller, int slots) {
 		Integer percent = this.maxPercent.get(caller);
 		int held = this.holding.getOrDefault(caller, 0);
-		return percent != null && held >= Math.max(1, slots * percent / WHOLE_PERCENT);
+		return percent != null && held >= Math.max(1, slots * percent / PERCENT);
 	}
 
-	// The slot time a caller has had, level with the present turn if it had less: who was
-	// away can't save up turns and then take all slots at once.
-	double used(CallerId caller) {
+	// Returns the slot time used by a caller, but at least the current virtual time: an
+	// inactive caller can't save up slot time and then take all slots at once.
+	double virtualUsage(CallerId caller) {
 		return Math.max(this.usedNanos.getOrDefault(caller, 0.0), this.virtualTimeNanos);
 	}
 
 	void charge(CallerId caller, double nanos) {
-		double before = used(caller);
+		double before = virtualUsage(caller);
 		this.virtualTimeNanos = before;
 		this.usedNanos.put(caller, before + nanos);
 	}
--- a/core/src/main/java/org/brasspier/core/admission/ClassQueue.java
+++ b/core/src/main/java/org/brasspier/core/admission/ClassQueue.java
@@ -12,8 +12,8 @@
 import org.brasspier.core.CallerId;
 
 /**
- * The waiting requests of one class: callers in turn by the slot time they had, each
- * caller's own requests by the time at which they must start. Not thread-safe.
+ * The waiting requests of one class. Callers take turns by the slot time they used; the
+ * requests of one caller are ordered by their latest start time. Not thread-safe.
  */
 final class ClassQueue {
 
@@ -60,21 +60,21 @@
 		return true;
 	}
 
-	// Takes the next request: of the caller that had the least, the one due first. Who
-	// holds all that it may hold comes after everybody else.
+	// Removes the next request: the most urgent one of the caller that used the least
+	// slot time. Callers at their limit come after all others.
 	Optional<WaitingRequest> take(int slots) {
 		Optional<WaitingRequest> next = this.waiting.entrySet()
 			.stream()
 			.min(Comparator.comparing(
 					(Map.Entry<CallerId, TreeSet<WaitingRequest>> entry) -> this.shares.atLimit(entry.getKey(), slots))
-				.thenComparingDouble((entry) -> this.shares.used(entry.getKey())))
+				.thenComparingDouble((entry) -> this.shares.virtualUsage(entry.getKey())))
 			.map((entry) -> entry.getValue().first());
 		next.ifPresent(this::remove);
 		return next;
 	}
 
-	// Makes room for a caller by giving up the request due last of the caller that has
-	// most waiting, if that is at least two more than the newcomer has.
+	// Makes room for a caller by removing the least urgent request of the caller with the
+	// most waiting requests, if it has at least two more than the new caller.
 	Optional<WaitingRequest> displaceFor(CallerId newcomer) {
 		int own = size(newcomer);
 		Optional<WaitingRequest> displaced = this.waiting.values()
@@ -86,7 +86,7 @@
 		return displaced;
 	}
 
-	// Takes out all that had to start by now.
+	// Removes all requests whose latest start time has passed.
 	List<WaitingRequest> removeLate(long now) {
 		List<WaitingRequest> late = new ArrayList<>();
 		this.waiting.values()
--- a/core/src/main/java/org/brasspier/core/admission/ClassScheduler.java
+++ b/core/src/main/java/org/brasspier/core/admission/ClassScheduler.java
@@ -9,8 +9,8 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * Which class is next: the first in order, unless a later one has waited for its sure
- * share of slot time. Made for saturation by one class: without it a flood of lookups
+ * Selects the next request class: the first in order of priority, unless a later one has
+ * accumulated credit from its guaranteed share of slot time. Otherwise a flood of lookups
  * would starve postings and audit readers for as long as it lasts. Not thread-safe.
  */
 final class ClassScheduler {
@@ -19,7 +19,7 @@
 
 	private final ServiceTimes times;
 
-	private final Map<RequestClass, Double> owedNanos = new EnumMap<>(RequestClass.class);
+	private final Map<RequestClass, Double> creditNanos = new EnumMap<>(RequestClass.class);
 
 	ClassScheduler(AdmissionSettings settings, ServiceTimes times) {
 		this.settings = settings;
@@ -27,29 +27,29 @@
 	}
 
 	Optional<RequestClass> next(Predicate<RequestClass> ready) {
-		Optional<RequestClass> owed = Arrays.stream(RequestClass.values())
+		Optional<RequestClass> eligible = Arrays.stream(RequestClass.values())
 			.filter(ready)
-			.filter((requestClass) -> owed(requestClass) >= this.times.mean(requestClass))
+			.filter((requestClass) -> credit(requestClass) >= this.times.mean(requestClass))
 			.findFirst();
-		return owed.or(() -> Arrays.stream(RequestClass.values()).filter(ready).findFirst());
+		return eligible.or(() -> Arrays.stream(RequestClass.values()).filter(ready).findFirst());
 	}
 
-	// Accounts for a slot that was given to one class while others were waiting.
-	void onSlotTaken(RequestClass taken, Predicate<RequestClass> waiting) {
-		double cost = this.times.mean(taken);
+	// Records that a slot was given to one class while others were waiting.
+	void onSlotTaken(RequestClass startedClass, Predicate<RequestClass> waiting) {
+		double cost = this.times.mean(startedClass);
 		for (RequestClass other : RequestClass.values()) {
 			if (!waiting.test(other)) {
-				this.owedNanos.remove(other);
+				this.creditNanos.remove(other);
 			}
-			else if (other != taken) {
-				this.owedNanos.merge(other, cost * this.settings.of(other).guaranteedShare(), Double::sum);
+			else if (other != startedClass) {
+				this.creditNanos.merge(other, cost * this.settings.of(other).guaranteedShare(), Double::sum);
 			}
 		}
-		this.owedNanos.computeIfPresent(taken, (key, owed) -> Math.max(0, owed - cost));
+		this.creditNanos.computeIfPresent(startedClass, (key, credit) -> Math.max(0, credit - cost));
 	}
 
-	private double owed(RequestClass requestClass) {
-		return this.owedNanos.getOrDefault(requestClass, 0.0);
+	private double credit(RequestClass requestClass) {
+		return this.creditNanos.getOrDefault(requestClass, 0.0);
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/admission/ConcurrencyLimit.java
+++ b/core/src/main/java/org/brasspier/core/admission/ConcurrencyLimit.java
@@ -3,44 +3,46 @@
 import java.util.stream.IntStream;
 
 /**
- * How many requests a backend server really works on at once, from what was observed.
- * Made for servers that announce more slots than they have or lose some: what is handed
- * over beyond them waits inside, where nobody orders it. Compares the throughput at each
+ * Estimates how many requests a backend server really processes at once. Needed for
+ * servers that announce more slots than they have, or that lose slots: excess requests
+ * wait inside the server, where no priority applies. Compares the throughput at each
  * concurrency, so a server that is slow at any concurrency keeps all its slots. Not
  * thread-safe.
  * <p>
- * It learns from load that varies. Under lasting saturation only the highest concurrency
- * is seen; trying fewer from time to time was measured and cost honest servers more than
- * it gained with overstated ones (docs/MEASUREMENTS.md).
+ * The estimate needs a varying load. Under lasting saturation only the highest
+ * concurrency is observed. Probing lower concurrencies from time to time was measured,
+ * and cost correctly configured servers more than it gained with servers that announce
+ * too many slots (docs/MEASUREMENTS.md).
  */
 final class ConcurrencyLimit {
 
 	/**
-	 * The weight of a new observation at one concurrency: run times that vary by their
-	 * own mean leave an error of 6 in 100, well below what counts as slower.
+	 * Weight of a new observation at one concurrency. Run times whose standard deviation
+	 * equals their mean leave an error of 6 in 100, well below the slowdown factor.
 	 */
 	private static final double WEIGHT = 1.0 / 128;
 
-	/** Fewer observations than this at one concurrency say nothing. */
-	private static final int FEWEST_OBSERVED = 100;
+	/** Number of observations at one concurrency below which they are not significant. */
+	private static final int MIN_OBSERVATIONS = 100;
 
-	/** How often the limit is worked out, in observations. */
-	private static final int EVERY = 50;
+	/** Number of observations between updates of the limit. */
+	private static final int UPDATE_INTERVAL = 50;
 
 	/**
-	 * A run that a stall made hundreds of times longer counts as this many times; a lower
-	 * bound would cut the long runs that a full server is known by.
+	 * Upper bound on the relative time of a run, for runs that a stall made hundreds of
+	 * times longer. A lower bound would truncate the long runs that indicate a full
+	 * server.
 	 */
-	private static final double LONGEST_RELATIVE = 20;
+	private static final double MAX_RELATIVE_TIME = 20;
 
 	/**
-	 * Requests beyond the limit must have been slower by this factor; chance alone makes
-	 * two concurrencies differ by a tenth.
+	 * Factor by which requests above the limit must be slower; random variation alone
+	 * makes two concurrencies differ by a tenth.
 	 */
-	private static final double SURELY_SLOWER = 1.3;
+	private static final double SLOWDOWN_FACTOR = 1.3;
 
-	/** The share of the best throughput that the limit must reach. */
-	private static final double ENOUGH = 0.9;
+	/** Share of the best throughput that must be reached at the limit. */
+	private static final double MIN_THROUGHPUT_SHARE = 0.9;
 
 	private final double[] relativeTimes;
 
@@ -48,12 +50,12 @@
 
 	private int limit;
 
-	private int sinceWorkedOut;
+	private int sinceUpdate;
 
-	ConcurrencyLimit(int most) {
-		this.relativeTimes = new double[most + 1];
-		this.counts = new int[most + 1];
-		this.limit = most;
+	ConcurrencyLimit(int maxConcurrency) {
+		this.relativeTimes = new double[maxConcurrency + 1];
+		this.counts = new int[maxConcurrency + 1];
+		this.limit = maxConcurrency;
 	}
 
 	int limit() {
@@ -61,51 +63,53 @@
 	}
 
 	/**
-	 * Takes an answered request.
-	 * @param concurrency how many ran when it began, itself included; how many ran while
-	 * it did would tell long requests from short ones
-	 * @param relativeTime how long it took over what its class usually takes
+	 * Records an answered request.
+	 * @param concurrency number of running requests when it started, including itself;
+	 * the number during its run would correlate with its duration
+	 * @param relativeTime its duration divided by the usual duration of its class
 	 */
 	void observe(int concurrency, double relativeTime) {
-		int at = Math.clamp(concurrency, 1, most());
-		double time = Math.min(LONGEST_RELATIVE, relativeTime);
-		double weight = Math.max(WEIGHT, 1.0 / (this.counts[at] + 1));
-		this.counts[at]++;
-		this.relativeTimes[at] += weight * (time - this.relativeTimes[at]);
-		this.sinceWorkedOut++;
-		if (this.sinceWorkedOut >= EVERY) {
-			this.sinceWorkedOut = 0;
-			workOut();
+		int level = Math.clamp(concurrency, 1, maxConcurrency());
+		double time = Math.min(MAX_RELATIVE_TIME, relativeTime);
+		double weight = Math.max(WEIGHT, 1.0 / (this.counts[level] + 1));
+		this.counts[level]++;
+		this.relativeTimes[level] += weight * (time - this.relativeTimes[level]);
+		this.sinceUpdate++;
+		if (this.sinceUpdate >= UPDATE_INTERVAL) {
+			this.sinceUpdate = 0;
+			updateLimit();
 		}
 	}
 
 	/**
-	 * Takes a request that the backend server shed.
-	 * @param concurrency how many ran beside it, itself included
+	 * Records a request that the backend server shed.
+	 * @param concurrency number of running requests when it started, including itself
 	 */
-	void shed(int concurrency) {
-		this.limit = Math.clamp(Math.min(this.limit, concurrency - 1), 1, most());
+	void onShed(int concurrency) {
+		this.limit = Math.clamp(Math.min(this.limit, concurrency - 1), 1, maxConcurrency());
 	}
 
-	// One more than what is known to be enough, so that it shows when the server has got
-	// its slots back.
-	private void workOut() {
-		double best = observed().mapToDouble(this::throughput).max().orElse(0);
-		int enough = observed().filter((at) -> throughput(at) >= ENOUGH * best).findFirst().orElse(most());
-		boolean slower = observed().filter((at) -> at > enough)
-			.anyMatch((at) -> this.relativeTimes[at] > SURELY_SLOWER * this.relativeTimes[enough]);
-		this.limit = Math.min(most(), slower ? enough + 1 : this.limit + 1);
+	// The limit is one above the sufficient concurrency, so that recovered slots are
+	// detected.
+	private void updateLimit() {
+		double best = observedLevels().mapToDouble(this::throughput).max().orElse(0);
+		int sufficient = observedLevels().filter((level) -> throughput(level) >= MIN_THROUGHPUT_SHARE * best)
+			.findFirst()
+			.orElse(maxConcurrency());
+		boolean slower = observedLevels().filter((level) -> level > sufficient)
+			.anyMatch((level) -> this.relativeTimes[level] > SLOWDOWN_FACTOR * this.relativeTimes[sufficient]);
+		this.limit = Math.min(maxConcurrency(), slower ? sufficient + 1 : this.limit + 1);
 	}
 
-	private IntStream observed() {
-		return IntStream.rangeClosed(1, most()).filter((at) -> this.counts[at] >= FEWEST_OBSERVED);
+	private IntStream observedLevels() {
+		return IntStream.rangeClosed(1, maxConcurrency()).filter((level) -> this.counts[level] >= MIN_OBSERVATIONS);
 	}
 
 	private double throughput(int concurrency) {
 		return concurrency / this.relativeTimes[concurrency];
 	}
 
-	private int most() {
+	private int maxConcurrency() {
 		return this.counts.length - 1;
 	}
 
--- a/core/src/main/java/org/brasspier/core/admission/NextRequests.java
+++ b/core/src/main/java/org/brasspier/core/admission/NextRequests.java
@@ -3,16 +3,15 @@
 import java.util.List;
 
 /**
- * What follows from a slot that has become free or from time that has passed. Immutable
- * and thread-safe.
+ * Consequences of a freed slot or of elapsed time. Immutable and thread-safe.
  *
- * @param run the numbers of the waiting requests to hand to the backend server now; their
+ * @param run the numbers of the waiting requests to send to the backend server now; their
  * slots are already taken
- * @param refused the waiting requests that are given up
+ * @param refused the waiting requests that are refused
  */
 public record NextRequests(List<Long> run, List<RefusedRequest> refused) {
 
-	/** Nothing follows. */
+	/** No requests run or are refused. */
 	public static final NextRequests NONE = new NextRequests(List.of(), List.of());
 
 	/**
--- a/core/src/main/java/org/brasspier/core/admission/QueueWaitEstimator.java
+++ b/core/src/main/java/org/brasspier/core/admission/QueueWaitEstimator.java
@@ -1,37 +1,41 @@
 package org.brasspier.core.admission;
 
 /**
- * How fast the queue of one class moves, whatever the cause: classes that go first, a
- * slow server, slots that are kept. Made for saturation and stalls, where queue length
- * times service time promises far too much. Not thread-safe.
+ * Estimates the wait in the queue of one class from the interval between dequeued
+ * requests, whatever determines it: classes of higher priority, a slow server or reserved
+ * slots. Under saturation and stalls, queue length times service time would be far too
+ * short. Not thread-safe.
  */
 final class QueueWaitEstimator {
 
-	/** Some sixteen turns change the estimate: as many as a small server has slots. */
+	/**
+	 * Weight of a new interval: about 16 requests change the estimate, the number of
+	 * slots of a small server.
+	 */
 	private static final double WEIGHT = 1.0 / 16;
 
-	private double turnNanos;
+	private double intervalNanos;
 
-	private long lastTurnNanos;
+	private long lastDequeuedNanos;
 
 	void onFirstQueued(long now) {
-		this.lastTurnNanos = now;
+		this.lastDequeuedNanos = now;
 	}
 
 	void onDequeued(long now) {
-		this.turnNanos += WEIGHT * (now - this.lastTurnNanos - this.turnNanos);
-		this.lastTurnNanos = now;
+		this.intervalNanos += WEIGHT * (now - this.lastDequeuedNanos - this.intervalNanos);
+		this.lastDequeuedNanos = now;
 	}
 
 	/**
-	 * How long until so many requests have been taken.
-	 * @param count how many
-	 * @param now the time
+	 * Returns the expected time until a number of requests has been dequeued.
+	 * @param count the number of requests
+	 * @param now the current time, in nanoseconds
 	 * @return the expected time, in nanoseconds
 	 */
 	double expectedWaitNanos(int count, long now) {
-		// A turn that is overdue shows a stall before the average does.
-		return count * Math.max(this.turnNanos, now - this.lastTurnNanos);
+		// An overdue interval reveals a stall before the average does.
+		return count * Math.max(this.intervalNanos, now - this.lastDequeuedNanos);
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/admission/RetryAfterEstimator.java
+++ b/core/src/main/java/org/brasspier/core/admission/RetryAfterEstimator.java
@@ -3,38 +3,43 @@
 import java.time.Duration;
 
 /**
- * When refused callers of one class should come back: one after the other, as fast as
- * their queue moves. Made for bursts: if all were told the same moment, the burst would
- * only be put off; if all classes were told one after the other, a lookup would be told
- * to wait for audit readers that it goes before.
+ * Determines when refused callers of one class should retry: one after the other, at the
+ * rate at which their queue drains. If all were given the same time, a burst would only
+ * be postponed; if all classes shared one sequence, a lookup would be told to wait for
+ * audit readers, although it has priority over them.
  * <p>
- * While the server is overloaded there is no room for who comes back: fresh requests
- * alone fill it, and a returning caller is refused again or takes the place of a fresh
- * one. An overload is expected to last as long again as it has lasted. Not thread-safe.
+ * While the server is overloaded there is no capacity for retries: new requests alone
+ * fill it, and a retry is refused again or takes the place of a new request. An overload
+ * is expected to last as long again as it has lasted so far. Not thread-safe.
  */
 final class RetryAfterEstimator {
 
-	/** Sooner than this a resend would meet the same queue. */
-	private static final long SHORTEST_NANOS = Duration.ofMillis(50).toNanos();
+	/** Shortest pause: an earlier resend would meet the same queue. */
+	private static final long MIN_PAUSE_NANOS = Duration.ofMillis(50).toNanos();
 
 	/**
-	 * Longer than this a person would resend by hand; the backlog is anybody's guess by
-	 * then.
+	 * Longest pause: after a longer one, people resend by hand, and the backlog by then
+	 * can't be predicted.
 	 */
-	private static final long LONGEST_NANOS = Duration.ofSeconds(10).toNanos();
+	private static final long MAX_PAUSE_NANOS = Duration.ofSeconds(10).toNanos();
 
-	/** Refusals and runs of about this time tell whether the server is overloaded. */
+	/**
+	 * Window of the refusals and starts that determine whether the server is overloaded.
+	 */
 	private static final double WINDOW_NANOS = Duration.ofMillis(500).toNanos();
 
-	/** Fewer refusals in that time are a moment's chance. */
-	private static final double LEAST_REFUSED = 0.5;
+	/** Number of refusals in the window below which they are considered random. */
+	private static final double MIN_REFUSED = 0.5;
 
-	/** From this share of refusals on, who comes back takes the place of another. */
-	private static final double OVERLOADED_SHARE = 0.1;
+	/**
+	 * Share of refusals from which the server counts as overloaded, so that a retry would
+	 * take the place of another request.
+	 */
+	private static final double OVERLOAD_REFUSED_SHARE = 0.1;
 
 	private long nextNanos;
 
-	private double begun;
+	private double started;
 
 	private double refused;
 
@@ -45,63 +50,64 @@
 	private long overloadedSinceNanos;
 
 	/**
-	 * Takes that a request of the class was begun.
-	 * @param now the time
+	 * Records that a request of the class was started.
+	 * @param now the current time, in nanoseconds
 	 */
 	void onStarted(long now) {
 		decay(now);
-		this.begun++;
-		noteOverload(now);
+		this.started++;
+		updateOverloaded(now);
 	}
 
 	/**
-	 * Takes that a request of the class was refused that could have been answered within
-	 * its target.
-	 * @param now the time
+	 * Records the refusal of a request of the class that could have been answered within
+	 * its target latency.
+	 * @param now the current time, in nanoseconds
 	 */
 	void onRefused(long now) {
 		decay(now);
 		this.refused++;
-		noteOverload(now);
+		updateOverloaded(now);
 	}
 
 	/**
-	 * Whether so many are refused that there is no room for who comes back.
-	 * @param now the time
+	 * Returns whether so many requests are refused that there is no capacity for retries.
+	 * @param now the current time, in nanoseconds
 	 * @return true if so
 	 */
-	boolean overloaded(long now) {
+	boolean isOverloaded(long now) {
 		decay(now);
-		return this.overloaded && this.refused >= LEAST_REFUSED;
+		return this.overloaded && this.refused >= MIN_REFUSED;
 	}
 
 	private void decay(long now) {
-		double kept = Math.exp(-Math.max(0, now - this.countedNanos) / WINDOW_NANOS);
-		this.begun *= kept;
-		this.refused *= kept;
+		double decayFactor = Math.exp(-Math.max(0, now - this.countedNanos) / WINDOW_NANOS);
+		this.started *= decayFactor;
+		this.refused *= decayFactor;
 		this.countedNanos = now;
 	}
 
-	private void noteOverload(long now) {
-		boolean before = this.overloaded;
-		this.overloaded = this.refused >= OVERLOADED_SHARE * (this.begun + this.refused);
-		if (this.overloaded && !before) {
+	private void updateOverloaded(long now) {
+		boolean wasOverloaded = this.overloaded;
+		this.overloaded = this.refused >= OVERLOAD_REFUSED_SHARE * (this.started + this.refused);
+		if (this.overloaded && !wasOverloaded) {
 			this.overloadedSinceNanos = now;
 		}
 	}
 
 	/**
-	 * The pause for one more refused request.
-	 * @param now the time
-	 * @param waitNanos how long a request of its class would wait now
-	 * @param turnNanos how often the backend server takes a request of the class
+	 * Returns the pause for one more refused request.
+	 * @param now the current time, in nanoseconds
+	 * @param waitNanos how long a request of its class would wait now, in nanoseconds
+	 * @param intervalNanos the interval at which the backend server starts requests of
+	 * the class, in nanoseconds
 	 * @return from 50 ms to 10 s
 	 */
-	Duration nextPause(long now, double waitNanos, double turnNanos) {
-		double lasted = this.overloaded ? now - this.overloadedSinceNanos : 0;
-		double wait = Math.max(lasted, Math.max(SHORTEST_NANOS, waitNanos));
-		long earliest = now + (long) Math.min(LONGEST_NANOS, wait);
-		this.nextNanos = Math.max(earliest, Math.min(this.nextNanos + (long) turnNanos, now + LONGEST_NANOS));
+	Duration nextPause(long now, double waitNanos, double intervalNanos) {
+		double overloadNanos = this.overloaded ? now - this.overloadedSinceNanos : 0;
+		double wait = Math.max(overloadNanos, Math.max(MIN_PAUSE_NANOS, waitNanos));
+		long earliest = now + (long) Math.min(MAX_PAUSE_NANOS, wait);
+		this.nextNanos = Math.max(earliest, Math.min(this.nextNanos + (long) intervalNanos, now + MAX_PAUSE_NANOS));
 		return Duration.ofNanos(this.nextNanos - now);
 	}
 
--- a/core/src/main/java/org/brasspier/core/admission/RunOutcome.java
+++ b/core/src/main/java/org/brasspier/core/admission/RunOutcome.java
@@ -1,24 +1,25 @@
 package org.brasspier.core.admission;
 
 /**
- * How a request's time on the backend server ended.
+ * How the run of a request on the backend server ended.
  */
 public enum RunOutcome {
 
 	/** The backend server answered. */
 	ANSWERED,
 
-	/** The backend server said that it shed the request; its time tells nothing. */
+	/** The backend server shed the request; its duration is not meaningful. */
 	SHED,
 
 	/**
-	 * It never began, for a reason that tells nothing of the backend server's load: the
-	 * caller is gone, the deadline or the lease ran out, or the fence was refused.
+	 * The request never started, for a reason unrelated to the backend server's load: the
+	 * caller disconnected, the deadline or the lease ended, or the fence was refused.
 	 */
 	NOT_STARTED,
 
 	/**
-	 * It was cancelled, timed out or its connection broke; its time tells a lower bound.
+	 * The request was cancelled, timed out or lost its connection; its duration is a
+	 * lower bound.
 	 */
 	INTERRUPTED
 
--- a/core/src/main/java/org/brasspier/core/admission/ServiceTimes.java
+++ b/core/src/main/java/org/brasspier/core/admission/ServiceTimes.java
@@ -6,14 +6,14 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * How long requests of each class take on the backend server, from what was observed.
- * Made for servers whose own load figures lag or mislead. Not thread-safe.
+ * Observed service times of each class on the backend server. Used instead of the
+ * servers' own load figures, which may lag or mislead. Not thread-safe.
  */
 final class ServiceTimes {
 
 	/**
-	 * The weight of a new observation: some thirty requests change the estimate, a blink
-	 * at 800 requests a second, while a single slow request does not.
+	 * Weight of a new observation: about 30 requests change the estimate, which at 800
+	 * requests per second takes an instant, while a single slow request does not.
 	 */
 	private static final double WEIGHT = 1.0 / 32;
 
@@ -34,8 +34,8 @@
 		this.meanNanos.put(requestClass, before + weight * (nanos - before));
 	}
 
-	// Takes a request that ended without an answer. That it took at least this long may
-	// only raise the estimate.
+	// Records a request that ended without an answer. Its duration is a lower bound, so
+	// it may only raise the estimate.
 	void observeAtLeast(RequestClass requestClass, long nanos) {
 		if (nanos > mean(requestClass)) {
 			observe(requestClass, nanos);
--- a/core/src/main/java/org/brasspier/core/admission/SlotAllocation.java
+++ b/core/src/main/java/org/brasspier/core/admission/SlotAllocation.java
@@ -7,85 +7,89 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * Which slots of the backend server each class may use. Not thread-safe.
+ * Determines which slots of the backend server each class may use. Not thread-safe.
  */
 final class SlotAllocation {
 
 	/**
-	 * One slot in eight, at least one, is kept for internal calls. Made for circles:
-	 * outer calls that fill all slots while each waits for an internal call to this very
-	 * server would stall until their deadlines. One slot is enough to get a circle
-	 * moving; an eighth lets the internal calls of a full server keep up.
+	 * One slot in eight, at least one, is reserved for internal calls, to prevent
+	 * deadlocks: if outer calls filled all slots while each of them waits for an internal
+	 * call to the same server, they would stall until their deadlines. One slot resolves
+	 * such a cycle; an eighth lets the internal calls of a full server keep up.
 	 */
-	private static final int INTERNAL_ONE_IN = 8;
+	private static final int SLOTS_PER_INTERNAL_SLOT = 8;
 
 	/**
-	 * The share of all requests from which on internal calls have slots kept. A handful
-	 * of them, as when a new route is tried out, would cost a server of ten slots a
-	 * tenth.
+	 * Share of internal calls in all requests from which slots are reserved for them.
+	 * Reserving for a handful of calls, such as a trial of a new route, would cost a
+	 * server of ten slots a tenth of its capacity.
 	 */
-	private static final double INTERNAL_SHARE = 0.02;
+	private static final double MIN_INTERNAL_SHARE = 0.02;
 
-	/** Some 250 requests change the estimate of that share. */
+	/** Weight of a new request in that share: about 250 requests change the estimate. */
 	private static final double SHARE_WEIGHT = 1.0 / 256;
 
 	/**
-	 * How long after the last request of a class its slots are kept from others. A server
-	 * that has no internal calls, or only audit reads, uses all its slots for what comes.
+	 * How long the slots of a class remain reserved after its last request. A server
+	 * without internal calls, or with audit reads only, uses all its slots for the
+	 * requests it receives.
 	 */
-	private static final long KEPT_NANOS = Duration.ofMinutes(10).toNanos();
+	private static final long RESERVATION_NANOS = Duration.ofMinutes(10).toNanos();
 
-	/** An audit read of up to this length may use a slot kept for internal calls. */
-	private static final long BRIEF_NANOS = Duration.ofMillis(200).toNanos();
+	/**
+	 * Longest mean duration of audit reads that may use slots reserved for internal
+	 * calls.
+	 */
+	private static final long BRIEF_AUDIT_NANOS = Duration.ofMillis(200).toNanos();
 
 	private final Map<RequestClass, Integer> taken = new EnumMap<>(RequestClass.class);
 
-	private final Map<RequestClass, Long> lastSeen = new EnumMap<>(RequestClass.class);
+	private final Map<RequestClass, Long> lastOfferedNanos = new EnumMap<>(RequestClass.class);
 
 	private double internalShare;
 
-	private long seenCount;
+	private long offeredCount;
 
-	private final SlotDemand shortWork = new SlotDemand();
+	private final SlotDemand shortRequestDemand = new SlotDemand();
 
 	private final ServiceTimes times;
 
 	private AdmissionLimits limits;
 
-	private ConcurrencyLimit observed;
+	private ConcurrencyLimit concurrencyLimit;
 
 	SlotAllocation(AdmissionLimits limits, ServiceTimes times) {
 		this.limits = limits;
 		this.times = times;
-		this.observed = new ConcurrencyLimit(limits.concurrency());
+		this.concurrencyLimit = new ConcurrencyLimit(limits.concurrency());
 	}
 
 	void limits(AdmissionLimits announced) {
 		if (announced.concurrency() != this.limits.concurrency()) {
-			this.observed = new ConcurrencyLimit(announced.concurrency());
+			this.concurrencyLimit = new ConcurrencyLimit(announced.concurrency());
 		}
 		this.limits = announced;
 	}
 
 	void onOffered(RequestClass requestClass, long now) {
-		this.lastSeen.put(requestClass, now);
+		this.lastOfferedNanos.put(requestClass, now);
 		double internal = (requestClass == RequestClass.INTERNAL) ? 1 : 0;
-		this.seenCount++;
-		double weight = Math.max(SHARE_WEIGHT, 1.0 / this.seenCount);
+		this.offeredCount++;
+		double weight = Math.max(SHARE_WEIGHT, 1.0 / this.offeredCount);
 		this.internalShare += weight * (internal - this.internalShare);
 	}
 
 	void take(RequestClass requestClass, long now) {
 		this.taken.merge(requestClass, 1, Integer::sum);
 		if (isShort(requestClass)) {
-			this.shortWork.change(1, now);
+			this.shortRequestDemand.change(1, now);
 		}
 	}
 
 	void release(RequestClass requestClass, long now) {
 		this.taken.merge(requestClass, -1, Integer::sum);
 		if (isShort(requestClass)) {
-			this.shortWork.change(-1, now);
+			this.shortRequestDemand.change(-1, now);
 		}
 	}
 
@@ -94,11 +98,11 @@
 	}
 
 	int limit() {
-		return this.observed.limit();
+		return this.concurrencyLimit.limit();
 	}
 
-	ConcurrencyLimit observed() {
-		return this.observed;
+	ConcurrencyLimit concurrencyLimit() {
+		return this.concurrencyLimit;
 	}
 
 	boolean hasFreeSlot(RequestClass requestClass, long now) {
@@ -108,38 +112,40 @@
 		}
 		return switch (requestClass) {
 			case INTERNAL -> true;
-			case LOOKUP, POSTING -> mayWait() < limit() - reservedForInternal(now);
-			case AUDIT -> auditFree(now);
+			case LOOKUP, POSTING -> outerCalls() < limit() - reservedForInternal(now);
+			case AUDIT -> hasFreeAuditSlot(now);
 		};
 	}
 
-	// The outer calls that may be waiting for an internal call.
-	private int mayWait() {
+	// Counts the outer calls, which may be waiting for an internal call.
+	private int outerCalls() {
 		return used(RequestClass.LOOKUP) + used(RequestClass.POSTING);
 	}
 
 	private int reservedForInternal(long now) {
-		boolean keep = limit() > 1 && recent(RequestClass.INTERNAL, now) && this.internalShare >= INTERNAL_SHARE;
-		return keep ? Math.max(1, limit() / INTERNAL_ONE_IN) : 0;
+		boolean reserve = limit() > 1 && offeredRecently(RequestClass.INTERNAL, now)
+				&& this.internalShare >= MIN_INTERNAL_SHARE;
+		return reserve ? Math.max(1, limit() / SLOTS_PER_INTERNAL_SLOT) : 0;
 	}
 
-	// Long and short work mixed: a lookup that comes must not find all slots taken by
-	// long
-	// audit reads. Half of what the short work uses on average stays free of them: what
-	// waits goes before them, so that many slots that turn over soon are enough, and more
-	// would rest while audit readers wait. One slot is always the auditors', one the
-	// others'. Brief audit reads may use slots kept for internal calls: they call nobody,
-	// so they end by themselves, and what a circle waits for is a brief read at most.
-	private boolean auditFree(long now) {
-		boolean brief = this.times.mean(RequestClass.AUDIT) <= BRIEF_NANOS;
-		int open = limit() - (brief ? 0 : reservedForInternal(now));
-		int others = (int) Math.max(1, Math.round(this.shortWork.mean(now) / 2));
-		return mayWait() + used(RequestClass.AUDIT) < open && used(RequestClass.AUDIT) < Math.max(1, open - others);
+	// Mixes long and short requests: a new lookup must not find all slots taken by long
+	// audit reads. Half of the average slot demand of short requests stays free of audit
+	// reads. Waiting short requests have priority, so that number of quickly released
+	// slots is sufficient, and more would be idle while audit readers wait. One slot is
+	// always available to audit reads and one to the other classes. Brief audit reads may
+	// use slots reserved for internal calls: they call no other service, so they always
+	// end, and a cycle waits for one brief read at most.
+	private boolean hasFreeAuditSlot(long now) {
+		boolean brief = this.times.mean(RequestClass.AUDIT) <= BRIEF_AUDIT_NANOS;
+		int available = limit() - (brief ? 0 : reservedForInternal(now));
+		int reservedForShort = (int) Math.max(1, Math.round(this.shortRequestDemand.mean(now) / 2));
+		return outerCalls() + used(RequestClass.AUDIT) < available
+				&& used(RequestClass.AUDIT) < Math.max(1, available - reservedForShort);
 	}
 
-	private boolean recent(RequestClass requestClass, long now) {
-		Long seen = this.lastSeen.get(requestClass);
-		return seen != null && now - seen < KEPT_NANOS;
+	private boolean offeredRecently(RequestClass requestClass, long now) {
+		Long seen = this.lastOfferedNanos.get(requestClass);
+		return seen != null && now - seen < RESERVATION_NANOS;
 	}
 
 	private int used(RequestClass requestClass) {
--- a/core/src/main/java/org/brasspier/core/admission/package-info.java
+++ b/core/src/main/java/org/brasspier/core/admission/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Which requests a backend server runs now, which wait and which are refused at once.
- * Single-threaded decisions: the caller passes the time in and carries the answers out.
+ * Admission control of a backend server: which requests run, wait or are rejected.
+ * Decisions are made on a single thread; the caller passes the time in and carries out
+ * the results.
  */
 @NullMarked
 package org.brasspier.core.admission;
--- a/core/src/test/java/org/brasspier/core/admission/AdmissionControllerTests.java
+++ b/core/src/test/java/org/brasspier/core/admission/AdmissionControllerTests.java
@@ -20,7 +20,7 @@
 
 class AdmissionControllerTests {
 
-	private static final long MILLI = 1_000_000;
+	private static final long NANOS_PER_MILLI = 1_000_000;
 
 	private static final CallerId CREW = new CallerId("crew");
 
@@ -35,12 +35,12 @@
 		assertThat(offer(RequestClass.LOOKUP, CREW, 1000)).isInstanceOf(Run.class);
 		assertThat(offer(RequestClass.LOOKUP, CREW, 1000)).isInstanceOf(Run.class);
 		assertThat(offer(RequestClass.LOOKUP, CREW, 1000)).isInstanceOf(Queued.class);
-		assertThat(this.admission.finished(1, RunOutcome.ANSWERED, 10 * MILLI).run()).containsExactly(3L);
+		assertThat(this.admission.finished(1, RunOutcome.ANSWERED, 10 * NANOS_PER_MILLI).run()).containsExactly(3L);
 		assertThat(this.admission.running()).isEqualTo(2);
 	}
 
 	@Test
-	void tellsTheWaitOnlyOfWhatWouldBeQueued() {
+	void expectedWaitIsKnownOnlyForRequestsThatWouldBeQueued() {
 		assertThat(this.admission.expectedQueueWait(request(RequestClass.LOOKUP, CREW, 1000), 0)).isEmpty();
 		fill();
 		Duration first = this.admission.expectedQueueWait(request(RequestClass.LOOKUP, CREW, 1000), 0).orElseThrow();
@@ -61,19 +61,19 @@
 	}
 
 	@Test
-	void lookupsGoBeforePostingsAndPostingsBeforeAuditReading() {
+	void lookupsRunBeforePostingsAndPostingsBeforeAuditReads() {
 		fill();
 		offer(RequestClass.AUDIT, CREW, 60_000);
 		offer(RequestClass.POSTING, CREW, 60_000);
 		offer(RequestClass.LOOKUP, CREW, 60_000);
-		List<Long> order = new ArrayList<>(this.admission.finished(1, RunOutcome.ANSWERED, MILLI).run());
-		order.addAll(this.admission.finished(2, RunOutcome.ANSWERED, MILLI).run());
-		order.addAll(this.admission.finished(5, RunOutcome.ANSWERED, 2 * MILLI).run());
+		List<Long> order = new ArrayList<>(this.admission.finished(1, RunOutcome.ANSWERED, NANOS_PER_MILLI).run());
+		order.addAll(this.admission.finished(2, RunOutcome.ANSWERED, NANOS_PER_MILLI).run());
+		order.addAll(this.admission.finished(5, RunOutcome.ANSWERED, 2 * NANOS_PER_MILLI).run());
 		assertThat(order).containsExactly(5L, 4L, 3L).inOrder();
 	}
 
 	@Test
-	void auditReadingIsNotStarvedByLookups() {
+	void lookupsDoNotStarveAuditReads() {
 		fill();
 		offer(RequestClass.AUDIT, CREW, 600_000);
 		long audit = this.lastId;
@@ -81,7 +81,7 @@
 		long running = 1;
 		for (int i = 0; i < 600 && !taken.contains(audit); i++) {
 			offer(RequestClass.LOOKUP, CREW, 60_000);
-			List<Long> run = this.admission.finished(running, RunOutcome.ANSWERED, i * 10 * MILLI).run();
+			List<Long> run = this.admission.finished(running, RunOutcome.ANSWERED, i * 10 * NANOS_PER_MILLI).run();
 			taken.addAll(run);
 			running = run.getFirst();
 		}
@@ -89,7 +89,7 @@
 	}
 
 	@Test
-	void whatCanNotMakeItsDeadlineIsRefusedAtOnce() {
+	void requestThatCannotMeetItsDeadlineIsRefusedAtOnce() {
 		fill();
 		IntStream.range(0, 6).forEach((i) -> offer(RequestClass.LOOKUP, CREW, 1000));
 		AdmissionDecision decision = offer(RequestClass.LOOKUP, CREW, 20);
@@ -100,45 +100,47 @@
 	}
 
 	/**
-	 * A teller's lookup ends as "unknown" though a free slot took it: it was its last
-	 * resend, with less time left than the work takes, so it ran in vain. An idle server
-	 * must take even that, or a wrong estimate would never be put right.
+	 * Guards against lookups that end as "unknown" because a free slot took a last resend
+	 * with less time left than the run takes. An idle server must accept even that one,
+	 * or a wrong estimate would never be corrected.
 	 */
 	@Test
-	void aRequestWithTooLittleTimeLeftTakesAFreeSlotOnlyOfAnIdleServer() {
+	void requestWithTooLittleTimeLeftTakesAFreeSlotOnlyOfAnIdleServer() {
 		offer(RequestClass.LOOKUP, CREW, 1000);
-		this.admission.finished(1, RunOutcome.ANSWERED, 100 * MILLI);
-		assertThat(this.admission.offer(request(RequestClass.LOOKUP, CREW, 120), 100 * MILLI)).isInstanceOf(Run.class);
-		assertThat(this.admission.offer(request(RequestClass.LOOKUP, CREW, 120), 100 * MILLI))
+		this.admission.finished(1, RunOutcome.ANSWERED, 100 * NANOS_PER_MILLI);
+		assertThat(this.admission.offer(request(RequestClass.LOOKUP, CREW, 120), 100 * NANOS_PER_MILLI))
+			.isInstanceOf(Run.class);
+		assertThat(this.admission.offer(request(RequestClass.LOOKUP, CREW, 120), 100 * NANOS_PER_MILLI))
 			.isInstanceOf(Refuse.class);
-		assertThat(this.admission.offer(request(RequestClass.LOOKUP, CREW, 300), 100 * MILLI)).isInstanceOf(Run.class);
+		assertThat(this.admission.offer(request(RequestClass.LOOKUP, CREW, 300), 100 * NANOS_PER_MILLI))
+			.isInstanceOf(Run.class);
 	}
 
 	/**
-	 * Tellers are turned away though nine tenths of the slots are free: the first order
-	 * after a move met a refused fence, or its caller was gone, and that was taken for a
-	 * server that sheds, so only one slot was used until 50 answers later.
+	 * Guards against callers rejected while nine tenths of the slots are free: the first
+	 * order after a move met a refused fence, or its caller had disconnected. That was
+	 * counted as shedding, so only one slot was used until 50 answers later.
 	 */
 	@Test
-	void whatNeverBeganTeachesNothingOfTheServersSlots() {
+	void requestThatNeverStartedDoesNotLowerTheSlotLimit() {
 		offer(RequestClass.LOOKUP, CREW, 1000);
-		this.admission.finished(1, RunOutcome.NOT_STARTED, MILLI);
+		this.admission.finished(1, RunOutcome.NOT_STARTED, NANOS_PER_MILLI);
 		offer(RequestClass.LOOKUP, CREW, 1000);
 		assertThat(offer(RequestClass.LOOKUP, CREW, 1000)).isInstanceOf(Run.class);
 	}
 
 	@Test
-	void aWaitingRequestWhoseDeadlineComesIsGivenUpWithoutRunning() {
+	void waitingRequestIsRefusedAtItsDeadlineWithoutRunning() {
 		fill();
 		offer(RequestClass.LOOKUP, CREW, 30);
-		NextRequests next = this.admission.advance(40 * MILLI);
+		NextRequests next = this.admission.advance(40 * NANOS_PER_MILLI);
 		assertThat(next.run()).isEmpty();
 		assertThat(next.refused().stream().map(RefusedRequest::id)).containsExactly(3L);
-		assertThat(this.admission.finished(1, RunOutcome.ANSWERED, 41 * MILLI)).isEqualTo(NextRequests.NONE);
+		assertThat(this.admission.finished(1, RunOutcome.ANSWERED, 41 * NANOS_PER_MILLI)).isEqualTo(NextRequests.NONE);
 	}
 
 	@Test
-	void refusedCallersAreToldDifferentTimesToComeBack() {
+	void refusedCallersGetDifferentRetryTimes() {
 		fill();
 		long distinct = IntStream.range(0, 100)
 			.mapToObj((i) -> offer(RequestClass.LOOKUP, CREW, 1000))
@@ -150,11 +152,12 @@
 	}
 
 	/**
-	 * A teller who could be served in a tenth of a second is told to come back in ten:
-	 * auditors were refused before, and all who were refused stood in one line.
+	 * Guards against a retry time of ten seconds for a lookup that could be served in a
+	 * tenth of a second: audit readers were refused before, and all refused callers
+	 * shared one sequence of retry times.
 	 */
 	@Test
-	void refusedLookupsAreNotToldToComeBackAfterRefusedAuditReaders() {
+	void retryTimesOfLookupsDoNotFollowThoseOfAuditReads() {
 		fill();
 		IntStream.range(0, 200).forEach((i) -> offer(RequestClass.AUDIT, CREW, 60_000));
 		Failure failure = IntStream.range(0, 100)
@@ -167,19 +170,18 @@
 	}
 
 	/**
-	 * Guards against fresh requests that are answered late since returning callers take
-	 * the slots.
+	 * Guards against new requests that are answered late because retries take the slots.
 	 */
 	@Test
-	void inAnOverloadAnOverdueRequestTakesOnlyASlotThatRests() {
+	void overdueRequestTakesOnlyIdleSlotsDuringOverload() {
 		fill();
-		PendingRequest overdue = new PendingRequest(900, RequestClass.LOOKUP, CREW, 1000 * MILLI, true);
+		PendingRequest overdue = new PendingRequest(900, RequestClass.LOOKUP, CREW, 1000 * NANOS_PER_MILLI, true);
 		assertThat(this.admission.offer(overdue, 0)).isInstanceOf(Queued.class);
 		IntStream.range(0, 20).forEach((i) -> offer(RequestClass.LOOKUP, CREW, 1000));
-		this.admission.finished(1, RunOutcome.ANSWERED, 10 * MILLI);
-		PendingRequest another = new PendingRequest(901, RequestClass.LOOKUP, CREW, 1000 * MILLI, true);
-		assertThat(this.admission.offer(another, 10 * MILLI)).isInstanceOf(Refuse.class);
-		assertThat(this.admission.offer(request(RequestClass.LOOKUP, CREW, 1000), 10 * MILLI))
+		this.admission.finished(1, RunOutcome.ANSWERED, 10 * NANOS_PER_MILLI);
+		PendingRequest another = new PendingRequest(901, RequestClass.LOOKUP, CREW, 1000 * NANOS_PER_MILLI, true);
+		assertThat(this.admission.offer(another, 10 * NANOS_PER_MILLI)).isInstanceOf(Refuse.class);
+		assertThat(this.admission.offer(request(RequestClass.LOOKUP, CREW, 1000), 10 * NANOS_PER_MILLI))
 			.isInstanceOf(Queued.class);
 		AdmissionController idle = controller(1, 10);
 		assertThat(idle.offer(another, 0)).isInstanceOf(Run.class);
@@ -187,8 +189,8 @@
 
 	/** Guards against a queue so long that a saturated server answers everything late. */
 	@Test
-	void aSaturatedServerLetsInOnlyWhatItCanAnswerInTime() {
-		long run = 60 * MILLI;
+	void saturatedServerAdmitsOnlyRequestsItCanAnswerInTime() {
+		long run = 60 * NANOS_PER_MILLI;
 		long target = AdmissionSettings.DEFAULT.of(RequestClass.LOOKUP).maxWait().toNanos();
 		AdmissionController wide = controller(10, 100);
 		wide.offer(request(RequestClass.LOOKUP, CREW, 10_000), 0);
@@ -198,99 +200,104 @@
 		assertThat(wide.waiting() * run / 10 + run).isAtMost(target);
 	}
 
-	/** Guards against callers that are sent back into an overload that goes on. */
+	/** Guards against callers that are told to retry during a lasting overload. */
 	@Test
-	void callersRefusedInALastingOverloadAreNotToldToComeBackIntoIt() {
+	void retryTimesGrowWithTheDurationOfAnOverload() {
 		fill();
 		IntStream.range(0, 100).forEach((i) -> offer(RequestClass.LOOKUP, CREW, 1000));
 		long running = 1;
 		for (int i = 1; i <= 100; i++) {
-			running = this.admission.finished(running, RunOutcome.ANSWERED, i * 10 * MILLI).run().getFirst();
-			this.admission.offer(request(RequestClass.LOOKUP, CREW, 10_000), i * 10 * MILLI);
-			this.admission.offer(request(RequestClass.LOOKUP, CREW, 10_000), i * 10 * MILLI);
+			running = this.admission.finished(running, RunOutcome.ANSWERED, i * 10 * NANOS_PER_MILLI).run().getFirst();
+			this.admission.offer(request(RequestClass.LOOKUP, CREW, 10_000), i * 10 * NANOS_PER_MILLI);
+			this.admission.offer(request(RequestClass.LOOKUP, CREW, 10_000), i * 10 * NANOS_PER_MILLI);
 		}
-		AdmissionDecision decision = this.admission.offer(request(RequestClass.LOOKUP, CREW, 10_000), 1000 * MILLI);
+		AdmissionDecision decision = this.admission.offer(request(RequestClass.LOOKUP, CREW, 10_000),
+				1000 * NANOS_PER_MILLI);
 		assertThat(((Refuse) decision).failure().retryAfter().toMillis()).isAtLeast(1000);
 	}
 
 	/**
-	 * A crew's lookup at a marina is turned away although the crew asks for little: one
-	 * office's script fills the queue first. The office's last request must make room.
+	 * Guards against refusing a caller with few requests because another caller's script
+	 * filled the queue first. The last request of that other caller must make room.
 	 */
 	@Test
-	void aCallerThatFillsTheQueueMakesRoomForOthers() {
+	void callerThatFillsTheQueueMakesRoomForOthers() {
 		fill();
 		IntStream.range(0, 100).forEach((i) -> offer(RequestClass.LOOKUP, CROWD, 1000));
 		AdmissionDecision decision = offer(RequestClass.LOOKUP, CREW, 1000);
 		assertThat(decision).isInstanceOf(Queued.class);
 		assertThat(((Queued) decision).displaced()).isPresent();
-		assertThat(this.admission.finished(1, RunOutcome.ANSWERED, 10 * MILLI).run()).containsExactly(this.lastId);
+		assertThat(this.admission.finished(1, RunOutcome.ANSWERED, 10 * NANOS_PER_MILLI).run())
+			.containsExactly(this.lastId);
 	}
 
 	/**
-	 * Every answer stops: bookings fill all slots, each waits for a slip assignment, and
-	 * that waits for an internal lookup to this very server. A slot kept for internal
-	 * calls lets the circle move.
+	 * Guards against a deadlock: bookings fill all slots, each waits for a slip
+	 * assignment, and that waits for an internal lookup to the same server. A slot
+	 * reserved for internal calls resolves the cycle.
 	 */
 	@Test
-	void internalCallsFindASlotThoughOuterCallsWantAll() {
+	void internalCallsGetASlotWhenOuterCallsFillTheServer() {
 		AdmissionController wide = controller(6, 100);
 		wide.offer(request(RequestClass.INTERNAL, CREW, 1000), 0);
-		wide.finished(this.lastId, RunOutcome.ANSWERED, MILLI);
-		IntStream.range(0, 20).forEach((i) -> wide.offer(request(RequestClass.POSTING, CREW, 1000), MILLI));
+		wide.finished(this.lastId, RunOutcome.ANSWERED, NANOS_PER_MILLI);
+		IntStream.range(0, 20).forEach((i) -> wide.offer(request(RequestClass.POSTING, CREW, 1000), NANOS_PER_MILLI));
 		assertThat(wide.running()).isEqualTo(5);
-		assertThat(wide.offer(request(RequestClass.INTERNAL, CREW, 1000), MILLI)).isInstanceOf(Run.class);
+		assertThat(wide.offer(request(RequestClass.INTERNAL, CREW, 1000), NANOS_PER_MILLI)).isInstanceOf(Run.class);
 	}
 
-	/** Guards against a slot that rests under load for the sake of a handful of calls. */
+	/**
+	 * Guards against a slot that is idle under load because it is reserved for a handful
+	 * of calls.
+	 */
 	@Test
-	void aHandfulOfInternalCallsKeepsNoSlotFromOthers() {
+	void fewInternalCallsReserveNoSlot() {
 		AdmissionController wide = controller(6, 100);
 		for (int i = 0; i < 500; i++) {
 			RequestClass requestClass = (i % 100 == 0) ? RequestClass.INTERNAL : RequestClass.LOOKUP;
-			wide.offer(request(requestClass, CREW, 10_000), i * MILLI);
-			wide.finished(this.lastId, RunOutcome.ANSWERED, i * MILLI);
+			wide.offer(request(requestClass, CREW, 10_000), i * NANOS_PER_MILLI);
+			wide.finished(this.lastId, RunOutcome.ANSWERED, i * NANOS_PER_MILLI);
 		}
-		IntStream.range(0, 20).forEach((i) -> wide.offer(request(RequestClass.LOOKUP, CREW, 10_000), 500 * MILLI));
+		IntStream.range(0, 20)
+			.forEach((i) -> wide.offer(request(RequestClass.LOOKUP, CREW, 10_000), 500 * NANOS_PER_MILLI));
 		assertThat(wide.running()).isEqualTo(6);
 	}
 
 	@Test
-	void aCancelledRequestThatWaitedNeverRuns() {
+	void cancelledWaitingRequestNeverRuns() {
 		fill();
 		offer(RequestClass.POSTING, CREW, 1000);
 		assertThat(this.admission.cancelWaiting(3)).isTrue();
-		assertThat(this.admission.finished(1, RunOutcome.INTERRUPTED, 10 * MILLI).run()).isEmpty();
+		assertThat(this.admission.finished(1, RunOutcome.INTERRUPTED, 10 * NANOS_PER_MILLI).run()).isEmpty();
 		assertThat(this.admission.cancelWaiting(2)).isFalse();
 	}
 
 	@Test
-	void aDrainingServerTakesNothingNewAndFinishesWhatWaits() {
+	void drainingServerRefusesNewRequestsAndFinishesWaitingOnes() {
 		fill();
 		offer(RequestClass.LOOKUP, CREW, 1000);
 		this.admission.setDraining(true);
 		assertThat(offer(RequestClass.LOOKUP, CREW, 1000)).isInstanceOf(Refuse.class);
-		assertThat(this.admission.finished(1, RunOutcome.ANSWERED, 5 * MILLI).run()).containsExactly(3L);
+		assertThat(this.admission.finished(1, RunOutcome.ANSWERED, 5 * NANOS_PER_MILLI).run()).containsExactly(3L);
 	}
 
-	// An office that operators limited to a third floods a server of three slots. While
-	// the
-	// crew has requests waiting it holds one slot; once nobody else waits it may use the
-	// rest, since an idle slot helps nobody.
+	// A caller that operators limited to a third floods a server of three slots. While
+	// another caller has requests waiting it holds one slot; when no other caller waits
+	// it may use the rest, since an idle slot is of no use.
 	@Test
-	void aCallerWithAMostShareHoldsNoMoreWhileOthersWait() {
+	void callerWithALimitHoldsNoMoreSlotsWhileOthersWait() {
 		AdmissionController shared = controller(3, 100);
 		shared.updateRules(AdmissionSettings.DEFAULT, Map.of(CROWD, 34));
 		IntStream.range(0, 6).forEach((i) -> shared.offer(request(RequestClass.LOOKUP, CROWD, 1000), 0));
 		IntStream.range(0, 3).forEach((i) -> shared.offer(request(RequestClass.LOOKUP, CREW, 1000), 0));
-		assertThat(shared.finished(1, RunOutcome.ANSWERED, MILLI).run()).containsExactly(7L);
-		assertThat(shared.finished(2, RunOutcome.ANSWERED, MILLI).run()).containsExactly(8L);
-		assertThat(shared.finished(7, RunOutcome.ANSWERED, 2 * MILLI).run()).containsExactly(9L);
-		assertThat(shared.finished(8, RunOutcome.ANSWERED, 2 * MILLI).run()).containsExactly(4L);
+		assertThat(shared.finished(1, RunOutcome.ANSWERED, NANOS_PER_MILLI).run()).containsExactly(7L);
+		assertThat(shared.finished(2, RunOutcome.ANSWERED, NANOS_PER_MILLI).run()).containsExactly(8L);
+		assertThat(shared.finished(7, RunOutcome.ANSWERED, 2 * NANOS_PER_MILLI).run()).containsExactly(9L);
+		assertThat(shared.finished(8, RunOutcome.ANSWERED, 2 * NANOS_PER_MILLI).run()).containsExactly(4L);
 	}
 
 	@Test
-	void aClassIsSureOfNoLessThanOperatorsAskFor() {
+	void guaranteedSharesAreRaisedToTheConfiguredMinimum() {
 		AdmissionSettings raised = AdmissionSettings.DEFAULT
 			.withGuaranteedShares(Map.of(RequestClass.POSTING, 40, RequestClass.LOOKUP, 10));
 		assertThat(raised.of(RequestClass.POSTING).guaranteedShare()).isEqualTo(0.4);
@@ -308,7 +315,7 @@
 	}
 
 	private PendingRequest request(RequestClass requestClass, CallerId caller, long deadlineMillis) {
-		return new PendingRequest(++this.lastId, requestClass, caller, deadlineMillis * MILLI);
+		return new PendingRequest(++this.lastId, requestClass, caller, deadlineMillis * NANOS_PER_MILLI);
 	}
 
 	private static AdmissionController controller(int slots, int connections) {
--- a/core/src/test/java/org/brasspier/core/admission/ConcurrencyLimitTests.java
+++ b/core/src/test/java/org/brasspier/core/admission/ConcurrencyLimitTests.java
@@ -13,25 +13,25 @@
 	private final SplittableRandom random = new SplittableRandom(5);
 
 	/**
-	 * Lookups wait behind long reads inside the backend server, where no class goes
-	 * first: it announces 17 slots and has 6.
+	 * Guards against lookups that wait behind long reads inside the backend server, where
+	 * no class has priority: it announces 17 slots and has 6.
 	 */
 	@Test
-	void findsHowManyAServerReallyRuns() {
+	void limitApproachesTheRealNumberOfSlots() {
 		observe(20_000, 6, 1);
 		assertThat(this.limit.limit()).isAtLeast(6);
 		assertThat(this.limit.limit()).isAtMost(10);
 	}
 
 	@Test
-	void aServerThatIsSlowAtAnyConcurrencyKeepsItsSlots() {
+	void serverThatIsSlowAtAnyConcurrencyKeepsItsSlots() {
 		observe(20_000, 17, 5);
 		assertThat(this.limit.limit()).isEqualTo(17);
 	}
 
 	@Test
-	void aServerThatShedsGetsLessAndThenMoreAgain() {
-		this.limit.shed(9);
+	void sheddingLowersTheLimitUntilTheServerRecovers() {
+		this.limit.onShed(9);
 		assertThat(this.limit.limit()).isEqualTo(8);
 		observe(2_000, 17, 1);
 		assertThat(this.limit.limit()).isEqualTo(17);
