--- a/core/src/main/java/org/brasspier/core/choosing/BackendChooser.java
+++ b/core/src/main/java/org/brasspier/core/choosing/BackendChooser.java
@@ -14,35 +14,35 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * Chooses a backend server for each request of a service that is not divided by key, by
- * the time in which the answer can be expected: what was observed of the server, what
- * this daemon has in flight there, and the way to it. Reported load is not used, since it
- * lags or misleads. Not thread-safe.
+ * Chooses a backend server for each request of a service that is not sharded, by the
+ * expected time of the answer: the observed speed of the server, the requests of this
+ * daemon in flight there, and the round trip to it. Load reported by servers is not used,
+ * since it lags or misleads. Not thread-safe.
  */
 public final class BackendChooser {
 
 	/**
-	 * A server this many times slower than the middle one is avoided. Below three, queues
-	 * and chance would avoid servers that are well.
+	 * Factor over the median slowness above which a server is avoided. Below three,
+	 * queues and random variation would exclude healthy servers.
 	 */
-	private static final double SLOW = 3;
+	private static final double SLOWNESS_LIMIT = 3;
 
-	/** A server whose answers fail more often than this is avoided. */
-	private static final double FAILING = 0.3;
+	/** Error rate above which a server is avoided. */
+	private static final double ERROR_RATE_LIMIT = 0.3;
 
 	/**
-	 * A server that this daemon has not chosen for so long may be tried, so that it's
-	 * seen when it is well again or has become the quicker one.
+	 * Time since a server was last chosen by this daemon after which it may get a trial
+	 * request, so that its recovery or improvement is noticed.
 	 */
 	private static final long TRIAL_AFTER_NANOS = Duration.ofMillis(500).toNanos();
 
 	/**
-	 * The share of this daemon's lookups that may be trials. With little traffic each
-	 * daemon has always some server that it has not chosen for long.
+	 * Share of this daemon's lookups that may be trials. With little traffic, a daemon
+	 * always has some server that it has not chosen for a long time.
 	 */
 	private static final double TRIAL_SHARE = 0.01;
 
-	/** An instance that nothing was sent to for so long is forgotten. */
+	/** Time without requests after which an instance's statistics are dropped. */
 	private static final long FORGET_AFTER_NANOS = Duration.ofMinutes(1).toNanos();
 
 	private final Map<InstanceId, ServerStatistics> servers = new HashMap<>();
@@ -53,26 +53,26 @@
 
 	private int daemonCount;
 
-	private double trialAllowance = 1;
+	private double trialCredit = 1;
 
 	private long latestNanos;
 
 	/**
-	 * Creates a chooser that has observed nothing.
-	 * @param choosers how many daemons choose among the same servers, at least 1: this
-	 * one's requests in flight stand for that many times as many
+	 * Creates a chooser without observations.
+	 * @param daemonCount number of daemons that choose among the same servers, at least
+	 * 1: each request of this daemon in flight represents that many requests
 	 * @param random breaks ties, so that daemons don't all choose the same server
 	 */
-	public BackendChooser(int choosers, RandomGenerator random) {
-		this.daemonCount = choosers;
+	public BackendChooser(int daemonCount, RandomGenerator random) {
+		this.daemonCount = daemonCount;
 		this.random = random;
 	}
 
 	/**
 	 * Chooses a server and counts the request as in flight there.
-	 * @param candidates the servers that may take it
-	 * @param requestClass its class
-	 * @param now the time, in nanoseconds
+	 * @param candidates the servers that may take the request
+	 * @param requestClass the class of the request
+	 * @param now the current time, in nanoseconds
 	 * @return empty only if there are no candidates
 	 */
 	public Optional<InstanceId> choose(List<Candidate> candidates, RequestClass requestClass, long now) {
@@ -80,10 +80,10 @@
 	}
 
 	/**
-	 * Does the same as {@link #choose} and tells why the server was chosen.
-	 * @param candidates the servers that may take it
-	 * @param requestClass its class
-	 * @param now the time, in nanoseconds
+	 * Chooses a server like {@link #choose} and also returns the reason.
+	 * @param candidates the servers that may take the request
+	 * @param requestClass the class of the request
+	 * @param now the current time, in nanoseconds
 	 * @return empty only if there are no candidates
 	 */
 	public Optional<Choice> chooseWithReason(List<Candidate> candidates, RequestClass requestClass, long now) {
@@ -99,24 +99,24 @@
 	}
 
 	/**
-	 * Counts a request as in flight at a server that was chosen otherwise.
+	 * Counts a request as in flight at a server that was chosen by other means.
 	 * @param instance the server
-	 * @param now the time, in nanoseconds
+	 * @param now the current time, in nanoseconds
 	 */
 	public void onChosen(InstanceId instance, long now) {
 		server(instance).chosen(now);
 	}
 
 	/**
-	 * Takes how many daemons choose among the same servers from now on.
-	 * @param daemons how many, at least 1
+	 * Sets the number of daemons that choose among the same servers.
+	 * @param daemons the number, at least 1
 	 */
 	public void daemonCount(int daemons) {
 		this.daemonCount = daemons;
 	}
 
 	/**
-	 * How many daemons are reckoned with.
+	 * Returns the number of daemons that choose among the same servers.
 	 * @return at least 1
 	 */
 	public int daemonCount() {
@@ -124,11 +124,12 @@
 	}
 
 	/**
-	 * Takes what came of a chosen request.
-	 * @param instance the server that had it
-	 * @param requestClass its class
-	 * @param tookNanos from handing it over to its end, without the way
-	 * @param failed whether the server failed it; a refusal is a failure too
+	 * Records the outcome of a chosen request.
+	 * @param instance the server that received it
+	 * @param requestClass the class of the request
+	 * @param tookNanos time from sending to completion, without the round trip, in
+	 * nanoseconds
+	 * @param failed whether the server failed; a refusal counts as a failure
 	 */
 	public void onEnded(InstanceId instance, RequestClass requestClass, long tookNanos, boolean failed) {
 		double relative = failed ? 1 : this.times.relative(requestClass, tookNanos);
@@ -136,25 +137,25 @@
 	}
 
 	/**
-	 * Takes that a chosen request could not run at once and was not left to wait.
+	 * Records that a chosen request could not run at once and was not queued.
 	 * @param instance the server without a free slot
 	 * @param wait how long it would have waited there
-	 * @param now the time, in nanoseconds
+	 * @param now the current time, in nanoseconds
 	 */
 	public void onFull(InstanceId instance, Duration wait, long now) {
 		server(instance).full(now + wait.toNanos());
 	}
 
 	/**
-	 * Forgets a chosen request whose caller is gone.
-	 * @param instance the server that had it
+	 * Removes a chosen request whose caller has disconnected.
+	 * @param instance the server that received it
 	 */
 	public void onCancelled(InstanceId instance) {
 		server(instance).cancelled();
 	}
 
-	// A request that is sent once more leaves out the servers that had it, so who is no
-	// candidate now may be one for the next request.
+	// A resend excludes the servers that already received the request, so a server that
+	// is no candidate now may be one for the next request.
 	private void forgetUnused(List<Candidate> candidates) {
 		if (this.servers.size() > candidates.size()) {
 			this.servers.values()
@@ -163,10 +164,10 @@
 		}
 	}
 
-	// Never more than half of the servers: when most look bad the cause is shared, and
-	// sending everything to the last one would fell it too.
+	// Never excludes more than half of the servers: when most look bad the cause is
+	// shared, and sending everything to the last one would overload it as well.
 	private Set<InstanceId> avoided(List<Candidate> candidates, long now) {
-		double middle = candidates.stream()
+		double median = candidates.stream()
 			.mapToDouble((each) -> server(each.instance()).slowness(now))
 			.sorted()
 			.skip((candidates.size() - 1) / 2)
@@ -175,25 +176,26 @@
 		Set<InstanceId> avoided = new HashSet<>();
 		candidates.stream()
 			.map(Candidate::instance)
-			.filter((each) -> server(each).errors(now) > FAILING || server(each).slowness(now) > SLOW * middle)
-			.sorted(Comparator.comparingDouble((InstanceId each) -> badness(server(each), now)).reversed())
+			.filter((each) -> server(each).errorRate(now) > ERROR_RATE_LIMIT
+					|| server(each).slowness(now) > SLOWNESS_LIMIT * median)
+			.sorted(Comparator.comparingDouble((InstanceId each) -> penalty(server(each), now)).reversed())
 			.limit(candidates.size() / 2)
 			.forEach(avoided::add);
 		return avoided;
 	}
 
-	private static double badness(ServerStatistics server, long now) {
-		return server.slowness(now) / (1.01 - server.errors(now));
+	private static double penalty(ServerStatistics server, long now) {
+		return server.slowness(now) / (1.01 - server.errorRate(now));
 	}
 
 	private Optional<Candidate> trial(List<Candidate> candidates, Optional<Candidate> quickest,
 			RequestClass requestClass, long now) {
-		// A posting that fails on trial can't be sent again, so it is no trial.
+		// A posting that fails can't be resent, so postings are never used as trials.
 		if (!requestClass.idempotent()) {
 			return Optional.empty();
 		}
-		this.trialAllowance = Math.min(1, this.trialAllowance + TRIAL_SHARE);
-		if (this.trialAllowance < 1) {
+		this.trialCredit = Math.min(1, this.trialCredit + TRIAL_SHARE);
+		if (this.trialCredit < 1) {
 			return Optional.empty();
 		}
 		Optional<Candidate> longestUnchosen = candidates.stream()
@@ -201,9 +203,9 @@
 			.filter((each) -> server(each.instance()).inFlight() == 0)
 			.filter((each) -> now - server(each.instance()).lastChosenNanos() >= TRIAL_AFTER_NANOS)
 			.map((each) -> new Scored(each, server(each.instance()).lastChosenNanos(), this.random.nextDouble()))
-			.min(Comparator.comparingDouble(Scored::nanos).thenComparingDouble(Scored::lot))
+			.min(Comparator.comparingDouble(Scored::score).thenComparingDouble(Scored::tieBreaker))
 			.map(Scored::candidate);
-		longestUnchosen.ifPresent((each) -> this.trialAllowance = 0);
+		longestUnchosen.ifPresent((each) -> this.trialCredit = 0);
 		return longestUnchosen;
 	}
 
@@ -212,7 +214,7 @@
 		return candidates.stream()
 			.filter((each) -> !avoided.contains(each.instance()))
 			.map((each) -> new Scored(each, expectedNanos(each, requestClass, now), this.random.nextDouble()))
-			.min(Comparator.comparingDouble(Scored::nanos).thenComparingDouble(Scored::lot))
+			.min(Comparator.comparingDouble(Scored::score).thenComparingDouble(Scored::tieBreaker))
 			.map(Scored::candidate);
 	}
 
@@ -221,14 +223,14 @@
 		double run = this.times.mean(requestClass) * server.slowness(now);
 		double busy = server.inFlight() * this.daemonCount / (candidate.slots() * candidate.warmShare());
 		long wait = Math.max(0, server.fullUntilNanos() - now);
-		return candidate.roundTrip().toNanos() + wait + run * (1 + busy) / (1.01 - server.errors(now));
+		return candidate.roundTrip().toNanos() + wait + run * (1 + busy) / (1.01 - server.errorRate(now));
 	}
 
 	private ServerStatistics server(InstanceId instance) {
 		return this.servers.computeIfAbsent(instance, (key) -> new ServerStatistics());
 	}
 
-	private record Scored(Candidate candidate, double nanos, double lot) {
+	private record Scored(Candidate candidate, double score, double tieBreaker) {
 
 	}
 
--- a/core/src/main/java/org/brasspier/core/choosing/Choice.java
+++ b/core/src/main/java/org/brasspier/core/choosing/Choice.java
@@ -3,26 +3,29 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * A backend server that was chosen for a request, and why. Immutable and thread-safe.
+ * A backend server chosen for a request, with the reason. Immutable and thread-safe.
  *
- * @param instance its identity
+ * @param instance its instance
  * @param reason why it was chosen
  */
 public record Choice(InstanceId instance, Reason reason) {
 
 	/**
-	 * Why a server is chosen.
+	 * Reason for choosing a server.
 	 */
 	public enum Reason {
 
-		/** Its answer is expected first. */
+		/** The server has the earliest expected answer. */
 		QUICKEST,
 
-		/** No server that was asked has a free slot, and the wait is shortest there. */
+		/**
+		 * None of the servers asked has a free slot, and the wait is shortest at this
+		 * one.
+		 */
 		SHORTEST_WAIT,
 
 		/**
-		 * It was not chosen for a while, and what was observed of it may have changed.
+		 * The server was not chosen for some time, so its statistics may be outdated.
 		 */
 		TRIAL
 
--- a/core/src/main/java/org/brasspier/core/choosing/ClassServiceTimes.java
+++ b/core/src/main/java/org/brasspier/core/choosing/ClassServiceTimes.java
@@ -6,15 +6,18 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * How long requests of a class usually take over all servers, so that a server that got
- * the long ones is not taken for a slow one. Not thread-safe.
+ * Mean service time of each class over all servers, so that a server that received the
+ * long requests is not considered slow. Not thread-safe.
  */
 final class ClassServiceTimes {
 
-	/** A few hundred answers: slower than the servers' own figures, which it levels. */
+	/**
+	 * Weight of a new observation: a few hundred answers change the mean. Slower than the
+	 * statistics of single servers, whose variation it averages.
+	 */
 	private static final double WEIGHT = 1.0 / 200;
 
-	private static final double FIRST_GUESS_NANOS = 10_000_000;
+	private static final double INITIAL_MEAN_NANOS = 10_000_000;
 
 	private final Map<RequestClass, Double> meanNanos = new EnumMap<>(RequestClass.class);
 
@@ -25,7 +28,7 @@
 	}
 
 	double mean(RequestClass requestClass) {
-		return this.meanNanos.getOrDefault(requestClass, FIRST_GUESS_NANOS);
+		return this.meanNanos.getOrDefault(requestClass, INITIAL_MEAN_NANOS);
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/choosing/SearchThrottle.java
+++ b/core/src/main/java/org/brasspier/core/choosing/SearchThrottle.java
@@ -1,48 +1,49 @@
 package org.brasspier.core.choosing;
 
 /**
- * How often the requests of one daemon search for a free slot before they wait. The load
- * is that of a saturated service with few servers and many daemons: each search finds
- * none, and asking takes processor time of the daemons beside the servers, which then
- * hold up everything that passes them. After a search in vain a growing number of
- * requests goes without one. Not thread-safe; one for each service.
+ * Limits how often the requests of one daemon search for a free slot before they wait.
+ * Needed for a saturated service with few servers and many daemons: no search succeeds,
+ * and each takes processor time of the servers' daemons, which delays all their other
+ * traffic. After each failed search a growing number of requests is sent without one. Not
+ * thread-safe; use one instance per service.
  */
 public final class SearchThrottle {
 
-	/** Requests in a row that go without a search, at most. */
-	private static final int MOST_WITHOUT = 16;
+	/** The most consecutive requests without a search. */
+	private static final int MAX_SKIPPED = 16;
 
-	private int withoutNextTime = 1;
+	private int nextSkipCount = 1;
 
-	private int without;
+	private int skipsLeft;
 
 	/**
-	 * Whether the next request is to search. Asked once for each request.
-	 * @return false if it is to wait at the first server it is brought to
+	 * Returns whether the next request should search. Must be called once per request.
+	 * @return false if the request is to wait at the first server that receives it
 	 */
 	public boolean shouldSearch() {
-		if (this.without == 0) {
+		if (this.skipsLeft == 0) {
 			return true;
 		}
-		this.without--;
+		this.skipsLeft--;
 		return false;
 	}
 
 	/**
-	 * Takes that a request found a free slot without waiting. While a service is
-	 * saturated that happens now and then by chance, so searches come back step by step.
+	 * Records that a request found a free slot without waiting. In a saturated service
+	 * this happens by chance from time to time, so the search frequency increases
+	 * gradually.
 	 */
 	public void onSlotFound() {
-		this.withoutNextTime = Math.max(1, this.withoutNextTime * 3 / 4);
-		this.without = this.withoutNextTime - 1;
+		this.nextSkipCount = Math.max(1, this.nextSkipCount * 3 / 4);
+		this.skipsLeft = this.nextSkipCount - 1;
 	}
 
 	/**
-	 * Takes that a search ended without a free slot.
+	 * Records that a search ended without a free slot.
 	 */
 	public void onNoSlotFound() {
-		this.without = this.withoutNextTime;
-		this.withoutNextTime = Math.min(MOST_WITHOUT, 2 * this.withoutNextTime);
+		this.skipsLeft = this.nextSkipCount;
+		this.nextSkipCount = Math.min(MAX_SKIPPED, 2 * this.nextSkipCount);
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/choosing/ServerStatistics.java
+++ b/core/src/main/java/org/brasspier/core/choosing/ServerStatistics.java
@@ -3,28 +3,30 @@
 import java.time.Duration;
 
 /**
- * What was observed of one backend server. Not thread-safe.
+ * Observed performance of one backend server. Not thread-safe.
  */
 final class ServerStatistics {
 
 	/**
-	 * The weight of a new observation: twenty answers, a fraction of a second, show that
-	 * a server has turned slow.
+	 * Weight of a new observation: 20 answers, a fraction of a second, reveal that a
+	 * server has become slow.
 	 */
 	private static final double WEIGHT = 1.0 / 20;
 
-	/** Slow servers mostly stay slow for longer than servers that fail go on failing. */
+	/**
+	 * Slow servers usually stay slow for longer than failing servers continue to fail.
+	 */
 	private static final double SLOWNESS_HALF_LIFE_NANOS = Duration.ofSeconds(10).toNanos();
 
 	/**
-	 * A server that nobody asks any more is well again at some time, and nobody would see
-	 * it.
+	 * Decay of the error rate: a server that receives no requests recovers at some time,
+	 * and no request would reveal it.
 	 */
 	private static final double ERRORS_HALF_LIFE_NANOS = Duration.ofSeconds(2).toNanos();
 
 	private double slowness = 1;
 
-	private double errors;
+	private double errorRate;
 
 	private long observedNanos;
 
@@ -41,10 +43,10 @@
 
 	void ended(double relativeTime, boolean failed, long now) {
 		this.inFlight = Math.max(0, this.inFlight - 1);
-		this.errors = errors(now);
+		this.errorRate = errorRate(now);
 		this.slowness = slowness(now);
 		this.observedNanos = now;
-		this.errors += WEIGHT * ((failed ? 1 : 0) - this.errors);
+		this.errorRate += WEIGHT * ((failed ? 1 : 0) - this.errorRate);
 		if (!failed) {
 			this.slowness += WEIGHT * (relativeTime - this.slowness);
 		}
@@ -60,14 +62,14 @@
 	}
 
 	double slowness(long now) {
-		return 1 + (this.slowness - 1) * left(now, SLOWNESS_HALF_LIFE_NANOS);
+		return 1 + (this.slowness - 1) * decay(now, SLOWNESS_HALF_LIFE_NANOS);
 	}
 
-	double errors(long now) {
-		return this.errors * left(now, ERRORS_HALF_LIFE_NANOS);
+	double errorRate(long now) {
+		return this.errorRate * decay(now, ERRORS_HALF_LIFE_NANOS);
 	}
 
-	private double left(long now, double halfLifeNanos) {
+	private double decay(long now, double halfLifeNanos) {
 		return Math.pow(0.5, Math.max(0, now - this.observedNanos) / halfLifeNanos);
 	}
 
--- a/core/src/main/java/org/brasspier/core/choosing/SlotSearch.java
+++ b/core/src/main/java/org/brasspier/core/choosing/SlotSearch.java
@@ -8,34 +8,33 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * The search of one request for a server with a free slot. Only the daemon beside a
- * server knows its slots, so the request is brought to one server after the other without
- * waiting there, and waits at last where the wait is shortest. Answers the load of many
- * daemons with little traffic each, which observe too little to choose well. Not
- * thread-safe.
+ * Search of one request for a server with a free slot. Only the daemon next to a server
+ * knows its free slots, so the request is offered to one server after the other without
+ * waiting, and finally waits where the wait is shortest. Designed for many daemons with
+ * little traffic each, which observe too little to choose well. Not thread-safe.
  */
 public final class SlotSearch {
 
 	/**
-	 * Servers without a free slot after which a request waits at one of them. Where two
-	 * are full a third mostly is too.
+	 * Number of full servers after which a request waits at one of them. When two servers
+	 * are full, a third usually is too.
 	 */
-	private static final int MOST_FULL = 2;
+	private static final int MAX_FULL_SERVERS = 2;
 
 	private final Map<InstanceId, Duration> waits = new HashMap<>();
 
-	private boolean over;
+	private boolean ended;
 
 	/**
-	 * Creates the search of a request that was not brought anywhere yet.
-	 * @param searches false if it may wait wherever it is brought first
+	 * Creates the search of a request that has not been sent yet.
+	 * @param searches false if the request may wait at the first server that receives it
 	 */
 	public SlotSearch(boolean searches) {
-		this.over = !searches;
+		this.ended = !searches;
 	}
 
 	/**
-	 * Takes that a server has no free slot.
+	 * Records that a server has no free slot.
 	 * @param instance the server
 	 * @param wait how long the request would have to wait there
 	 */
@@ -44,20 +43,19 @@
 	}
 
 	/**
-	 * Whether the request is to wait where it is brought next.
-	 * @return true once enough servers were full
+	 * Returns whether the request may wait at the next server.
+	 * @return true after the search has ended or enough servers were full
 	 */
 	public boolean mayWait() {
-		return this.over || this.waits.size() >= MOST_FULL;
+		return this.ended || this.waits.size() >= MAX_FULL_SERVERS;
 	}
 
 	/**
-	 * Ends the search: the request may wait where it is brought from now on.
-	 * @return the server that was full with the shortest wait; empty if none was, or all
-	 * have been taken
+	 * Ends the search: from now on the request may wait at any server that receives it.
+	 * @return the full server with the shortest wait; empty if none is left
 	 */
 	public Optional<InstanceId> takeShortestWait() {
-		this.over = true;
+		this.ended = true;
 		Optional<InstanceId> shortest = this.waits.entrySet()
 			.stream()
 			.min(Map.Entry.comparingByValue())
--- a/core/src/main/java/org/brasspier/core/choosing/package-info.java
+++ b/core/src/main/java/org/brasspier/core/choosing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which backend server takes a request of a service that is not divided by key.
+ * Selection of a backend server for each request of a service that is not sharded.
  */
 @NullMarked
 package org.brasspier.core.choosing;
--- a/core/src/test/java/org/brasspier/core/choosing/BackendChooserTests.java
+++ b/core/src/test/java/org/brasspier/core/choosing/BackendChooserTests.java
@@ -16,7 +16,7 @@
 
 class BackendChooserTests {
 
-	private static final long MILLI = 1_000_000;
+	private static final long NANOS_PER_MILLI = 1_000_000;
 
 	private static final int REQUESTS = 4000;
 
@@ -25,23 +25,23 @@
 	private final Map<Integer, Integer> chosen = new HashMap<>();
 
 	@Test
-	void theNearFailureDomainIsChosenWhileItIsAsQuick() {
+	void nearFailureDomainIsChosenWhenEquallyFast() {
 		run(List.of(candidate(0, 0, 1), candidate(1, 2, 1)), (server) -> 10.0, 2, 0);
 		assertThat(this.chosen.get(0)).isAtLeast(REQUESTS * 9 / 10);
 	}
 
 	@Test
-	void theFarFailureDomainIsChosenWhenTheNearOneCostsMore() {
+	void farFailureDomainIsChosenWhenTheNearOneIsSlower() {
 		run(List.of(candidate(0, 0, 1), candidate(1, 2, 1)), (server) -> (server == 0) ? 20.0 : 10.0, 2, 0);
 		assertThat(this.chosen.get(1)).isAtLeast(REQUESTS * 8 / 10);
 	}
 
 	/**
-	 * One server in four turns 20 times slower while its health says that it is well. It
-	 * must get a trickle only, and its share again once it is quick.
+	 * One server in four becomes 20 times slower while its health check still passes. It
+	 * must receive only a few requests, and its full share again once it is fast.
 	 */
 	@Test
-	void aSlowServerGetsATrickleUntilItIsQuickAgain() {
+	void slowServerGetsFewRequestsUntilItIsFastAgain() {
 		List<Candidate> four = IntStream.range(0, 4).mapToObj((i) -> candidate(i, 1, 1)).toList();
 		run(four, (server) -> (server == 0) ? 200.0 : 10.0, 8, 0);
 		this.chosen.clear();
@@ -58,17 +58,17 @@
 	void allServersFailingStillGetRequests() {
 		List<Candidate> two = List.of(candidate(0, 0, 1), candidate(1, 0, 1));
 		IntStream.range(0, 200).forEach((i) -> {
-			InstanceId instance = this.chooser.choose(two, RequestClass.LOOKUP, i * MILLI).orElseThrow();
-			this.chooser.onEnded(instance, RequestClass.LOOKUP, MILLI, true);
+			InstanceId instance = this.chooser.choose(two, RequestClass.LOOKUP, i * NANOS_PER_MILLI).orElseThrow();
+			this.chooser.onEnded(instance, RequestClass.LOOKUP, NANOS_PER_MILLI, true);
 			this.chosen.merge(index(instance), 1, Integer::sum);
 		});
 		assertThat(this.chosen.keySet()).containsExactly(0, 1);
 	}
 
-	// Guards against a daemon that started first and goes on choosing as if it were
-	// alone.
+	// Guards against a daemon that started first and continues to choose as if it were
+	// the only one.
 	@Test
-	void oneRequestStandsForThoseOfAllDaemonsThatCameSince() {
+	void requestsInFlightAreScaledByTheCurrentNumberOfDaemons() {
 		List<Candidate> nearAndFar = List.of(candidate(0, 0, 1), candidate(1, 12, 1));
 		assertThat(index(this.chooser.choose(nearAndFar, RequestClass.POSTING, 0).orElseThrow())).isEqualTo(0);
 		assertThat(index(this.chooser.choose(nearAndFar, RequestClass.POSTING, 0).orElseThrow())).isEqualTo(0);
@@ -76,10 +76,10 @@
 		assertThat(index(this.chooser.choose(nearAndFar, RequestClass.POSTING, 0).orElseThrow())).isEqualTo(1);
 	}
 
-	// Guards against servers that a daemon with few requests never asks, since its only
-	// trials are of the server that it would have asked anyway.
+	// Guards against servers that a daemon with few requests never tries, because its
+	// only trials are of the server that it would have chosen anyway.
 	@Test
-	void theFirstLookupTriesAServerThatIsNotTheQuickest() {
+	void firstLookupIsATrialOfAnotherServerThanTheFastest() {
 		List<Candidate> nearAndFar = List.of(candidate(0, 0, 1), candidate(1, 2, 1));
 		IntStream.range(0, 20).forEach((seed) -> {
 			BackendChooser fresh = new BackendChooser(1, new SplittableRandom(seed));
@@ -87,34 +87,34 @@
 		});
 	}
 
-	// Guards against a failing server that is asked first again and again, since what was
-	// observed of it is forgotten when its request is sent to another one.
+	// Guards against a failing server that is chosen first again and again, because its
+	// statistics are dropped when the request is resent to another one.
 	@Test
-	void aServerThatFailsIsAvoidedThoughItsRequestsAreSentElsewhere() {
+	void failingServerIsAvoidedWhenItsRequestsAreResentElsewhere() {
 		List<Candidate> four = IntStream.range(0, 4).mapToObj((i) -> candidate(i, 1, 1)).toList();
 		IntStream.range(0, 1000).forEach((i) -> {
-			long now = i * 10 * MILLI;
+			long now = i * 10 * NANOS_PER_MILLI;
 			InstanceId first = this.chooser.choose(four, RequestClass.LOOKUP, now).orElseThrow();
 			boolean failed = index(first) == 0;
-			this.chooser.onEnded(first, RequestClass.LOOKUP, 5 * MILLI, failed);
+			this.chooser.onEnded(first, RequestClass.LOOKUP, 5 * NANOS_PER_MILLI, failed);
 			this.chosen.merge(index(first), 1, Integer::sum);
 			if (failed) {
 				InstanceId second = this.chooser.choose(four.subList(1, 4), RequestClass.LOOKUP, now).orElseThrow();
-				this.chooser.onEnded(second, RequestClass.LOOKUP, 5 * MILLI, false);
+				this.chooser.onEnded(second, RequestClass.LOOKUP, 5 * NANOS_PER_MILLI, false);
 			}
 		});
 		assertThat(this.chosen.getOrDefault(0, 0)).isAtMost(50);
 	}
 
 	@Test
-	void aColdServerGetsItsWarmShare() {
+	void warmingServerGetsItsWarmShare() {
 		run(List.of(candidate(0, 0, 1), candidate(1, 0, 0.2)), (server) -> 10.0, 12, 0);
 		assertThat(this.chosen.get(1) / (double) REQUESTS).isWithin(0.07).of(1 / 6.0);
 	}
 
 	private void run(List<Candidate> candidates, Function<Integer, Double> millis, int concurrency, long startMillis) {
 		java.util.PriorityQueue<Flight> flights = new java.util.PriorityQueue<>();
-		long now = startMillis * MILLI;
+		long now = startMillis * NANOS_PER_MILLI;
 		for (int i = 0; i < REQUESTS; i++) {
 			if (flights.size() >= concurrency) {
 				Flight flight = flights.remove();
@@ -123,7 +123,7 @@
 			}
 			InstanceId instance = this.chooser.choose(candidates, RequestClass.LOOKUP, now).orElseThrow();
 			this.chosen.merge(index(instance), 1, Integer::sum);
-			long took = (long) (millis.apply(index(instance)) * MILLI);
+			long took = (long) (millis.apply(index(instance)) * NANOS_PER_MILLI);
 			flights.add(new Flight(now, now + took, instance));
 		}
 		flights.forEach((flight) -> this.chooser.onEnded(flight.instance(), RequestClass.LOOKUP,
--- a/core/src/test/java/org/brasspier/core/choosing/ManyDaemonsModel.java
+++ b/core/src/test/java/org/brasspier/core/choosing/ManyDaemonsModel.java
@@ -26,29 +26,30 @@
 import org.brasspier.core.admission.RunOutcome;
 
 /**
- * Many daemons that choose, each for itself, among the backend servers of one service;
- * each server admits by itself. In virtual time, without network.
+ * Simulates many daemons that each choose independently among the backend servers of one
+ * service; each server has its own admission control. Runs in virtual time, without
+ * network.
  */
 final class ManyDaemonsModel {
 
-	private static final long MILLI = 1_000_000;
+	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	private static final long SECOND = 1000 * MILLI;
+	private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
 
-	private static final long WAY = MILLI;
+	private static final long ONE_WAY_NANOS = NANOS_PER_MILLI;
 
-	private static final long LOOK_AGAIN = 5 * MILLI;
+	private static final long ADVANCE_INTERVAL_NANOS = 5 * NANOS_PER_MILLI;
 
 	private static final Duration TARGET = Duration.ofMillis(600);
 
 	private static final Duration DEADLINE = Duration.ofMillis(1200);
 
-	private static final double LET_IN_SHARE = 0.6;
+	private static final double EXPECTED_WAIT_SHARE = 0.6;
 
 	private static final int SLOTS = 4;
 
-	/** Servers that may refuse one request. */
-	private static final int MOST_REFUSALS = 2;
+	/** The most servers that may refuse one request. */
+	private static final int MAX_REFUSALS = 2;
 
 	private static final double[] SPEEDS = { 0.5, 1, 1, 1.5 };
 
@@ -65,9 +66,9 @@
 
 	private long now;
 
-	private long numbers;
+	private long nextNumber;
 
-	private int asked;
+	private int requestCount;
 
 	private int sends;
 
@@ -85,12 +86,12 @@
 	}
 
 	/**
-	 * Plays the load.
-	 * @return what became of the requests of the second half of the time
+	 * Runs the simulation.
+	 * @return the outcome of the requests of the second half of the time
 	 */
-	Result play() {
-		long gap = SECOND / this.load.perSecond();
-		long end = this.load.seconds() * SECOND;
+	Result run() {
+		long gap = NANOS_PER_SECOND / this.load.perSecond();
+		long end = this.load.seconds() * NANOS_PER_SECOND;
 		for (long at = 0; at < end; at += gap) {
 			at(at + (long) (gap * this.random.nextDouble()), () -> new Request().send());
 		}
@@ -101,12 +102,12 @@
 		}
 		double mean = this.servers.stream().mapToInt((server) -> server.offered).average().orElse(1);
 		int busiest = this.servers.stream().mapToInt((server) -> server.offered).max().orElse(0);
-		return new Result((double) this.inTime / this.asked, (double) this.refused / this.asked, busiest / mean,
-				(double) this.sends / this.asked);
+		return new Result((double) this.inTime / this.requestCount, (double) this.refused / this.requestCount,
+				busiest / mean, (double) this.sends / this.requestCount);
 	}
 
 	private void at(long time, Runnable action) {
-		this.events.add(new Event(time, this.numbers++, action));
+		this.events.add(new Event(time, this.nextNumber++, action));
 	}
 
 	private boolean counted(long startedNanos) {
@@ -114,35 +115,36 @@
 	}
 
 	/**
-	 * What is asked for.
+	 * The simulated load.
 	 *
-	 * @param servers the service's backend servers
-	 * @param perSecond requests a second over all daemons
-	 * @param runMillis the mean time of a run on a server of speed 1
-	 * @param seconds for how long
-	 * @param slowness how many times longer each third server takes from half time on
+	 * @param servers number of backend servers of the service
+	 * @param perSecond requests per second over all daemons
+	 * @param runMillis mean run time on a server of speed 1, in milliseconds
+	 * @param seconds duration of the simulation, in seconds
+	 * @param slowness factor by which every third server's run times grow in the second
+	 * half
 	 */
 	record Load(int servers, int perSecond, int runMillis, int seconds, double slowness) {
 
 		long halfTime() {
-			return this.seconds * SECOND / 2;
+			return this.seconds * NANOS_PER_SECOND / 2;
 		}
 
 	}
 
 	/**
-	 * What became of the requests.
+	 * Outcome of the requests.
 	 *
 	 * @param inTime the share answered within the target latency
 	 * @param refused the share refused
-	 * @param busiestOverMean requests offered to the busiest server over the mean
-	 * @param sendsEach how often the daemons beside the servers were asked for a request
+	 * @param busiestOverMean requests offered to the busiest server divided by the mean
+	 * @param sendsEach mean number of sends to servers' daemons per request
 	 */
 	record Result(double inTime, double refused, double busiestOverMean, double sendsEach) {
 
 	}
 
-	private record Daemon(BackendChooser chooser, SearchThrottle pace) {
+	private record Daemon(BackendChooser chooser, SearchThrottle throttle) {
 
 	}
 
@@ -151,7 +153,7 @@
 	}
 
 	/**
-	 * A request on its way.
+	 * A request in flight.
 	 */
 	private final class Request {
 
@@ -162,22 +164,22 @@
 
 		private final long startedNanos = ManyDaemonsModel.this.now;
 
-		private final long runNanos = (long) (ManyDaemonsModel.this.load.runMillis() * MILLI
+		private final long runNanos = (long) (ManyDaemonsModel.this.load.runMillis() * NANOS_PER_MILLI
 				* (0.5 + ManyDaemonsModel.this.random.nextDouble()));
 
 		private final Set<InstanceId> tried = new HashSet<>();
 
-		private final SlotSearch search = new SlotSearch(this.daemon.pace().shouldSearch());
+		private final SlotSearch search = new SlotSearch(this.daemon.throttle().shouldSearch());
 
 		private int refusals;
 
-		private boolean waits;
+		private boolean mayWait;
 
 		private long sentNanos;
 
 		Request() {
 			if (counted(this.startedNanos)) {
-				ManyDaemonsModel.this.asked++;
+				ManyDaemonsModel.this.requestCount++;
 			}
 		}
 
@@ -186,47 +188,47 @@
 				.map((server) -> server.candidate)
 				.filter((candidate) -> !this.tried.contains(candidate.instance()))
 				.toList();
-			InstanceId chosen = waitsAt()
+			InstanceId chosen = takeShortestWait()
 				.or(() -> this.chooser.choose(candidates, RequestClass.LOOKUP, ManyDaemonsModel.this.now))
 				.orElseThrow();
 			this.tried.add(chosen);
 			if (counted(this.startedNanos)) {
 				ManyDaemonsModel.this.sends++;
 			}
-			this.waits = this.search.mayWait();
+			this.mayWait = this.search.mayWait();
 			this.sentNanos = ManyDaemonsModel.this.now;
 			Server server = ManyDaemonsModel.this.servers.get(Integer.parseInt(chosen.value()));
-			at(ManyDaemonsModel.this.now + WAY, () -> server.offer(this));
+			at(ManyDaemonsModel.this.now + ONE_WAY_NANOS, () -> server.offer(this));
 		}
 
-		private Optional<InstanceId> waitsAt() {
+		private Optional<InstanceId> takeShortestWait() {
 			Optional<InstanceId> shortest = this.search.mayWait() ? this.search.takeShortestWait() : Optional.empty();
 			shortest.ifPresent((instance) -> this.chooser.onChosen(instance, ManyDaemonsModel.this.now));
 			return shortest;
 		}
 
 		void full(Server server, Duration wait) {
-			at(ManyDaemonsModel.this.now + WAY, () -> {
+			at(ManyDaemonsModel.this.now + ONE_WAY_NANOS, () -> {
 				this.chooser.onFull(server.candidate.instance(), wait, ManyDaemonsModel.this.now);
 				this.search.onFull(server.candidate.instance(), wait);
 				if (this.search.mayWait()) {
-					this.daemon.pace().onNoSlotFound();
+					this.daemon.throttle().onNoSlotFound();
 				}
 				send();
 			});
 		}
 
 		void ended(Server server, boolean answered) {
-			at(ManyDaemonsModel.this.now + WAY, () -> {
+			at(ManyDaemonsModel.this.now + ONE_WAY_NANOS, () -> {
 				this.chooser.onEnded(server.candidate.instance(), RequestClass.LOOKUP,
 						ManyDaemonsModel.this.now - this.sentNanos, !answered);
-				if (!this.waits) {
-					this.daemon.pace().onSlotFound();
+				if (!this.mayWait) {
+					this.daemon.throttle().onSlotFound();
 				}
 				if (!answered) {
 					this.refusals++;
 				}
-				if (!answered && this.refusals < MOST_REFUSALS) {
+				if (!answered && this.refusals < MAX_REFUSALS) {
 					send();
 				}
 				else if (counted(this.startedNanos)) {
@@ -247,7 +249,7 @@
 	}
 
 	/**
-	 * A backend server with the gate beside it.
+	 * A backend server with its admission control.
 	 */
 	private final class Server {
 
@@ -263,21 +265,21 @@
 
 		private int offered;
 
-		private boolean looking;
+		private boolean advanceScheduled;
 
 		Server(int number) {
 			this.candidate = new Candidate(new InstanceId("" + number), Duration.ZERO, SLOTS, 1);
 			this.speed = SPEEDS[number % SPEEDS.length];
 			this.slowness = (number % 3 == 0) ? ManyDaemonsModel.this.load.slowness() : 1;
 			Map<RequestClass, ClassRules> rules = new HashMap<>();
-			Duration letIn = Duration.ofNanos((long) (TARGET.toNanos() * LET_IN_SHARE));
+			Duration expectedWait = Duration.ofNanos((long) (TARGET.toNanos() * EXPECTED_WAIT_SHARE));
 			Arrays.stream(RequestClass.values())
-				.forEach((each) -> rules.put(each, new ClassRules(letIn, TARGET, 1, TARGET.dividedBy(4))));
+				.forEach((each) -> rules.put(each, new ClassRules(expectedWait, TARGET, 1, TARGET.dividedBy(4))));
 			this.admission = new AdmissionController(new AdmissionLimits(SLOTS, SLOTS), new AdmissionSettings(rules));
 		}
 
 		void offer(Request request) {
-			long number = ManyDaemonsModel.this.numbers++;
+			long number = ManyDaemonsModel.this.nextNumber++;
 			PendingRequest pending = new PendingRequest(number, RequestClass.LOOKUP, new CallerId("any"),
 					request.startedNanos + DEADLINE.toNanos());
 			Optional<Duration> wait = this.admission.expectedQueueWait(pending, ManyDaemonsModel.this.now);
@@ -291,7 +293,7 @@
 			this.requests.put(number, request);
 			switch (this.admission.offer(pending, ManyDaemonsModel.this.now)) {
 				case AdmissionDecision.Run ignored -> run(number);
-				case AdmissionDecision.Queued ignored -> lookSoon();
+				case AdmissionDecision.Queued ignored -> scheduleAdvance();
 				case AdmissionDecision.Refuse ignored -> refuse(number);
 			}
 		}
@@ -306,16 +308,16 @@
 			});
 		}
 
-		private void lookSoon() {
-			if (this.looking) {
+		private void scheduleAdvance() {
+			if (this.advanceScheduled) {
 				return;
 			}
-			this.looking = true;
-			at(ManyDaemonsModel.this.now + LOOK_AGAIN, () -> {
-				this.looking = false;
+			this.advanceScheduled = true;
+			at(ManyDaemonsModel.this.now + ADVANCE_INTERVAL_NANOS, () -> {
+				this.advanceScheduled = false;
 				carryOut(this.admission.advance(ManyDaemonsModel.this.now));
 				if (this.admission.waiting() > 0) {
-					lookSoon();
+					scheduleAdvance();
 				}
 			});
 		}
--- a/core/src/test/java/org/brasspier/core/choosing/SlotSearchTests.java
+++ b/core/src/test/java/org/brasspier/core/choosing/SlotSearchTests.java
@@ -16,7 +16,7 @@
 	private final SlotSearch search = new SlotSearch(true);
 
 	@Test
-	void aRequestWaitsWhereItIsShortestOnceTwoServersAreFull() {
+	void requestWaitsAtTheShortestQueueAfterTwoFullServers() {
 		this.search.onFull(FIRST, Duration.ofMillis(90));
 		assertThat(this.search.mayWait()).isFalse();
 		this.search.onFull(SECOND, Duration.ofMillis(40));
@@ -26,23 +26,23 @@
 		assertThat(this.search.takeShortestWait()).isEmpty();
 	}
 
-	// Guards against a search that begins anew after the server with the shortest wait
-	// has refused the request, and asks server after server.
+	// Guards against a search that restarts after the server with the shortest wait has
+	// refused the request, and contacts one server after the other.
 	@Test
-	void theSearchDoesNotBeginAgain() {
+	void searchDoesNotRestart() {
 		this.search.onFull(FIRST, Duration.ofMillis(90));
 		this.search.takeShortestWait();
 		assertThat(this.search.mayWait()).isTrue();
 	}
 
 	@Test
-	void theOnlyServerIsWaitedForAtOnce() {
+	void requestWaitsAtOnceAtTheOnlyServer() {
 		assertThat(this.search.takeShortestWait()).isEmpty();
 		assertThat(this.search.mayWait()).isTrue();
 	}
 
 	@Test
-	void aRequestThatDoesNotSearchMayWaitAtOnce() {
+	void requestWithoutSearchMayWaitAtOnce() {
 		SlotSearch none = new SlotSearch(false);
 		assertThat(none.mayWait()).isTrue();
 		assertThat(none.takeShortestWait()).isEmpty();
