--- a/core/src/main/java/org/brasspier/core/admission/AdmissionController.java
+++ b/core/src/main/java/org/brasspier/core/admission/AdmissionController.java
@@ -20,7 +20,7 @@
 
 /**
  * Admission control for one backend server: decides which requests run, wait or are
- * rejected. All times are nanoseconds of one monotonic clock that the caller reads. Never
+ * refused. All times are nanoseconds of one monotonic clock that the caller reads. Never
  * refuses a request after starting it, so each of its refusals means "not run". Not
  * thread-safe.
  * <p>
@@ -121,10 +121,10 @@
 		return Optional.of(Duration.ofNanos((long) (wait + this.times.mean(requestClass) / this.slots.limit())));
 	}
 
-	// Handles a caller's last resend, with less time left than its run takes. Even with a
-	// free slot it would usually run in vain, end as "unknown" and delay other requests.
-	// An idle server accepts it nevertheless; otherwise an estimate raised by a stall
-	// would refuse all requests forever.
+	// Detects a request with less time left than its run takes, such as a caller's last
+	// resend. Even with a free slot it would usually run in vain, end as "unknown" and
+	// delay other requests. An idle server accepts it nevertheless; otherwise an estimate
+	// raised by a stall would refuse all requests forever.
 	private boolean cannotFinishInTime(PendingRequest request, long now) {
 		return !this.running.isEmpty() && now > latestUsefulStart(request);
 	}
--- a/core/src/main/java/org/brasspier/core/admission/package-info.java
+++ b/core/src/main/java/org/brasspier/core/admission/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Admission control of a backend server: which requests run, wait or are rejected.
+ * Admission control of a backend server: which requests run, wait or are refused.
  * Decisions are made on a single thread; the caller passes the time in and carries out
  * the results.
  */
--- a/core/src/test/java/org/brasspier/core/keys/DeputyLeaseTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/DeputyLeaseTests.java
@@ -10,7 +10,7 @@
 
 class DeputyLeaseTests extends KeyFixtures {
 
-	private static final long PROMISE = TIMING.promise().toNanos();
+	private static final long PROMISE_NANOS = TIMING.promise().toNanos();
 
 	private static final Deputy DEPUTY = new Deputy(B, 5);
 
@@ -30,9 +30,9 @@
 	void deputyCanTakeKeysOfLostHolderWhenItsPromiseHasEnded() {
 		this.promises.promise(A, 7, 0);
 		this.monitor.onRowsRead(Map.of(A, LeaseRow.of(7, Optional.of(DEPUTY))), millis(100));
-		assertThat(this.monitor.endedRowVersion(A, PROMISE)).isEmpty();
-		assertThat(this.monitor.endedRowVersion(A, TIMING.plusDrift(PROMISE))).hasValue(7L);
-		assertThat(this.monitor.anySuspect(Set.of(A), TIMING.plusDrift(PROMISE))).isTrue();
+		assertThat(this.monitor.endedRowVersion(A, PROMISE_NANOS)).isEmpty();
+		assertThat(this.monitor.endedRowVersion(A, TIMING.plusDrift(PROMISE_NANOS))).hasValue(7L);
+		assertThat(this.monitor.anySuspect(Set.of(A), TIMING.plusDrift(PROMISE_NANOS))).isTrue();
 	}
 
 	@Test
@@ -55,8 +55,8 @@
 	void leaseWithDeputyEndsWithThePromiseCountedFromItsRequest() {
 		this.lease.onPromise(DEPUTY, millis(100));
 		this.lease.onRenewed(millis(200), 7, Optional.of(DEPUTY));
-		assertThat(this.lease.remainingNanos(millis(200))).isEqualTo(PROMISE - millis(100));
-		assertThat(this.lease.remainingNanos(millis(100) + PROMISE)).isEqualTo(0);
+		assertThat(this.lease.remainingNanos(millis(200))).isEqualTo(PROMISE_NANOS - millis(100));
+		assertThat(this.lease.remainingNanos(millis(100) + PROMISE_NANOS)).isEqualTo(0);
 	}
 
 	/**
@@ -85,9 +85,9 @@
 		this.lease.onPromise(DEPUTY, millis(3_000));
 		this.lease.onPromise(OTHER_DEPUTY, millis(1_000));
 		this.lease.onRenewalStarted(Optional.of(OTHER_DEPUTY));
-		assertThat(this.lease.remainingNanos(millis(3_000))).isEqualTo(PROMISE - millis(2_000));
+		assertThat(this.lease.remainingNanos(millis(3_000))).isEqualTo(PROMISE_NANOS - millis(2_000));
 		this.lease.onRenewed(millis(3_200), 8, Optional.of(DEPUTY));
-		assertThat(this.lease.remainingNanos(millis(3_200))).isEqualTo(PROMISE - millis(200));
+		assertThat(this.lease.remainingNanos(millis(3_200))).isEqualTo(PROMISE_NANOS - millis(200));
 	}
 
 	/**
@@ -160,7 +160,7 @@
 	void deputyReplacedAfterItsPromiseStillEndsTheLease() {
 		this.lease.onPromise(DEPUTY, 0);
 		this.lease.onRenewed(0, 7, Optional.of(DEPUTY));
-		this.lease.onProcessSeen(new Deputy(B, 99), PROMISE);
+		this.lease.onProcessSeen(new Deputy(B, 99), PROMISE_NANOS);
 		assertThat(this.lease.remainingNanos(millis(5_000))).isEqualTo(0);
 	}
 
--- a/core/src/test/java/org/brasspier/core/keys/GrantCallSchedulerTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/GrantCallSchedulerTests.java
@@ -9,7 +9,7 @@
 
 class GrantCallSchedulerTests extends KeyFixtures {
 
-	private static final long LEASE = TIMING.lease().toNanos();
+	private static final long LEASE_NANOS = TIMING.lease().toNanos();
 
 	/** Time after which grants of a previous process have expired. */
 	private static final long AFTER_PREDECESSOR_NANOS = TIMING.plusDrift(TIMING.hold().toNanos());
@@ -23,7 +23,7 @@
 	private final KeyHolding own = this.map.heldBy(A).get(0);
 
 	private List<GrantCall> due(KeyMap current, long now) {
-		return this.scheduler.dueCalls(current, holder(A).incarnation(), LEASE, now);
+		return this.scheduler.dueCalls(current, holder(A).incarnation(), LEASE_NANOS, now);
 	}
 
 	private KeyMap mapWithPlannedMove() {
@@ -162,7 +162,7 @@
 		KeyHolder second = new KeyHolder(A, new BackendIncarnation(holder(A).incarnation().id(), 2));
 		KeyMap renewed = KeyPlanner.reassignToIncarnation(this.map, second).orElseThrow();
 		GrantCall first = this.scheduler
-			.dueCalls(renewed, second.incarnation(), LEASE, AFTER_PREDECESSOR_NANOS + millis(10))
+			.dueCalls(renewed, second.incarnation(), LEASE_NANOS, AFTER_PREDECESSOR_NANOS + millis(10))
 			.get(0);
 		assertThat(first.incarnation()).isEqualTo(second.incarnation());
 		assertThat(first.fence().value()).isAtLeast(this.map.nextFence());
--- a/core/src/test/java/org/brasspier/core/keys/GrantModel.java
+++ b/core/src/test/java/org/brasspier/core/keys/GrantModel.java
@@ -27,20 +27,20 @@
 
 	private static final LeaseTiming TIMING = LeaseTiming.DEFAULT;
 
-	private static final long LEASE = TIMING.lease().toNanos();
+	private static final long LEASE_NANOS = TIMING.lease().toNanos();
 
-	private static final long STEP = Duration.ofMillis(100).toNanos();
+	private static final long STEP_NANOS = Duration.ofMillis(100).toNanos();
 
-	private static final long HEARTBEAT_INTERVAL = Duration.ofMillis(870).toNanos();
+	private static final long HEARTBEAT_INTERVAL_NANOS = Duration.ofMillis(870).toNanos();
 
-	private static final long CALL_TIMEOUT = Duration.ofMillis(400).toNanos();
+	private static final long CALL_TIMEOUT_NANOS = Duration.ofMillis(400).toNanos();
 
-	private static final long RELEASE_TIMEOUT = Duration.ofSeconds(5).toNanos();
+	private static final long RELEASE_TIMEOUT_NANOS = Duration.ofSeconds(5).toNanos();
 
 	/** Further violations add no information. */
 	private static final int MAX_VIOLATIONS = 10;
 
-	private static final long RUN_TIME = Duration.ofSeconds(60).toNanos();
+	private static final long RUN_TIME_NANOS = Duration.ofSeconds(60).toNanos();
 
 	private final SplittableRandom random;
 
@@ -73,7 +73,7 @@
 	void run() {
 		this.instances.forEach(Instance::start);
 		after(millis(500, 1_000), this::planMove);
-		while (!this.events.isEmpty() && this.now < RUN_TIME) {
+		while (!this.events.isEmpty() && this.now < RUN_TIME_NANOS) {
 			Event next = this.events.poll();
 			this.now = next.at;
 			next.action.run();
@@ -198,9 +198,9 @@
 		}
 
 		private void step() {
-			after(STEP, this::step);
+			after(STEP_NANOS, this::step);
 			if (GrantModel.this.delivery instanceof GrantDelivery.ByCall) {
-				this.scheduler.dueCalls(GrantModel.this.map, holder().incarnation(), LEASE, GrantModel.this.now)
+				this.scheduler.dueCalls(GrantModel.this.map, holder().incarnation(), LEASE_NANOS, GrantModel.this.now)
 					.forEach(this::call);
 			}
 			moveReleasedKeys();
@@ -238,14 +238,14 @@
 						}
 					});
 					if (lost) {
-						after(CALL_TIMEOUT, () -> sender.onUnanswered(grant, GrantModel.this.now));
+						after(CALL_TIMEOUT_NANOS, () -> sender.onUnanswered(grant, GrantModel.this.now));
 					}
 				}
 				case GrantCall.Release release -> {
 					this.server.values()
 						.removeIf((held) -> release.span().overlaps(held.span) && sentTo == this.startCount);
 					if (lost) {
-						after(RELEASE_TIMEOUT, () -> sender.onUnanswered(release, GrantModel.this.now));
+						after(RELEASE_TIMEOUT_NANOS, () -> sender.onUnanswered(release, GrantModel.this.now));
 					}
 					else {
 						after(millis(1, 300), () -> sender.onReleased(release, "token"));
@@ -273,14 +273,14 @@
 			}
 			this.seenFences.merge(grant.span(), grant.fence().value(), Math::max);
 			long until = arrived + TIMING.plusDrift(grant.hold().toNanos());
-			GrantModel.this.lateGrants += (GrantModel.this.now - arrived > CALL_TIMEOUT) ? 1 : 0;
+			GrantModel.this.lateGrants += (GrantModel.this.now - arrived > CALL_TIMEOUT_NANOS) ? 1 : 0;
 			this.server.values().removeIf((held) -> held.span.overlaps(grant.span()));
 			this.server.put(grant.span(), new Held(grant.span(), grant.fence().value(), until));
 			return true;
 		}
 
 		private void heartbeat() {
-			after(HEARTBEAT_INTERVAL, this::heartbeat);
+			after(HEARTBEAT_INTERVAL_NANOS, this::heartbeat);
 			if (!(GrantModel.this.delivery instanceof GrantDelivery.InHeartbeats)) {
 				return;
 			}
@@ -293,7 +293,7 @@
 			List<ReleasedKeys> released = List.copyOf(this.unacknowledgedReleases);
 			HoldReport report = new HoldReport(holder().incarnation(), holds, released);
 			after(millis(1, 20),
-					() -> this.tracker.answerHeartbeat(GrantModel.this.map, report, LEASE, GrantModel.this.now)
+					() -> this.tracker.answerHeartbeat(GrantModel.this.map, report, LEASE_NANOS, GrantModel.this.now)
 						.filter((answer) -> !chance(25))
 						.ifPresent((answer) -> after(millis(1, 900), () -> applyAnswer(answer, report, sent))));
 		}
--- a/core/src/test/java/org/brasspier/core/keys/GrantTrackerTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/GrantTrackerTests.java
@@ -11,7 +11,7 @@
 
 class GrantTrackerTests extends KeyFixtures {
 
-	private static final long LONG_LEASE = Duration.ofSeconds(10).toNanos();
+	private static final long LEASE_NANOS = Duration.ofSeconds(10).toNanos();
 
 	private final KeyMap map = KeyMap.initial(holders(A, B));
 
@@ -20,7 +20,7 @@
 	private final KeyHolding own = this.map.heldBy(A).get(0);
 
 	private Optional<GrantAnswer> heartbeat(KeyMap current, List<HeldKeys> holds, List<ReleasedKeys> freed, long now) {
-		return this.tracker.answerHeartbeat(current, report(A, holds, freed), LONG_LEASE, now);
+		return this.tracker.answerHeartbeat(current, report(A, holds, freed), LEASE_NANOS, now);
 	}
 
 	private KeyMap mapWithPlannedMove() {
--- a/core/src/test/java/org/brasspier/core/keys/LeaseModel.java
+++ b/core/src/test/java/org/brasspier/core/keys/LeaseModel.java
@@ -32,13 +32,13 @@
 	 */
 	private static final double MAX_CLOCK_DRIFT = 0.009;
 
-	private static final long STEP = Duration.ofMillis(250).toNanos();
+	private static final long STEP_NANOS = Duration.ofMillis(250).toNanos();
 
-	private static final long PROMISE_REQUEST_INTERVAL = Duration.ofMillis(500).toNanos();
+	private static final long PROMISE_REQUEST_INTERVAL_NANOS = Duration.ofMillis(500).toNanos();
 
-	private static final long FRESH_PROMISE_AGE = Duration.ofMillis(1200).toNanos();
+	private static final long FRESH_PROMISE_AGE_NANOS = Duration.ofMillis(1200).toNanos();
 
-	private static final long RUN_TIME = Duration.ofSeconds(60).toNanos();
+	private static final long RUN_TIME_NANOS = Duration.ofSeconds(60).toNanos();
 
 	private final SplittableRandom random;
 
@@ -69,7 +69,7 @@
 	void run() {
 		this.instances.forEach(Instance::start);
 		this.instances.forEach(this::planFaults);
-		while (!this.events.isEmpty() && this.now < RUN_TIME) {
+		while (!this.events.isEmpty() && this.now < RUN_TIME_NANOS) {
 			Event next = this.events.poll();
 			this.now = next.at;
 			next.action.run();
@@ -271,7 +271,7 @@
 		}
 
 		private void tick() {
-			after(STEP, this::tick);
+			after(STEP_NANOS, this::tick);
 			if (this.alive && !this.suspended) {
 				step(this.process, clock());
 			}
@@ -288,7 +288,7 @@
 				giveUp(own, localNanos);
 				return;
 			}
-			if (localNanos - own.requested >= PROMISE_REQUEST_INTERVAL) {
+			if (localNanos - own.requested >= PROMISE_REQUEST_INTERVAL_NANOS) {
 				own.requested = localNanos;
 				others().forEach((other) -> requestPromise(own, other, localNanos));
 			}
@@ -341,7 +341,7 @@
 
 		private boolean fresh(Process own, Deputy deputy, long localNanos) {
 			Long latest = own.heard.get(deputy);
-			return latest != null && localNanos - latest < FRESH_PROMISE_AGE
+			return latest != null && localNanos - latest < FRESH_PROMISE_AGE_NANOS
 					&& own.lease.promiseRemainingNanos(deputy, localNanos) > 0;
 		}
 
--- a/core/src/test/java/org/brasspier/core/keys/LeaseTests.java
+++ b/core/src/test/java/org/brasspier/core/keys/LeaseTests.java
@@ -11,7 +11,7 @@
 
 class LeaseTests extends KeyFixtures {
 
-	private static final long LEASE = TIMING.lease().toNanos();
+	private static final long LEASE_NANOS = TIMING.lease().toNanos();
 
 	private static final Deputy SELF = new Deputy(C, 17);
 
@@ -41,8 +41,8 @@
 	@Test
 	void leaseStartsWhenItsRenewalWasSent() {
 		this.lease.onRenewed(millis(100), 7, Optional.empty());
-		assertThat(this.lease.remainingNanos(millis(100))).isEqualTo(LEASE);
-		assertThat(this.lease.remainingNanos(millis(100) + LEASE)).isEqualTo(0);
+		assertThat(this.lease.remainingNanos(millis(100))).isEqualTo(LEASE_NANOS);
+		assertThat(this.lease.remainingNanos(millis(100) + LEASE_NANOS)).isEqualTo(0);
 	}
 
 	/**
@@ -79,7 +79,7 @@
 	@Test
 	void leaseHasEndedWhenItsRowWasUnchangedForLongerThanTheLeaseByAnyClock() {
 		readEachSecond(5, 0, 10_000);
-		assertThat(this.monitor.endedRowVersion(A, LEASE)).isEmpty();
+		assertThat(this.monitor.endedRowVersion(A, LEASE_NANOS)).isEmpty();
 		readEachSecond(5, 11_000, 11_000);
 		assertThat(this.monitor.endedRowVersion(A, millis(11_000))).hasValue(5L);
 	}
