--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshNode.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshNode.java
@@ -203,7 +203,7 @@
 	private void whenIdle(Runnable ended) {
 		boolean closed = this.callers.closeIdle();
 		boolean told = System.nanoTime() - this.leavingSinceNanos >= OPEN_ON.plus(TOLD_AFTER).toNanos();
-		long left = this.settings.bounds().gracePeriod().toNanos() - (System.nanoTime() - this.leavingSinceNanos);
+		long left = this.settings.bounds().stopTimeout().toNanos() - (System.nanoTime() - this.leavingSinceNanos);
 		if (closed && told && this.gate.idle() || left <= 0) {
 			recordProcessorTimes();
 			this.log.record(MeshEvent.STOPPED, "open", this.entry.openRequests(), "gate", this.gate.load());
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/MeshDaemon.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/MeshDaemon.java
@@ -79,7 +79,7 @@
 			}
 		});
 		try {
-			ended.get(this.settings.bounds().gracePeriod().toMillis() + END_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
+			ended.get(this.settings.bounds().stopTimeout().toMillis() + END_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
 			this.duty.stop();
 		}
 		catch (InterruptedException ex) {
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/MeshSettings.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/MeshSettings.java
@@ -66,11 +66,11 @@
 	 * The times that operators promise.
 	 *
 	 * @param drain how long a backend server serves on once its leaving is acknowledged
-	 * @param gracePeriod how long a process may go on after it was told to end
+	 * @param stopTimeout how long a process may go on after it was told to end
 	 * @param maxHold the longest time for which keys may be granted
 	 * @param retries how many repeats the deployment may send
 	 */
-	public record Bounds(Duration drain, Duration gracePeriod, Duration maxHold, Retries retries) {
+	public record Bounds(Duration drain, Duration stopTimeout, Duration maxHold, Retries retries) {
 	}
 
 	/**
