--- a/daemon/src/main/java/org/brasspier/daemon/mesh/BackendMessage.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/BackendMessage.java
@@ -1,22 +1,23 @@
 package org.brasspier.daemon.mesh;
 
 /**
- * What a backend server tells the daemon beside it. Immutable and thread-safe.
+ * A message from a backend server to the daemon on its instance. Immutable and
+ * thread-safe.
  */
 public sealed interface BackendMessage {
 
 	/**
-	 * It is there.
+	 * A heartbeat.
 	 *
-	 * @param heartbeat what it says of itself
+	 * @param heartbeat the heartbeat's contents
 	 */
 	record HeartbeatMessage(Heartbeat heartbeat) implements BackendMessage {
 	}
 
 	/**
-	 * It leaves, and serves on for a moment.
+	 * The backend server is about to stop. It still serves requests for a short time.
 	 *
-	 * @param backendId its id
+	 * @param backendId id of the backend server
 	 */
 	record Departure(String backendId) implements BackendMessage {
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/BackendProtocol.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/BackendProtocol.java
@@ -3,35 +3,38 @@
 import org.brasspier.core.request.Answer;
 
 /**
- * How backend servers take requests. Implementations are stateless and thread-safe.
+ * Encodes requests to backend servers and interprets their answers. Implementations are
+ * stateless and thread-safe.
  */
 public interface BackendProtocol {
 
 	/**
-	 * Writes an order.
-	 * @param order the order
-	 * @return what is sent
+	 * Encodes a request.
+	 * @param request the request
+	 * @return the HTTP request to send
 	 */
-	RawRequest request(BackendRequest order);
+	RawRequest request(BackendRequest request);
 
 	/**
-	 * Reads what an answer says.
-	 * @param order the order that was sent
-	 * @param answer what came
-	 * @return its meaning
+	 * Interprets an answer.
+	 * @param request the request that was sent
+	 * @param answer the answer received
+	 * @return the verdict
 	 */
-	Verdict verdict(BackendRequest order, Answer answer);
+	Verdict verdict(BackendRequest request, Answer answer);
 
 	/**
-	 * What an answer of a backend server means.
+	 * Meaning of a backend server's answer.
 	 */
 	enum Verdict {
 
-		/** It answers the order, which ran. */
+		/** The request ran, and this is its answer. */
 		RAN,
-		/** It says that the order did not run. */
+		/** The backend server states that the request did not run. */
 		NOT_RUN,
-		/** It answers an earlier order; the right one may still come. */
+		/**
+		 * The answer belongs to an earlier request; the right answer may still arrive.
+		 */
 		OTHER_REQUEST
 
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/BackendRequest.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/BackendRequest.java
@@ -4,12 +4,15 @@
 import org.brasspier.core.keys.BackendIncarnation;
 
 /**
- * A request to be run by a backend server. Immutable and thread-safe.
+ * A request that a daemon sends to the backend server on its instance. Immutable and
+ * thread-safe.
  *
  * @param request the request
- * @param caller the service of the instance where the request began
- * @param incarnation the life of the backend server that is to run it; any other declines
- * @param remainingMillis after how long the backend server is to stop
+ * @param caller service of the instance where the request entered the mesh
+ * @param incarnation incarnation of the backend server that must run the request; any
+ * other declines it
+ * @param remainingMillis milliseconds after which the backend server must stop working on
+ * the request
  */
 public record BackendRequest(MeshRequest request, ServiceName caller, BackendIncarnation incarnation,
 		int remainingMillis) {
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/CallerProtocol.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/CallerProtocol.java
@@ -5,29 +5,31 @@
 import org.brasspier.core.request.Answer;
 
 /**
- * How callers speak. Implementations are stateless and thread-safe.
+ * Decodes the requests of callers and builds the answers to them. Implementations are
+ * stateless and thread-safe.
  */
 public interface CallerProtocol {
 
 	/**
-	 * Reads a request.
-	 * @param raw what came
-	 * @return the request, or what is wrong with it
+	 * Decodes a request.
+	 * @param raw the request as received
+	 * @return the request, or the reason why it is invalid
 	 */
 	Either<Failure, MeshRequest> request(RawRequest raw);
 
 	/**
-	 * The answer that a backend server gave, without what concerns its connection only.
+	 * Converts a backend server's answer to the answer for the caller: removes the
+	 * hop-by-hop headers.
 	 * @param answer the backend server's answer
-	 * @return what the caller gets
+	 * @return the answer for the caller
 	 */
 	Answer relayedAnswer(Answer answer);
 
 	/**
-	 * An answer of the daemon's own.
-	 * @param raw the request, to which the answer refers
-	 * @param failure what happened
-	 * @return what the caller gets
+	 * Builds the answer to a request that failed in the daemon.
+	 * @param raw the request that failed
+	 * @param failure the failure
+	 * @return the answer for the caller
 	 */
 	Answer failureAnswer(RawRequest raw, Failure failure);
 
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/ConfigSource.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/ConfigSource.java
@@ -5,27 +5,27 @@
 import org.brasspier.core.mesh.RoutingConfig;
 
 /**
- * Where operators leave their configuration, and how it reads. Implementations are
+ * Locates the operators' configuration in the store and parses it. Implementations are
  * stateless and thread-safe.
  */
 public interface ConfigSource {
 
 	/**
-	 * The table in which it lies.
-	 * @return the table's name
+	 * Returns the name of the table that holds the configuration.
+	 * @return the table name
 	 */
 	String table();
 
 	/**
-	 * The key of its row.
+	 * Returns the key of the configuration's row.
 	 * @return the key
 	 */
 	String key();
 
 	/**
-	 * Reads it.
+	 * Parses a configuration.
 	 * @param value the row's value
-	 * @return the configuration, or what is wrong with it
+	 * @return the configuration, or the reason why it is invalid
 	 */
 	Either<Failure, RoutingConfig> read(byte[] value);
 
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/GrantProtocol.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/GrantProtocol.java
@@ -6,49 +6,50 @@
 import org.brasspier.core.request.Answer;
 
 /**
- * How backend servers are called to grant and to release keys. Implementations are
- * stateless and thread-safe.
+ * Encodes the calls that grant keys to a backend server or release them, and interprets
+ * the answers. Implementations are stateless and thread-safe.
  */
 public interface GrantProtocol {
 
 	/**
-	 * Writes a call.
+	 * Encodes a call.
 	 * @param call the call
-	 * @param server where the backend server listens
-	 * @return what is sent
+	 * @param server address of the backend server
+	 * @return the HTTP request to send
 	 */
 	RawRequest request(GrantCall call, InetSocketAddress server);
 
 	/**
-	 * Reads what an answer says.
-	 * @param answer what came
-	 * @return its meaning
+	 * Interprets an answer.
+	 * @param answer the answer received
+	 * @return the meaning of the answer
 	 */
 	GrantReply reply(Answer answer);
 
 	/**
-	 * What an answer to a call means.
+	 * Meaning of the answer to a call.
 	 */
 	sealed interface GrantReply {
 
 		/**
 		 * The call was carried out.
 		 *
-		 * @param handover what goes to the next holder of released keys; empty if nothing
+		 * @param handover token that is passed to the next holder of released keys; empty
+		 * if there is none
 		 */
 		record Done(String handover) implements GrantReply {
 		}
 
 		/**
-		 * The backend server has seen a higher fence on one of the keys.
+		 * The backend server has already seen a higher fence for one of the keys.
 		 */
 		record Superseded() implements GrantReply {
 		}
 
 		/**
-		 * The backend server did not carry the call out, as far as it says.
+		 * The backend server answered that it did not carry out the call.
 		 *
-		 * @param status the status that it gave
+		 * @param status HTTP status of the answer
 		 */
 		record Failed(int status) implements GrantReply {
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/Heartbeat.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/Heartbeat.java
@@ -7,27 +7,30 @@
 import org.brasspier.core.keys.HoldReport;
 
 /**
- * What a backend server says of itself. Immutable and thread-safe.
+ * State that a backend server reports about itself. Immutable and thread-safe.
  *
- * @param service its service
- * @param address where it listens
- * @param slots how many requests it runs at once, at least 1
- * @param draining whether it is leaving
- * @param coldStartRemaining how much longer it is slow after its start
- * @param sequence grows with each heartbeat of a life, so that a late one is known
- * @param holds its life, and the keys it holds and has let go of
+ * @param service service of the backend server
+ * @param address address on which the backend server listens
+ * @param slots number of requests that it runs at once, at least 1
+ * @param draining whether it is about to stop
+ * @param coldStartRemaining remaining time during which it is slow after its start
+ * @param sequence increases with each heartbeat of an incarnation, so that a delayed
+ * heartbeat is recognized
+ * @param holds its incarnation, the keys that it holds and the keys that it has released
  */
 public record Heartbeat(ServiceName service, InetSocketAddress address, int slots, boolean draining,
 		Duration coldStartRemaining, long sequence, HoldReport holds) {
 
 	/**
-	 * Checks the numbers.
-	 * @throws IllegalArgumentException if one is out of its range
+	 * Validates the ranges of the numbers.
+	 * @throws IllegalArgumentException if {@code slots} is less than 1, or the remaining
+	 * time or the sequence is negative
 	 */
 	public Heartbeat {
 		if (slots < 1 || coldStartRemaining.isNegative() || sequence < 0) {
-			throw new IllegalArgumentException("slots %d must be at least 1, cold %s and sequence %d not negative"
-				.formatted(slots, coldStartRemaining, sequence));
+			throw new IllegalArgumentException(
+					"slots %d must be at least 1, cold start %s and sequence %d must not be negative".formatted(slots,
+							coldStartRemaining, sequence));
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/HeartbeatProtocol.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/HeartbeatProtocol.java
@@ -7,23 +7,25 @@
 import org.brasspier.core.keys.GrantAnswer;
 
 /**
- * How backend servers announce themselves. Implementations are stateless and thread-safe.
+ * Decodes the heartbeats and departures of backend servers and encodes the
+ * acknowledgements. Implementations are stateless and thread-safe.
  */
 public interface HeartbeatProtocol {
 
 	/**
-	 * Reads a message.
+	 * Decodes a message.
 	 * @param method the HTTP method
-	 * @param path the path
-	 * @param body the body
-	 * @return the message, or what is wrong with it
+	 * @param path the request path
+	 * @param body the request body
+	 * @return the message, or the reason why it is invalid
 	 */
 	Either<Failure, BackendMessage> message(String method, String path, byte[] body);
 
 	/**
-	 * Writes the acknowledgement of a message.
-	 * @param grants what the server is to hold; empty if nothing is said of that
-	 * @return the body
+	 * Encodes the acknowledgement of a message.
+	 * @param grants grants for the backend server; empty if the acknowledgement contains
+	 * none
+	 * @return the response body
 	 */
 	byte[] acknowledgement(Optional<GrantAnswer> grants);
 
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/MeshAdapter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/MeshAdapter.java
@@ -1,15 +1,15 @@
 package org.brasspier.daemon.mesh;
 
 /**
- * Everything that an adapter supplies.
+ * The platform-specific parts of a daemon.
  *
- * @param callers how callers speak
- * @param backends how backend servers take requests
- * @param grants how they are called to grant and to release keys
- * @param heartbeats how they announce themselves
- * @param config where the configuration is
- * @param store the platform's store
- * @param readinessPath the path that the platform asks for readiness
+ * @param callers protocol of callers
+ * @param backends protocol for requests to backend servers
+ * @param grants protocol for calls that grant keys to backend servers or release them
+ * @param heartbeats protocol of the heartbeats of backend servers
+ * @param config source of the operators' configuration
+ * @param store the platform's transactional store
+ * @param readinessPath path of the platform's readiness check
  */
 public record MeshAdapter(CallerProtocol callers, BackendProtocol backends, GrantProtocol grants,
 		HeartbeatProtocol heartbeats, ConfigSource config, MetadataStore store, String readinessPath) {
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/MeshDaemon.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/MeshDaemon.java
@@ -13,12 +13,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A daemon of a mesh. Starting and stopping is thread-safe; each is done once.
+ * A daemon of a mesh. Starting and stopping is thread-safe; each may be called once.
  */
 public final class MeshDaemon {
 
-	/** Kept back from the time for a stop, so that the process ends by itself. */
-	private static final long END_MARGIN_MILLIS = 300;
+	/**
+	 * Time that {@link #stop()} waits beyond the stop timeout, so that the daemon ends by
+	 * itself.
+	 */
+	private static final long STOP_MARGIN_MILLIS = 300;
 
 	private final MeshSettings settings;
 
@@ -29,8 +32,8 @@
 	private @Nullable MeshNode node;
 
 	/**
-	 * Creates a daemon that is not started.
-	 * @param settings what it knows before it starts
+	 * Creates a daemon without starting it.
+	 * @param settings the settings
 	 * @param adapter builds the adapter on the daemon's event loop
 	 */
 	public MeshDaemon(MeshSettings settings, Function<NioReactor, MeshAdapter> adapter) {
@@ -39,54 +42,56 @@
 	}
 
 	/**
-	 * Opens all ports.
-	 * @throws IOException if one can't be opened
+	 * Starts the event loop and opens all ports.
+	 * @throws IOException if a port can't be opened
 	 */
 	public void start() throws IOException {
 		this.duty.start(() -> {
-			MeshNode joined = new MeshNode(this.duty.reactor(), this.settings, this.adapter.apply(this.duty.reactor()));
-			this.node = joined;
-			joined.start();
+			MeshNode current = new MeshNode(this.duty.reactor(), this.settings,
+					this.adapter.apply(this.duty.reactor()));
+			this.node = current;
+			current.start();
 		});
 	}
 
 	/**
-	 * Logs that the settings were read again.
-	 * @param outcome what came of it
+	 * Logs that the settings file was read again.
+	 * @param outcome the outcome
 	 */
 	public void onSettingsReloaded(String outcome) {
 		this.duty.execute(() -> {
-			MeshNode joined = this.node;
-			if (joined != null) {
-				joined.onSettingsReloaded(outcome);
+			MeshNode current = this.node;
+			if (current != null) {
+				current.onSettingsReloaded(outcome);
 			}
 		});
 	}
 
 	/**
-	 * Ends it without cutting off what is in flight, as far as the time allows. Nothing
-	 * is read or written by it afterwards.
+	 * Shuts down gracefully: waits for requests in flight until the stop timeout, then
+	 * stops the event loop. Nothing is read or written afterwards.
 	 */
 	public void stop() {
-		CompletableFuture<Void> ended = new CompletableFuture<>();
+		CompletableFuture<Void> stopped = new CompletableFuture<>();
 		this.duty.execute(() -> {
-			MeshNode joined = this.node;
-			if (joined == null) {
-				ended.complete(null);
+			MeshNode current = this.node;
+			if (current == null) {
+				stopped.complete(null);
 			}
 			else {
-				joined.stop(() -> ended.complete(null));
+				current.stop(() -> stopped.complete(null));
 			}
 		});
 		try {
-			ended.get(this.settings.bounds().stopTimeout().toMillis() + END_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
+			stopped.get(this.settings.bounds().stopTimeout().toMillis() + STOP_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
 			this.duty.stop();
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
 		}
 		catch (ExecutionException | TimeoutException ex) {
-			// The platform ends the process in a moment; what is still in flight is cut.
+			// The platform kills the process shortly; requests that are still in flight
+			// are cut off.
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/MeshLogging.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/MeshLogging.java
@@ -10,20 +10,23 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /**
- * Sends logs to standard output without ever waiting for it: whoever reads it may be
- * slow, and a request must not wait for that. Set up in code, since reading the library's
- * XML is a tenth of a daemon's start.
+ * Configures Logback to write to standard output without blocking: the reader of the
+ * output may be slow, and a request must not wait for it. Configured in code, since
+ * parsing Logback's XML takes a tenth of a daemon's start-up time.
  */
 public final class MeshLogging extends ContextAwareBase implements Configurator {
 
-	/** Some seconds of lines at the bounds that the log keeps for each kind. */
-	private static final int QUEUE = 2048;
+	/**
+	 * Holds a few seconds of lines at the rate limits that the log has for each kind of
+	 * event.
+	 */
+	private static final int QUEUE_CAPACITY = 2048;
 
 	/**
-	 * Creates the configurator; the logging library does.
+	 * Creates the configurator. Called by Logback.
 	 */
 	public MeshLogging() {
-		// Nothing to prepare.
+		// Logback needs a public constructor without parameters.
 	}
 
 	@Override
@@ -38,7 +41,7 @@
 		console.start();
 		AsyncAppender queue = new AsyncAppender();
 		queue.setContext(context);
-		queue.setQueueSize(QUEUE);
+		queue.setQueueSize(QUEUE_CAPACITY);
 		queue.setNeverBlock(true);
 		queue.addAppender(console);
 		queue.start();
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/MeshRequest.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/MeshRequest.java
@@ -7,39 +7,41 @@
 import org.brasspier.core.request.HeaderField;
 
 /**
- * A caller's request, read. Immutable and thread-safe, if nobody changes the body.
+ * A decoded request of a caller. Immutable and thread-safe, as long as the body is not
+ * modified.
  *
- * @param id the id that the caller gave to this attempt
- * @param host the host that it names, without a port
+ * @param id id that the caller gave to this attempt
+ * @param host host name of the request, without the port
  * @param method the method
- * @param target the path and query
- * @param headers the header fields that go to the backend server as they are
+ * @param target path and query
+ * @param headers header fields that are forwarded to the backend server unchanged
  * @param body the whole body
- * @param remainingMillis how long the caller will wait from now
- * @param key the key that it is about; empty if it names none
+ * @param remainingMillis time that the caller will still wait, in milliseconds
+ * @param key key of the request; empty if it has none
  */
 public record MeshRequest(String id, String host, String method, String target, List<HeaderField> headers, byte[] body,
 		int remainingMillis, OptionalInt key) {
 
 	/**
-	 * Copies the list.
+	 * Makes a defensive copy of the headers.
 	 */
 	public MeshRequest {
 		headers = List.copyOf(headers);
 	}
 
 	/**
-	 * The same request with another time left.
-	 * @param millis how long the caller will wait from now
-	 * @return the request
+	 * Returns a copy with another remaining time.
+	 * @param millis time that the caller will still wait, in milliseconds
+	 * @return the copy
 	 */
 	public MeshRequest withRemainingMillis(int millis) {
 		return new MeshRequest(this.id, this.host, this.method, this.target, this.headers, this.body, millis, this.key);
 	}
 
 	/**
-	 * A hash of what stays the same when a caller sends a request again.
-	 * @return 64 bits
+	 * Returns a hash of the parts of a request that stay the same when a caller sends it
+	 * again.
+	 * @return the 64-bit hash
 	 */
 	public long fingerprint() {
 		return Hashing.komihash5_0()
@@ -52,7 +54,7 @@
 	}
 
 	/**
-	 * The path without the query.
+	 * Returns the path without the query.
 	 * @return the path
 	 */
 	public String path() {
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/MeshSettings.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/MeshSettings.java
@@ -10,26 +10,26 @@
 import org.brasspier.core.keys.GrantDelivery;
 
 /**
- * What a daemon of a mesh learns before it starts. Immutable and thread-safe.
+ * Settings of a daemon of a mesh. Immutable and thread-safe.
  *
- * @param instance its instance
+ * @param instance identity of the daemon's instance
  * @param failureDomain the instance's failure domain
- * @param listen where it listens
- * @param backend the backend server beside it
- * @param bounds the times that operators promise their users
- * @param linkMegabits what the instance's network link carries, in megabits a second; 0
- * if that is not known
+ * @param listen addresses on which the daemon listens
+ * @param backend the backend server on the same instance
+ * @param bounds time limits and retry limits that operators promise their users
+ * @param linkMegabits bandwidth of the instance's network link in megabits per second; 0
+ * if unknown
  */
 public record MeshSettings(InstanceId instance, FailureDomain failureDomain, ListenAddresses listen, Backend backend,
 		Bounds bounds, int linkMegabits) {
 
 	/**
-	 * Creates settings of an instance whose network link is not known.
-	 * @param instance its instance
+	 * Creates settings of an instance whose network bandwidth is unknown.
+	 * @param instance identity of the daemon's instance
 	 * @param failureDomain the instance's failure domain
-	 * @param listen where it listens
-	 * @param backend the backend server beside it
-	 * @param bounds the times that operators promise their users
+	 * @param listen addresses on which the daemon listens
+	 * @param backend the backend server on the same instance
+	 * @param bounds time limits and retry limits that operators promise their users
 	 */
 	public MeshSettings(InstanceId instance, FailureDomain failureDomain, ListenAddresses listen, Backend backend,
 			Bounds bounds) {
@@ -37,48 +37,49 @@
 	}
 
 	/**
-	 * Where a daemon listens. Each is a port of its own.
+	 * Addresses on which a daemon listens, each with its own port.
 	 *
-	 * @param callers for requests of callers and of the backend server
-	 * @param readiness for the platform's question whether it takes work
-	 * @param backend for the heartbeats of the backend server
-	 * @param peers for other daemons
-	 * @param metrics for metrics; empty if there is none
+	 * @param callers address for requests of callers and of the backend server
+	 * @param readiness address for readiness checks of the platform
+	 * @param backend address for heartbeats of the backend server
+	 * @param peers address for connections of other daemons
+	 * @param metrics address for reads of the metrics; empty if they are not exposed
 	 */
 	public record ListenAddresses(InetSocketAddress callers, InetSocketAddress readiness, InetSocketAddress backend,
 			InetSocketAddress peers, Optional<InetSocketAddress> metrics) {
 	}
 
 	/**
-	 * The backend server beside a daemon.
+	 * The backend server on the daemon's instance.
 	 *
-	 * @param service its service
-	 * @param address where it listens
-	 * @param heartbeatInterval how often it sends a heartbeat, about
-	 * @param grants how it receives grants of keys, unless the configuration says
-	 * otherwise for its service
+	 * @param service service of the backend server
+	 * @param address address on which the backend server listens
+	 * @param heartbeatInterval approximate interval between its heartbeats
+	 * @param grants how it receives grants of keys, unless the configuration of its
+	 * service overrides this
 	 */
 	public record Backend(ServiceName service, InetSocketAddress address, Duration heartbeatInterval,
 			GrantDelivery grants) {
 	}
 
 	/**
-	 * The times that operators promise.
+	 * Time limits and retry limits that operators promise their users.
 	 *
-	 * @param drain how long a backend server serves on once its leaving is acknowledged
-	 * @param stopTimeout how long a process may go on after it was told to end
-	 * @param maxHold the longest time for which keys may be granted
-	 * @param retries how many repeats the deployment may send
+	 * @param drain time for which a backend server continues to serve after its departure
+	 * was acknowledged
+	 * @param stopTimeout time for which a process may continue after it was told to stop
+	 * @param maxHold longest time for which keys may be granted
+	 * @param retries retry limits of the whole deployment
 	 */
 	public record Bounds(Duration drain, Duration stopTimeout, Duration maxHold, Retries retries) {
 	}
 
 	/**
-	 * How many repeats all daemons together may send to a service.
+	 * Number of retries that all daemons together may send to a service.
 	 *
-	 * @param ratio repeats for each request
-	 * @param slack repeats in each window besides
-	 * @param window the window
+	 * @param ratio retries per request
+	 * @param slack retries per window in addition to the ratio
+	 * @param window length of the window
 	 */
 	public record Retries(double ratio, int slack, Duration window) {
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/MetadataStore.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/MetadataStore.java
@@ -8,52 +8,53 @@
 
 /**
  * The platform's transactional store: rows in tables, each with a version from one
- * counter that grows with each transaction. What is acknowledged is kept. Belongs to the
- * thread of its event loop.
+ * counter that increases with each transaction. Acknowledged writes are durable. Not
+ * thread-safe; confined to the thread of its event loop.
  */
 public interface MetadataStore {
 
 	/**
-	 * Reads a table.
-	 * @param table the table
-	 * @return all its rows as of one moment; fails with a {@link StoreFailedException} if
-	 * the store did not answer
+	 * Reads a whole table.
+	 * @param table the table name
+	 * @return all rows of the table as a consistent snapshot; fails with a
+	 * {@link StoreFailedException} if the store did not answer
 	 */
 	Promise<Rows> read(String table);
 
 	/**
-	 * Waits for changes of a table.
+	 * Waits for changes of a table (long polling).
 	 * @param table the table
-	 * @param after the version up to which changes are known
-	 * @param wait the longest time to wait; zero asks at once, on a connection of its own
-	 * @return what changed, as soon as something did; no rows if nothing did; empty if
-	 * the store no longer knows that far back; fails with a {@link StoreFailedException}
-	 * if the store did not answer
+	 * @param after version up to which the caller knows all changes
+	 * @param wait longest time to wait; zero requests an immediate answer, on a separate
+	 * connection
+	 * @return the changed rows, as soon as there are any; no rows if nothing changed in
+	 * time; empty if the store no longer has the changes since {@code after}; fails with
+	 * a {@link StoreFailedException} if the store did not answer
 	 */
 	Promise<Optional<Rows>> changes(String table, long after, Duration wait);
 
 	/**
-	 * Writes rows if others are as expected, all or nothing.
-	 * @param commit what to write, and under which conditions
-	 * @return what came of it; never fails
+	 * Writes rows atomically if all preconditions hold.
+	 * @param commit the rows to write and the preconditions
+	 * @return the result; the promise never fails
 	 */
 	Promise<CommitResult> commit(Commit commit);
 
 	/**
 	 * A row.
 	 *
-	 * @param key its key
-	 * @param value its value; empty if it is gone
-	 * @param version the version that it has had since its last change
+	 * @param key the row's key
+	 * @param value the row's value; empty if the row was deleted
+	 * @param version version of the row's last change
 	 */
 	record Row(String key, Optional<byte[]> value, long version) {
 	}
 
 	/**
-	 * Rows as of one moment.
+	 * A consistent snapshot of rows.
 	 *
 	 * @param rows the rows
-	 * @param version the store's newest version at that moment
+	 * @param version the store's newest version at the time of the snapshot
 	 */
 	record Rows(List<Row> rows, long version) {
 
@@ -62,7 +63,7 @@
 	/**
 	 * A transaction.
 	 *
-	 * @param preconditions the versions that rows must have; 0 if a row must not exist
+	 * @param preconditions versions that rows must have; 0 if a row must not exist
 	 * @param puts the rows to write
 	 */
 	record Commit(List<Precondition> preconditions, List<Put> puts) {
@@ -70,11 +71,11 @@
 	}
 
 	/**
-	 * A condition.
+	 * A precondition on the version of a row.
 	 *
 	 * @param table the row's table
 	 * @param key the row's key
-	 * @param version the version it must have; 0 if it must not exist
+	 * @param version version that the row must have; 0 if the row must not exist
 	 */
 	record Precondition(String table, String key, long version) {
 	}
@@ -82,43 +83,43 @@
 	/**
 	 * A row to write.
 	 *
-	 * @param table its table
-	 * @param key its key
-	 * @param value its value
+	 * @param table the row's table
+	 * @param key the row's key
+	 * @param value the value to write
 	 */
 	record Put(String table, String key, byte[] value) {
 	}
 
 	/**
-	 * What came of a transaction.
+	 * Result of a transaction.
 	 */
 	sealed interface CommitResult {
 
 		/**
-		 * It is done and kept.
+		 * The transaction was applied and is durable.
 		 *
-		 * @param version the version that the written rows have now
+		 * @param version version of the written rows
 		 */
 		record Done(long version) implements CommitResult {
 		}
 
-		/** A condition did not hold; nothing was written, and never will be. */
+		/** A precondition did not hold. Nothing was written, and nothing will be. */
 		record Conflict() implements CommitResult {
 		}
 
 		/**
-		 * The store turned it away; nothing was written, and never will be.
+		 * The store rejected the transaction. Nothing was written, and nothing will be.
 		 *
-		 * @param reason why
+		 * @param reason description of the cause
 		 */
 		record Refused(String reason) implements CommitResult {
 		}
 
 		/**
-		 * Nobody knows. It may be done, or be done seconds later if its conditions still
-		 * hold then.
+		 * The outcome is unknown. The transaction may have been applied, or may be
+		 * applied seconds later if its preconditions still hold then.
 		 *
-		 * @param reason why
+		 * @param reason description of the cause
 		 */
 		record Unknown(String reason) implements CommitResult {
 		}
@@ -126,7 +127,7 @@
 	}
 
 	/**
-	 * The store did not answer, or turned a read away.
+	 * Thrown if the store did not answer or rejected a read.
 	 */
 	final class StoreFailedException extends Exception {
 
@@ -134,7 +135,7 @@
 
 		/**
 		 * Creates the exception.
-		 * @param reason why
+		 * @param reason description of the cause
 		 */
 		public StoreFailedException(String reason) {
 			super(reason);
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/RawRequest.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/RawRequest.java
@@ -6,27 +6,27 @@
 import org.brasspier.core.request.HeaderField;
 
 /**
- * A request as it is on the wire: HTTP, with no meaning read into it. Immutable and
- * thread-safe, if nobody changes the body.
+ * An uninterpreted HTTP request. Immutable and thread-safe, as long as the body is not
+ * modified.
  *
  * @param method the method
- * @param target the path and query
- * @param headers the header fields, in order
- * @param body the whole body, empty if there is none
+ * @param target path and query
+ * @param headers header fields, in their order on the wire
+ * @param body the body; empty if there is none
  */
 public record RawRequest(String method, String target, List<HeaderField> headers, byte[] body) {
 
 	/**
-	 * Copies the list.
+	 * Makes a defensive copy of the headers.
 	 */
 	public RawRequest {
 		headers = List.copyOf(headers);
 	}
 
 	/**
-	 * The first field of a name.
-	 * @param name the name, in any case
-	 * @return its value
+	 * Returns the value of the first header field of a name.
+	 * @param name the name; case is ignored
+	 * @return the value; empty if there is no such field
 	 */
 	public Optional<String> header(String name) {
 		return this.headers.stream()
--- a/daemon/src/main/java/org/brasspier/daemon/mesh/package-info.java
+++ b/daemon/src/main/java/org/brasspier/daemon/mesh/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The daemon of a mesh, and what an adapter to a platform supplies for it: how callers,
- * backend servers, operators and the store speak. An adapter translates and decides
- * nothing.
+ * The daemon of a mesh, and the interfaces that an adapter to a platform implements for
+ * it: the protocols of callers, backend servers, operators and the store. An adapter only
+ * translates; it makes no decisions.
  */
 @NullMarked
 package org.brasspier.daemon.mesh;
