--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyOwnership.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyOwnership.java
@@ -223,7 +223,7 @@
 		Stream<InstanceId> holders = this.directory.keys(this.service)
 			.stream()
 			.flatMap((map) -> map.holdings().stream())
-			.map(KeyHolding::owner);
+			.map(KeyHolding::holder);
 		Stream<InstanceId> unlisted = this.directory.serving(this.service)
 			.stream()
 			.map(Member::instance)
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyPlanning.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/KeyPlanning.java
@@ -163,7 +163,7 @@
 			this.writer.write(handedOver.get(), "handed over");
 			return true;
 		}
-		Optional<KeyMap> retargeted = KeyPlanner.retarget(map, (held) -> held.owner().equals(this.self), holders);
+		Optional<KeyMap> retargeted = KeyPlanner.retarget(map, (held) -> held.holder().equals(this.self), holders);
 		if (retargeted.isPresent()) {
 			this.writer.write(retargeted.get(), "other targets");
 			return true;
@@ -209,7 +209,7 @@
 		Map<InstanceId, Long> lost = new HashMap<>();
 		map.holdings()
 			.stream()
-			.map(KeyHolding::owner)
+			.map(KeyHolding::holder)
 			.distinct()
 			.filter((holder) -> !holder.equals(this.self))
 			.forEach((holder) -> endedAt(holder, now).ifPresent((version) -> lost.put(holder, version)));
