--- a/core/src/main/java/org/brasspier/core/mesh/BackendTracker.java
+++ b/core/src/main/java/org/brasspier/core/mesh/BackendTracker.java
@@ -10,35 +10,38 @@
 import org.brasspier.core.keys.BackendIncarnation;
 
 /**
- * Follows the lives of the one backend server beside a daemon by what it says. Messages
- * come late, from lives that are over, and from writers that aren't the server at all;
- * none of them may change what is known of the life that goes on. All times are
- * nanoseconds of one steady clock. Not thread-safe.
+ * Tracks the incarnations of the backend server on a daemon's instance by the messages
+ * that it sends. Messages may be late, come from incarnations that have ended, or come
+ * from writers other than the server. None of these may change what is known of the
+ * current incarnation. All times are nanoseconds of the same steady clock. Not
+ * thread-safe.
  */
 public final class BackendTracker {
 
 	/**
-	 * A server that gives no time of its start is taken for a new life only once the
-	 * known one has been silent for so long: three heartbeats at the usual interval.
+	 * A server that does not report its start time is accepted as a new incarnation only
+	 * after the known one has been silent for this time: three heartbeats at the usual
+	 * interval.
 	 */
-	private static final long SILENT_NANOS = Duration.ofSeconds(3).toNanos();
+	private static final long SILENCE_NANOS = Duration.ofSeconds(3).toNanos();
 
 	/**
-	 * A server whose port is closed and that has sent no heartbeat for so long is dead:
-	 * one that lives sends one each 1.5 seconds at the latest, and has its port open.
-	 * Waiting for its grant to run out instead leaves its keys unserved for 2.5 s longer.
+	 * A server whose port is closed and that has sent no heartbeat for this time is dead:
+	 * a live one sends a heartbeat at least every 1.5 seconds and keeps its port open.
+	 * Waiting for its grant to expire instead would leave its keys unserved for 2.5 s
+	 * longer.
 	 */
-	private static final long DEAD_SILENT_NANOS = Duration.ofMillis(1600).toNanos();
+	private static final long DEAD_SILENCE_NANOS = Duration.ofMillis(1600).toNanos();
 
-	/** So long its port must have been found closed, each time that it was tried. */
+	/** How long every connection attempt must have found the port closed. */
 	private static final long DEAD_CLOSED_NANOS = Duration.ofMillis(500).toNanos();
 
 	private final Set<BackendIncarnation> leaving = new HashSet<>();
 
-	// Of servers that left before this process heard of their life.
+	// Ids of servers that left before this process knew their incarnation.
 	private final Set<String> leavingIds = new HashSet<>();
 
-	private final Map<BackendIncarnation, Long> lastNumbers = new HashMap<>();
+	private final Map<BackendIncarnation, Long> lastSequences = new HashMap<>();
 
 	private Optional<BackendIncarnation> incarnation = Optional.empty();
 
@@ -48,60 +51,63 @@
 
 	private long sequence;
 
-	private long heardNanos;
+	private long lastHeartbeatNanos;
 
 	private boolean closed;
 
 	private long closedSinceNanos;
 
-	private long closedSeenNanos;
+	private long closedCheckedNanos;
 
 	/**
-	 * Takes a heartbeat.
-	 * @param from the life that sent it
-	 * @param number its number
-	 * @param draining whether the server says that it leaves
-	 * @param now the time
-	 * @return false if it tells nothing new: it is late, or of a life that is over
+	 * Processes a heartbeat.
+	 * @param from the incarnation that sent it
+	 * @param number its sequence number
+	 * @param draining whether the server reports that it is leaving
+	 * @param nowNanos the current time
+	 * @return false if it is ignored, because it is late or of an incarnation that has
+	 * ended
 	 */
-	public boolean onHeartbeat(BackendIncarnation from, long number, boolean draining, long now) {
+	public boolean onHeartbeat(BackendIncarnation from, long number, boolean draining, long nowNanos) {
 		if (!this.incarnation.equals(Optional.of(from))) {
-			if (!begins(from, number, now)) {
+			if (!startsIncarnation(from, number, nowNanos)) {
 				if (draining) {
 					this.leaving.add(from);
 				}
 				return false;
 			}
-			begin(from, leaves(from, number) || draining);
+			startIncarnation(from, isLeaving(from, number) || draining);
 		}
 		else if (number <= this.sequence || this.phase == BackendPhase.DEPARTED) {
 			return false;
 		}
 		this.sequence = number;
-		this.lastNumbers.put(from, number);
-		this.heardNanos = now;
+		this.lastSequences.put(from, number);
+		this.lastHeartbeatNanos = nowNanos;
 		this.closed = false;
-		// Leaving is never taken back: who was told of it may not be sent work again.
+		// Draining is never reverted: daemons that were told of it must not send work
+		// again.
 		if (draining && this.phase == BackendPhase.READY) {
 			this.phase = BackendPhase.DRAINING;
 		}
 		return true;
 	}
 
-	private void begin(BackendIncarnation from, boolean leaves) {
+	private void startIncarnation(BackendIncarnation from, boolean draining) {
 		this.incarnation = Optional.of(from);
-		this.phase = leaves ? BackendPhase.DRAINING : BackendPhase.READY;
-		this.seenReady = !leaves;
+		this.phase = draining ? BackendPhase.DRAINING : BackendPhase.READY;
+		this.seenReady = !draining;
 	}
 
-	// A life's first heartbeat shows that it began after whatever left under its id.
-	private boolean leaves(BackendIncarnation from, long number) {
+	// The first heartbeat of an incarnation shows that it started after any departure
+	// under the same id.
+	private boolean isLeaving(BackendIncarnation from, long number) {
 		boolean first = from.startedMillis() > 0 && number == 1;
 		return this.leaving.contains(from) || (this.leavingIds.contains(from.id()) && !first);
 	}
 
-	private boolean begins(BackendIncarnation from, long number, long now) {
-		if (number <= this.lastNumbers.getOrDefault(from, -1L)) {
+	private boolean startsIncarnation(BackendIncarnation from, long number, long nowNanos) {
+		if (number <= this.lastSequences.getOrDefault(from, -1L)) {
 			return false;
 		}
 		if (this.incarnation.isEmpty()) {
@@ -111,14 +117,15 @@
 		if (from.startedMillis() > 0 && known.startedMillis() > 0) {
 			return from.startedMillis() > known.startedMillis();
 		}
-		return !from.id().equals(known.id()) && now - this.heardNanos >= SILENT_NANOS;
+		return !from.id().equals(known.id()) && nowNanos - this.lastHeartbeatNanos >= SILENCE_NANOS;
 	}
 
 	/**
-	 * Takes that a server leaves without having said so before. One that isn't known yet
-	 * is remembered: a heartbeat that it sent earlier may still come.
-	 * @param id its id
-	 * @return false if it isn't the known one
+	 * Processes the departure of a server that may not have reported draining before. The
+	 * id of an unknown server is remembered, since an earlier heartbeat of it may still
+	 * arrive.
+	 * @param id the server's id
+	 * @return false if it is not the current server
 	 */
 	public boolean onDeparture(String id) {
 		if (this.incarnation.filter((known) -> known.id().equals(id)).isEmpty()) {
@@ -131,42 +138,42 @@
 	}
 
 	/**
-	 * Takes that an earlier process has acknowledged a server's leaving.
-	 * @param left the server's life
+	 * Restores that an earlier process of this daemon acknowledged a server's departure.
+	 * @param left the server's incarnation
 	 */
 	public void restoreDeparture(BackendIncarnation left) {
 		this.leaving.add(left);
 		if (this.phase == BackendPhase.READY && this.incarnation.equals(Optional.of(left))) {
-			begin(left, true);
+			startIncarnation(left, true);
 		}
 	}
 
 	/**
-	 * Whether this process has known the present life before it began to leave.
-	 * @return false if it may have been leaving for long
+	 * Returns whether this process has seen the current incarnation in the state ready.
+	 * @return false if it may have been draining for a long time
 	 */
 	public boolean seenReady() {
 		return this.seenReady;
 	}
 
 	/**
-	 * The life that was last heard of.
-	 * @return empty if none ever was
+	 * Returns the current incarnation, the one that was last heard from.
+	 * @return empty if no server was ever heard from
 	 */
 	public Optional<BackendIncarnation> incarnation() {
 		return this.incarnation;
 	}
 
 	/**
-	 * The number of the newest heartbeat of that life.
-	 * @return the number; 0 if none was taken
+	 * Returns the sequence number of the latest accepted heartbeat of that incarnation.
+	 * @return the number; 0 if none was accepted
 	 */
 	public long sequence() {
 		return this.sequence;
 	}
 
 	/**
-	 * What it is at.
+	 * Returns the phase of the current incarnation.
 	 * @return the phase
 	 */
 	public BackendPhase phase() {
@@ -174,49 +181,49 @@
 	}
 
 	/**
-	 * Takes that a connection to the server was tried.
-	 * @param open whether anything listens there
-	 * @param now the time
+	 * Records the result of a connection attempt to the server.
+	 * @param open whether the port accepted the connection
+	 * @param nowNanos the current time
 	 */
-	public void onConnectionAttempt(boolean open, long now) {
+	public void onConnectionAttempt(boolean open, long nowNanos) {
 		if (!open && !this.closed) {
-			this.closedSinceNanos = now;
+			this.closedSinceNanos = nowNanos;
 		}
 		this.closed = !open;
-		this.closedSeenNanos = now;
+		this.closedCheckedNanos = nowNanos;
 	}
 
 	/**
-	 * Whether the server is certainly dead, so that it holds nothing any more.
-	 * @param now the time
-	 * @return true if its port stays closed and it is silent
+	 * Returns whether the server is certainly dead, so that it no longer holds any keys.
+	 * @param nowNanos the current time
+	 * @return true if its port stays closed and it sends no heartbeats
 	 */
-	public boolean isDead(long now) {
-		return this.closed && this.closedSeenNanos - this.closedSinceNanos >= DEAD_CLOSED_NANOS
-				&& this.closedSeenNanos - this.heardNanos > 0 && silentNanos(now) >= DEAD_SILENT_NANOS;
+	public boolean isDead(long nowNanos) {
+		return this.closed && this.closedCheckedNanos - this.closedSinceNanos >= DEAD_CLOSED_NANOS
+				&& this.closedCheckedNanos - this.lastHeartbeatNanos > 0 && silentNanos(nowNanos) >= DEAD_SILENCE_NANOS;
 	}
 
 	/**
-	 * How long ago it was last heard.
-	 * @param now the time
+	 * Returns the time since the latest accepted heartbeat.
+	 * @param nowNanos the current time
 	 * @return nanoseconds
 	 */
-	public long silentNanos(long now) {
-		return now - this.heardNanos;
+	public long silentNanos(long nowNanos) {
+		return nowNanos - this.lastHeartbeatNanos;
 	}
 
 	/**
-	 * What a backend server is at.
+	 * The phase of a backend server.
 	 */
 	public enum BackendPhase {
 
-		/** Nothing was heard yet. */
+		/** No heartbeat was accepted yet. */
 		ABSENT,
-		/** It takes work. */
+		/** It accepts requests. */
 		READY,
-		/** It serves what it has and takes no more. */
+		/** It finishes its requests and accepts no new ones. */
 		DRAINING,
-		/** It has said goodbye. */
+		/** It has announced its departure. */
 		DEPARTED
 
 	}
--- a/core/src/main/java/org/brasspier/core/mesh/FeedTiming.java
+++ b/core/src/main/java/org/brasspier/core/mesh/FeedTiming.java
@@ -3,98 +3,101 @@
 import java.time.Duration;
 
 /**
- * How long one daemon's feed of a table lets the store hold an answer back. A call that
- * hangs is noticed only after that time, so a feed that had reason to doubt the store
- * asks for answers at once until it gets one. The feeds of all daemons end one after the
- * other and not together: whatever silences them is noticed by some daemon soon, which
- * tells the others. Not thread-safe; one for each feed.
+ * Computes how long the store may hold back its answer to one daemon's feed of a table,
+ * and when a failed call is retried. A call that hangs is noticed only after that wait,
+ * so a feed that has reason to suspect the store asks for immediate answers until it gets
+ * one. The calls of all daemons' feeds end one after the other and not together, so some
+ * daemon soon notices that the store or the connections went silent, and tells the
+ * others. Not thread-safe; one for each feed.
  */
 public final class FeedTiming {
 
-	/** A longer wait saves few calls and finds a silent connection later. */
-	private static final Duration LONGEST_WAIT = Duration.ofSeconds(6);
+	/** A longer wait saves few calls and delays the detection of a silent connection. */
+	private static final Duration MAX_WAIT = Duration.ofSeconds(6);
 
-	private static final Duration SHORTEST_WAIT = Duration.ofSeconds(1);
+	private static final Duration MIN_WAIT = Duration.ofSeconds(1);
 
-	/** Time between the ends of two daemons' calls while none is disturbed. */
+	/** The time between the ends of two daemons' calls in normal operation. */
 	private static final Duration SPACING = Duration.ofMillis(500);
 
-	private static final Duration FIRST_PAUSE = Duration.ofMillis(100);
+	private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(100);
 
-	private static final Duration LONGEST_PAUSE = Duration.ofMillis(800);
+	private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(800);
 
-	private boolean doubted;
+	private boolean suspect;
 
-	// The feeds of all daemons end together after a start, a change or an outage.
-	private boolean inStep = true;
+	// The calls of all daemons end together after a start, a change or an outage.
+	private boolean synchronizedEnds = true;
 
-	private Duration pause = FIRST_PAUSE;
+	private Duration retryDelay = MIN_RETRY_DELAY;
 
 	/**
-	 * How long the store may hold back the next answer.
-	 * @param position this instance's place among all that are known, from 0
-	 * @param instances how many are known, at least 1
-	 * @return the time; zero if the store is to answer at once
-	 * @throws IllegalArgumentException if the position is not below the number
+	 * Returns how long the store may hold back the next answer.
+	 * @param position this instance's position among all known instances, from 0
+	 * @param instances the number of known instances, at least 1
+	 * @return the wait; zero if the store is to answer immediately
+	 * @throws IllegalArgumentException if the position is not below the number of
+	 * instances
 	 */
 	public Duration nextWait(int position, int instances) {
 		if (position < 0 || position >= instances) {
 			throw new IllegalArgumentException("position %d must be below %d".formatted(position, instances));
 		}
-		if (this.doubted) {
+		if (this.suspect) {
 			return Duration.ZERO;
 		}
 		Duration regular = clamp(SPACING.multipliedBy(instances));
-		return this.inStep ? regular.multipliedBy(position + 1L).dividedBy(instances) : regular;
+		return this.synchronizedEnds ? regular.multipliedBy(position + 1L).dividedBy(instances) : regular;
 	}
 
 	private static Duration clamp(Duration wait) {
-		if (wait.compareTo(SHORTEST_WAIT) < 0) {
-			return SHORTEST_WAIT;
+		if (wait.compareTo(MIN_WAIT) < 0) {
+			return MIN_WAIT;
 		}
-		return (wait.compareTo(LONGEST_WAIT) > 0) ? LONGEST_WAIT : wait;
+		return (wait.compareTo(MAX_WAIT) > 0) ? MAX_WAIT : wait;
 	}
 
 	/**
-	 * Takes that the store answered.
-	 * @param changed whether it told a change
+	 * Records that the store answered.
+	 * @param changed whether the answer contained a change
 	 */
 	public void onAnswer(boolean changed) {
-		this.inStep = changed || this.doubted;
-		this.doubted = false;
-		this.pause = FIRST_PAUSE;
+		this.synchronizedEnds = changed || this.suspect;
+		this.suspect = false;
+		this.retryDelay = MIN_RETRY_DELAY;
 	}
 
 	/**
-	 * Takes that the store did not answer, or turned the call away.
+	 * Records that the store did not answer, or rejected the call.
 	 * @param took how long the call took
-	 * @return how long to wait before the next call; calls that hang are not slowed down
-	 * further
+	 * @return how long to wait before the next call; calls that hung until their time-out
+	 * are not delayed further
 	 */
 	public Duration onFailure(Duration took) {
-		this.doubted = true;
-		Duration left = this.pause.minus(took);
-		Duration doubled = this.pause.multipliedBy(2);
-		this.pause = (doubled.compareTo(LONGEST_PAUSE) > 0) ? LONGEST_PAUSE : doubled;
-		return (left.compareTo(FIRST_PAUSE) < 0) ? FIRST_PAUSE : left;
+		this.suspect = true;
+		Duration remaining = this.retryDelay.minus(took);
+		Duration doubled = this.retryDelay.multipliedBy(2);
+		this.retryDelay = (doubled.compareTo(MAX_RETRY_DELAY) > 0) ? MAX_RETRY_DELAY : doubled;
+		return (remaining.compareTo(MIN_RETRY_DELAY) < 0) ? MIN_RETRY_DELAY : remaining;
 	}
 
 	/**
-	 * Whether the store may be silent or turn this instance away.
-	 * @return true until it answers
+	 * Returns whether the store may be silent or may be rejecting this instance.
+	 * @return true until the store answers
 	 */
 	public boolean isSuspect() {
-		return this.doubted;
+		return this.suspect;
 	}
 
 	/**
-	 * Takes that the store may be silent, for a reason other than a call of this feed.
-	 * @return false if that is known already, so that a call without a wait is under way
+	 * Marks the store as suspect for a reason other than a failed call of this feed.
+	 * @return false if it was suspect already, so that a call without a wait is in
+	 * progress
 	 */
 	public boolean markSuspect() {
-		boolean news = !this.doubted;
-		this.doubted = true;
-		return news;
+		boolean newlySuspect = !this.suspect;
+		this.suspect = true;
+		return newlySuspect;
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/mesh/InstanceBackoff.java
+++ b/core/src/main/java/org/brasspier/core/mesh/InstanceBackoff.java
@@ -7,55 +7,60 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * The instances that lately had no backend server for a request: lost for good, their
- * address in use by another service, or their backend server away. Nobody takes such an
- * instance off the list while the store is away, and one that is lost for good never does
- * it itself. Without this, requests for a service of three servers met the two that were
- * gone and were refused, though the third had room. Not thread-safe.
+ * Backs off from instances that recently had no backend server for a request: the
+ * instance is lost for good, its address is in use by another service, or its backend
+ * server is down. Such an instance stays in the directory while the store is unavailable,
+ * and one that is lost for good never removes its own entry. Without this backoff,
+ * requests for a service with three servers were sent to the two that were gone and then
+ * refused, although the third had capacity. Not thread-safe.
  */
 public final class InstanceBackoff {
 
 	/**
-	 * Several requests' way there and back: a server that restarts is missed for long.
+	 * Several round trips; a server that restarts is down for longer than that.
 	 */
-	private static final long FIRST_NANOS = Duration.ofMillis(200).toNanos();
+	private static final long MIN_BACKOFF_NANOS = Duration.ofMillis(200).toNanos();
 
-	/** So long a backend server that is back may wait for its first request from here. */
-	private static final long LONGEST_NANOS = Duration.ofSeconds(2).toNanos();
+	/**
+	 * Bounds how long a recovered backend server waits for its first request from this
+	 * daemon.
+	 */
+	private static final long MAX_BACKOFF_NANOS = Duration.ofSeconds(2).toNanos();
 
-	private final Map<InstanceId, Absence> absences = new HashMap<>();
+	private final Map<InstanceId, Backoff> backoffs = new HashMap<>();
 
 	/**
-	 * Takes that an instance had no backend server for a request.
+	 * Records that an instance had no backend server for a request. The backoff doubles
+	 * with each consecutive failure.
 	 * @param instance the instance
-	 * @param now the time, in nanoseconds
+	 * @param nowNanos the current time, in nanoseconds of the steady clock
 	 */
-	public void recordFailure(InstanceId instance, long now) {
-		Absence before = this.absences.get(instance);
-		long pause = (before != null) ? Math.min(LONGEST_NANOS, before.pauseNanos * 2) : FIRST_NANOS;
-		this.absences.put(instance, new Absence(pause, now + pause));
+	public void recordFailure(InstanceId instance, long nowNanos) {
+		Backoff before = this.backoffs.get(instance);
+		long backoffNanos = (before != null) ? Math.min(MAX_BACKOFF_NANOS, before.backoffNanos * 2) : MIN_BACKOFF_NANOS;
+		this.backoffs.put(instance, new Backoff(backoffNanos, nowNanos + backoffNanos));
 	}
 
 	/**
-	 * Takes that an instance's backend server was there.
+	 * Records that an instance's backend server was there, which ends the backoff.
 	 * @param instance the instance
 	 */
 	public void recordSuccess(InstanceId instance) {
-		this.absences.remove(instance);
+		this.backoffs.remove(instance);
 	}
 
 	/**
-	 * Whether requests are better sent elsewhere just now.
+	 * Returns whether requests should go to other instances for now.
 	 * @param instance the instance
-	 * @param now the time, in nanoseconds
-	 * @return false once it is time to try it again
+	 * @param nowNanos the current time, in nanoseconds of the steady clock
+	 * @return false if there is no backoff or it has expired
 	 */
-	public boolean shouldAvoid(InstanceId instance, long now) {
-		Absence absence = this.absences.get(instance);
-		return absence != null && now - absence.untilNanos < 0;
+	public boolean shouldAvoid(InstanceId instance, long nowNanos) {
+		Backoff backoff = this.backoffs.get(instance);
+		return backoff != null && nowNanos - backoff.untilNanos < 0;
 	}
 
-	private record Absence(long pauseNanos, long untilNanos) {
+	private record Backoff(long backoffNanos, long untilNanos) {
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/mesh/KnownRows.java
+++ b/core/src/main/java/org/brasspier/core/mesh/KnownRows.java
@@ -3,26 +3,26 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * How much a daemon knows of what the platform's store keeps, as the newest versions of
- * the rows that it has. All rows have versions from one counter. Immutable and
- * thread-safe.
+ * The newest versions that a daemon has of the rows in the platform's store. All rows
+ * take their versions from one counter. Immutable and thread-safe.
  *
  * @param config the version of the configuration's row; 0 if none is known
- * @param mesh the newest version among instances and maps of keys; 0 if none is known
+ * @param mesh the newest version among the rows of instances and key maps; 0 if none is
+ * known
  */
 public record KnownRows(long config, long mesh) {
 
 	/**
-	 * Whether this daemon knows something that another one doesn't.
-	 * @param other what that one knows
-	 * @return true if one of the versions is higher
+	 * Returns whether this daemon has a row that another daemon lacks.
+	 * @param other the versions that the other daemon has
+	 * @return true if one of this daemon's versions is higher
 	 */
 	public boolean aheadOf(KnownRows other) {
 		return this.config > other.config || this.mesh > other.mesh;
 	}
 
-	// Written out: generated ones go through method handles, which take milliseconds to
-	// set up in a process that has just started.
+	// Written by hand: the generated methods use method handles, which take milliseconds
+	// to set up in a process that has just started.
 	@Override
 	public boolean equals(@Nullable Object other) {
 		return other instanceof KnownRows that && this.config == that.config && this.mesh == that.mesh;
--- a/core/src/main/java/org/brasspier/core/mesh/OverdueRequestDetector.java
+++ b/core/src/main/java/org/brasspier/core/mesh/OverdueRequestDetector.java
@@ -4,47 +4,48 @@
 import java.util.Map;
 
 /**
- * Tells requests that can't be answered within their target any more, since their callers
- * were refused before and have come back. A request doesn't say when its caller first
- * asked, but how long it still waits, and callers of one route wait about equally long.
- * The load is an overload: who is served late in place of one that could be answered in
- * time makes both late. Not thread-safe.
+ * Detects requests that can no longer be answered within their target latency because
+ * their callers were refused before and have retried. A request does not state when its
+ * caller first sent it, only how long the caller still waits; callers of one route have
+ * about equal time-outs. It matters under overload: serving a late request in place of
+ * one that could be answered in time makes both late. Not thread-safe.
  */
 public final class OverdueRequestDetector {
 
 	/**
-	 * By how many targets a request must have less time left than others of its route:
-	 * one that has passed, and one for callers that wait less long by themselves.
+	 * By how many target latencies a request must have less time left than others of its
+	 * route: one for the target that has passed, and one for callers whose time-outs are
+	 * shorter.
 	 */
-	private static final int LATE_TARGETS = 2;
+	private static final int OVERDUE_TARGETS = 2;
 
 	/**
-	 * How much of the longest time stays with each request, so that it follows callers.
+	 * The decay of the longest time with each request, so that it adapts to the callers.
 	 */
-	private static final double FADE = 0.9995;
+	private static final double DECAY = 0.9995;
 
-	private static final int MOST_ROUTES = 512;
+	private static final int MAX_ROUTES = 512;
 
 	private final Map<String, Double> longestMillis = new LinkedHashMap<>(16, 0.75f, true) {
 
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
-			return size() > MOST_ROUTES;
+			return size() > MAX_ROUTES;
 		}
 
 	};
 
 	/**
-	 * Takes a request.
+	 * Records a request and decides whether it is overdue.
 	 * @param route its route
 	 * @param remainingMillis how long its caller still waits, in milliseconds
-	 * @return true if it can't be answered within its target any more
+	 * @return true if it can no longer be answered within its target latency
 	 */
 	public boolean isOverdue(RouteRule route, int remainingMillis) {
-		double known = this.longestMillis.getOrDefault(route.name(), 0.0) * FADE;
+		double known = this.longestMillis.getOrDefault(route.name(), 0.0) * DECAY;
 		double longest = Math.max(known, remainingMillis);
 		this.longestMillis.put(route.name(), longest);
-		return longest - remainingMillis > LATE_TARGETS * route.targetLatency().toMillis();
+		return longest - remainingMillis > OVERDUE_TARGETS * route.targetLatency().toMillis();
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/mesh/ReaderChoice.java
+++ b/core/src/main/java/org/brasspier/core/mesh/ReaderChoice.java
@@ -17,28 +17,29 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Which daemons read the store for all others, as one of them sees it. There is no vote:
- * each takes the first of every failure domain in an order that all agree on, widest
- * network link first, leaving out whom it can't reach. Two that disagree for a moment
- * cost a reader more. Immutable and thread-safe.
+ * Determines which daemons read the store on behalf of all others, as seen by one daemon.
+ * There is no election: each daemon takes the first reachable daemon of every failure
+ * domain, in an order that is the same for all, widest network link first. If two daemons
+ * disagree for a moment, there is one reader more. Immutable and thread-safe.
  *
- * @param readers the readers, at most one of each failure domain unless there is but one
- * @param followed whom this daemon follows, never itself: a reader, or two if it is one
- * @param position this daemon's place among the readers; negative if it is none
+ * @param readers the readers, at most one of each failure domain unless there is only one
+ * @param followed the readers that this daemon follows, never itself: one, or two if it
+ * is a reader
+ * @param position this daemon's index among the readers; negative if it is not a reader
  */
 public record ReaderChoice(List<InstanceId> readers, List<InstanceId> followed, int position) {
 
-	/** Fewer would leave nobody to notice that the only one is no longer answered. */
-	private static final int FEWEST_READERS = 2;
+	/** With fewer, nobody would notice that the only reader no longer gets answers. */
+	private static final int MIN_READERS = 2;
 
 	/**
-	 * A reader follows two others, so that news reaches it unless both are lost with its
-	 * own way to the store.
+	 * A reader follows two others, so that updates reach it unless both are lost together
+	 * with its own connection to the store.
 	 */
 	private static final int FOLLOWED_BY_READERS = 2;
 
 	// A reader sends each row to all daemons of its failure domain. On a narrow link that
-	// holds up whatever else comes from it for so long that it is taken for lost.
+	// delays all other messages of the daemon for so long that it is considered lost.
 	private static final Comparator<Candidate> ORDER = Comparator.comparingInt(Candidate::linkMegabits)
 		.reversed()
 		.thenComparingLong((Candidate candidate) -> Hashing.komihash5_0().hashCharsToLong(candidate.instance().value()))
@@ -53,9 +54,9 @@
 	}
 
 	/**
-	 * Chooses.
+	 * Determines the readers and the daemons to follow.
 	 * @param self this daemon
-	 * @param others the daemons that can be reached and pass rows on
+	 * @param others the daemons that can be reached and that forward rows
 	 * @return the choice
 	 */
 	public static ReaderChoice of(Candidate self, Collection<Candidate> others) {
@@ -69,13 +70,14 @@
 		List<Candidate> readers = new ArrayList<>(first.values());
 		ordered.stream()
 			.filter((candidate) -> !readers.contains(candidate))
-			.limit(Math.max(0, FEWEST_READERS - readers.size()))
+			.limit(Math.max(0, MIN_READERS - readers.size()))
 			.forEach(readers::add);
 		return new ReaderChoice(readers.stream().map(Candidate::instance).toList(), followed(self, readers),
 				readers.indexOf(self));
 	}
 
-	// From the own failure domain on: bytes between failure domains are paid for.
+	// Starts with the own failure domain, because traffic between failure domains is
+	// billed.
 	private static List<InstanceId> followed(Candidate self, List<Candidate> readers) {
 		int own = IntStream.range(0, readers.size())
 			.filter((i) -> readers.get(i).domain().equals(self.domain()))
@@ -90,25 +92,25 @@
 	}
 
 	/**
-	 * Whether this daemon reads the store for others.
-	 * @return true if so
+	 * Returns whether this daemon reads the store on behalf of others.
+	 * @return true if it is a reader
 	 */
 	public boolean isReader() {
 		return this.position >= 0;
 	}
 
 	/**
-	 * A daemon that may read for others.
+	 * A daemon that may become a reader.
 	 *
 	 * @param instance its instance
 	 * @param domain its failure domain
-	 * @param linkMegabits what its network link carries, in megabits a second; 0 if that
-	 * is not known
+	 * @param linkMegabits the bandwidth of its network link, in megabits per second; 0 if
+	 * unknown
 	 */
 	public record Candidate(InstanceId instance, FailureDomain domain, int linkMegabits) {
 
 		/**
-		 * Creates a candidate whose network link is not known.
+		 * Creates a candidate whose network link is unknown.
 		 * @param instance its instance
 		 * @param domain its failure domain
 		 */
@@ -116,7 +118,7 @@
 			this(instance, domain, 0);
 		}
 
-		// Written out: generated ones go through method handles, which take
+		// Written by hand: the generated methods use method handles, which take
 		// milliseconds to set up in a process that has just started.
 		@Override
 		public boolean equals(@Nullable Object other) {
--- a/core/src/main/java/org/brasspier/core/mesh/RequestRetryPolicy.java
+++ b/core/src/main/java/org/brasspier/core/mesh/RequestRetryPolicy.java
@@ -3,46 +3,46 @@
 import org.brasspier.core.ErrorKind;
 
 /**
- * Whether one request is sent once more, and what its caller is told in the end. The load
- * is that of a failing or overloaded backend server: each repeat takes a slot from a
- * request that comes for the first time, so repeats that reach a backend server are paid
- * from a budget. A daemon that turns a request away before it reaches its backend server
- * costs no slot, so that is free but bounded. Not thread-safe; one for each request.
+ * Decides whether a request is sent again, and whether it may have run. It is made for a
+ * failing or overloaded backend server: each retry takes a slot from a new request, so
+ * retries that reach a backend server are charged to a budget. A daemon that rejects a
+ * request before it reaches its backend server uses no slot, so trying another daemon is
+ * free but bounded. Not thread-safe; one for each request.
  */
 public final class RequestRetryPolicy {
 
 	/**
-	 * Daemons that may turn one request away before it is given up. When two are full the
-	 * third mostly is too, and each asking costs both daemons processor time that they
-	 * lack just then.
+	 * How many daemons may reject a request before it is given up. If two are full, the
+	 * third usually is as well, and each attempt costs both daemons processor time that
+	 * they are short of at that moment.
 	 */
-	private static final int MOST_TURNS = 2;
+	private static final int MAX_REJECTIONS = 2;
 
 	/**
-	 * Daemons that may turn one request away because no backend server is there. Unlike a
-	 * full one that says nothing of the others, and it costs no more than a hop.
+	 * How many daemons may reject a request because they have no backend server. Unlike a
+	 * full daemon, that says nothing about the others, and it costs only one hop.
 	 */
-	private static final int MOST_ABSENT = 4;
+	private static final int MAX_WITHOUT_BACKEND = 4;
 
-	/** Statuses from here on say that the backend server failed. */
+	/** The lowest HTTP status that means that the backend server failed. */
 	private static final int SERVER_ERROR = 500;
 
 	private final RouteRule route;
 
 	private final ServiceRetryBudget budget;
 
-	private int reached;
+	private int reachedCount;
 
-	private int turnedAway;
+	private int rejections;
 
-	private int absent;
+	private int withoutBackend;
 
 	private boolean mayHaveRun;
 
 	/**
-	 * Creates the rules of a request that was not sent yet.
+	 * Creates the policy of a request that was not sent yet.
 	 * @param route its route
-	 * @param budget what repeats are paid from
+	 * @param budget the budget that retries are charged to
 	 */
 	public RequestRetryPolicy(RouteRule route, ServiceRetryBudget budget) {
 		this.route = route;
@@ -50,54 +50,55 @@
 	}
 
 	/**
-	 * Takes what came of a send.
+	 * Records the outcome of a send and decides whether the request is sent again.
 	 * @param outcome the outcome
 	 * @param enoughTime whether another send could still be answered in time
-	 * @return true if the request is to be sent once more
+	 * @return true if the request is to be sent again
 	 */
 	public boolean shouldRetry(SendOutcome outcome, boolean enoughTime) {
 		return switch (outcome) {
 			case SendOutcome.Answered answered -> {
-				this.reached++;
+				this.reachedCount++;
 				this.mayHaveRun = true;
-				yield answered.answer().status() >= SERVER_ERROR && repeat(enoughTime);
+				yield answered.answer().status() >= SERVER_ERROR && retryAfterRun(enoughTime);
 			}
 			case SendOutcome.Unknown ignored -> {
-				this.reached++;
+				this.reachedCount++;
 				this.mayHaveRun = true;
-				yield repeat(enoughTime);
+				yield retryAfterRun(enoughTime);
 			}
 			case SendOutcome.NotRun notRun ->
-				notRun.reachedBackend() ? declined(enoughTime) : turned(notRun, enoughTime);
+				notRun.reachedBackend() ? retryAfterDecline(enoughTime) : retryAfterRejection(notRun, enoughTime);
 		};
 	}
 
-	private boolean repeat(boolean enoughTime) {
-		return this.route.idempotent() && enoughTime && this.reached < this.route.maxAttempts()
+	private boolean retryAfterRun(boolean enoughTime) {
+		return this.route.idempotent() && enoughTime && this.reachedCount < this.route.maxAttempts()
 				&& this.budget.trySpendOnRerun();
 	}
 
-	private boolean declined(boolean enoughTime) {
-		this.reached++;
-		return enoughTime && this.reached < this.route.maxAttempts() && this.budget.trySpend();
+	private boolean retryAfterDecline(boolean enoughTime) {
+		this.reachedCount++;
+		return enoughTime && this.reachedCount < this.route.maxAttempts() && this.budget.trySpend();
 	}
 
-	private boolean turned(SendOutcome.NotRun outcome, boolean enoughTime) {
-		// Not a refusal: the same server would take it if it were left to wait.
+	private boolean retryAfterRejection(SendOutcome.NotRun outcome, boolean enoughTime) {
+		// Not a rejection: the same server would accept the request if it were allowed to
+		// queue.
 		if (outcome.failure().kind() == ErrorKind.NO_FREE_SLOT) {
 			return true;
 		}
 		if (outcome.failure().kind() == ErrorKind.NO_BACKEND) {
-			this.absent++;
-			return enoughTime && this.absent < MOST_ABSENT;
+			this.withoutBackend++;
+			return enoughTime && this.withoutBackend < MAX_WITHOUT_BACKEND;
 		}
-		this.turnedAway++;
-		return enoughTime && this.turnedAway < MOST_TURNS;
+		this.rejections++;
+		return enoughTime && this.rejections < MAX_REJECTIONS;
 	}
 
 	/**
-	 * Whether any send may have run, so that "not run" would be untrue.
-	 * @return true if so
+	 * Returns whether any send may have run, so that "not run" would be wrong.
+	 * @return true if one may have run
 	 */
 	public boolean mayHaveRun() {
 		return this.mayHaveRun;
--- a/core/src/main/java/org/brasspier/core/mesh/RouteRule.java
+++ b/core/src/main/java/org/brasspier/core/mesh/RouteRule.java
@@ -7,21 +7,22 @@
  * One route of the configuration. Immutable and thread-safe.
  *
  * @param name the route's name
- * @param host the host that requests name, without a port
- * @param prefix the beginning of the paths; begins and ends with a slash
+ * @param host the requested host, without a port
+ * @param prefix the path prefix; begins and ends with a slash
  * @param idempotent whether its requests may run more than once
- * @param timeout how long a request may be kept waiting
- * @param targetLatency the time within which an answer is worth most
- * @param rank its urgency, 0 is the most urgent
- * @param services where its requests go; at least one
- * @param maxAttempts to how many backend servers one request may be sent, at least 1
+ * @param timeout the maximum time until a request is answered
+ * @param targetLatency the latency that answers should not exceed
+ * @param rank its priority, 0 is the most urgent
+ * @param services the services that its requests are distributed over; at least one
+ * @param maxAttempts the maximum number of backend servers that a request may be sent to,
+ * at least 1
  */
 public record RouteRule(String name, String host, String prefix, boolean idempotent, Duration timeout,
 		Duration targetLatency, int rank, List<WeightedService> services, int maxAttempts) {
 
 	/**
-	 * Checks the rule.
-	 * @throws IllegalArgumentException if a value is out of its range
+	 * Validates the rule.
+	 * @throws IllegalArgumentException if a value is out of range
 	 */
 	public RouteRule {
 		services = List.copyOf(services);
--- a/core/src/main/java/org/brasspier/core/mesh/RoutingConfig.java
+++ b/core/src/main/java/org/brasspier/core/mesh/RoutingConfig.java
@@ -16,32 +16,38 @@
 import org.brasspier.core.admission.AdmissionSettings.ClassRules;
 
 /**
- * A configuration as operators wrote it, in full. Immutable and thread-safe.
+ * A complete configuration as operators wrote it. Immutable and thread-safe.
  */
 public final class RoutingConfig {
 
-	/** Known before any configuration is; every request is turned away under it. */
+	/**
+	 * The placeholder until a configuration is known; it has no routes, so every request
+	 * is rejected.
+	 */
 	public static final RoutingConfig NONE = new RoutingConfig(0, List.of(), List.of(), CallerLimits.DEFAULT);
 
 	/**
-	 * How much of the target latency a request may be expected to wait when it is let in.
-	 * With the run itself, which is about a third of the target in the deployments at
-	 * hand, the answer comes in time; what must wait longer is better off elsewhere.
+	 * The share of the target latency that a request may be expected to wait when it is
+	 * admitted. With the run itself, which takes about a third of the target in current
+	 * deployments, the answer arrives in time; a request that must wait longer is better
+	 * sent to another server.
 	 */
-	private static final double LET_IN_SHARE = 0.6;
+	private static final double MAX_EXPECTED_WAIT_SHARE = 0.6;
 
-	/** A run takes about a quarter of the target until one has been observed. */
-	private static final int FIRST_GUESS_DIVISOR = 4;
+	/** A run is assumed to take a quarter of the target until one has been observed. */
+	private static final int INITIAL_RUN_DIVISOR = 4;
 
 	/**
-	 * A lookup or posting is sure of this share of the slots while calls of other backend
-	 * servers go first: those calls are short, and a parent that holds a slot elsewhere
-	 * waits for each of them.
+	 * The share of the slots that is guaranteed to lookups or postings although calls
+	 * between backend servers have precedence: those calls are short, and a parent
+	 * request that holds a slot elsewhere waits for each of them.
 	 */
-	private static final double SURE_SHARE = 0.5;
+	private static final double GUARANTEED_SHARE = 0.5;
 
-	/** Configurations may have hundreds of routes; a log line has room for some. */
-	private static final int SUMMARY_ROUTES = 8;
+	/**
+	 * Configurations may have hundreds of routes; a log line lists only the first ones.
+	 */
+	private static final int MAX_SUMMARY_ROUTES = 8;
 
 	private final long version;
 
@@ -60,8 +66,8 @@
 	 * @param version its version; a higher one replaces a lower one; 0 for none
 	 * @param routes the routes
 	 * @param services the services
-	 * @param limits what callers may send
-	 * @throws IllegalArgumentException if a route leads to a service that isn't there
+	 * @param limits the limits for callers
+	 * @throws IllegalArgumentException if a route names a service that is not configured
 	 */
 	public RoutingConfig(long version, List<RouteRule> routes, List<ServiceRule> services, CallerLimits limits) {
 		this.version = version;
@@ -69,7 +75,7 @@
 		this.services = services.stream().collect(Collectors.toUnmodifiableMap(ServiceRule::name, Function.identity()));
 		this.limits = limits;
 		this.byHost = this.routes.stream().collect(Collectors.groupingBy(RouteRule::host));
-		this.byHost.replaceAll((host, rules) -> longestFirst(rules));
+		this.byHost.replaceAll((host, rules) -> longestPrefixFirst(rules));
 		this.routes.forEach(this::checkServices);
 		this.routes.stream().filter(RouteRule::idempotent).forEach(this::noteRank);
 	}
@@ -78,7 +84,7 @@
 		route.services().forEach((part) -> this.leastUrgentLookup.merge(part.service(), route.rank(), Math::max));
 	}
 
-	private static List<RouteRule> longestFirst(List<RouteRule> rules) {
+	private static List<RouteRule> longestPrefixFirst(List<RouteRule> rules) {
 		Comparator<RouteRule> byLength = Comparator.comparingInt((rule) -> rule.prefix().length());
 		return rules.stream().sorted(byLength.reversed()).toList();
 	}
@@ -91,7 +97,7 @@
 	}
 
 	/**
-	 * The version.
+	 * Returns the version.
 	 * @return 0 for none
 	 */
 	public long version() {
@@ -99,7 +105,7 @@
 	}
 
 	/**
-	 * Whether a configuration is known at all.
+	 * Returns whether a configuration is known at all.
 	 * @return false for {@link #NONE}
 	 */
 	public boolean isKnown() {
@@ -107,7 +113,7 @@
 	}
 
 	/**
-	 * What callers may send.
+	 * Returns the limits for callers.
 	 * @return the limits
 	 */
 	public CallerLimits limits() {
@@ -115,7 +121,7 @@
 	}
 
 	/**
-	 * A service's rule.
+	 * Returns a service's rule.
 	 * @param service the service
 	 * @return empty if it is not configured
 	 */
@@ -124,7 +130,8 @@
 	}
 
 	/**
-	 * The route of a request: the one of its host with the longest prefix of its path.
+	 * Finds the route of a request: the one for its host with the longest matching path
+	 * prefix.
 	 * @param host the host that the request names
 	 * @param path its path
 	 * @return empty if there is none
@@ -137,11 +144,11 @@
 	}
 
 	/**
-	 * How a service's backend servers queue the requests of a route. Lookups that are
-	 * more urgent than others of the same service are taken for calls of backend servers
-	 * to each other and go first: turning one away wastes the slot that its parent holds
-	 * elsewhere. Without it, a tenth of the bookings failed under load because the calls
-	 * they make waited behind other lookups.
+	 * Returns the class under which a service's backend servers queue the requests of a
+	 * route. Lookups that are more urgent than others of the same service are assumed to
+	 * be calls between backend servers and have precedence, because rejecting one wastes
+	 * the slot that its parent request holds elsewhere. Without this, a tenth of the
+	 * bookings failed under load because the calls they make waited behind other lookups.
 	 * @param route the route
 	 * @param service the service
 	 * @return the class
@@ -155,20 +162,21 @@
 	}
 
 	/**
-	 * The first routes in short, for logs.
+	 * Summarizes the first routes for logs.
 	 * @return name, rank and services of each
 	 */
 	public String summary() {
 		return this.routes.stream()
-			.limit(SUMMARY_ROUTES)
+			.limit(MAX_SUMMARY_ROUTES)
 			.map((route) -> route.name() + " rank " + route.rank() + " to "
 					+ route.services().stream().map((part) -> part.service().value()).toList())
 			.collect(Collectors.joining(", "));
 	}
 
 	/**
-	 * How a backend server of a service queues its requests. Waits follow the target
-	 * latencies of the routes, so that a queue never holds what would come too late.
+	 * Returns the admission settings of a service's backend servers. Waits are derived
+	 * from the target latencies of the routes, so that a queue never holds a request that
+	 * would be answered too late.
 	 * @param service the service
 	 * @return rules for each class
 	 */
@@ -189,9 +197,9 @@
 	}
 
 	private static ClassRules rules(RequestClass requestClass, Duration target) {
-		Duration letIn = Duration.ofNanos((long) (target.toNanos() * LET_IN_SHARE));
-		double sure = (requestClass == RequestClass.INTERNAL) ? 1 : SURE_SHARE;
-		return new ClassRules(letIn, target, sure, target.dividedBy(FIRST_GUESS_DIVISOR));
+		Duration maxExpectedWait = Duration.ofNanos((long) (target.toNanos() * MAX_EXPECTED_WAIT_SHARE));
+		double guaranteedShare = (requestClass == RequestClass.INTERNAL) ? 1 : GUARANTEED_SHARE;
+		return new ClassRules(maxExpectedWait, target, guaranteedShare, target.dividedBy(INITIAL_RUN_DIVISOR));
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/mesh/RowExchange.java
+++ b/core/src/main/java/org/brasspier/core/mesh/RowExchange.java
@@ -3,39 +3,42 @@
 import java.time.Duration;
 
 /**
- * When two daemons tell each other what they know of the store's rows. Each follows the
- * store by a feed of its own, and mostly both know the same within some milliseconds. But
- * a feed can go silent, the store may turn one instance away, and a daemon that starts
- * while the store is down knows nobody. Then one that knows more tells. Not thread-safe;
- * one for each connection.
+ * Decides when two daemons exchange rows of the store. Each daemon follows the store by a
+ * feed of its own, and usually both have the same rows within a few milliseconds. But a
+ * feed can go silent, the store may reject one instance, and a daemon that starts while
+ * the store is down knows no other instance. In these cases the daemon with newer rows
+ * sends them. Not thread-safe; one for each connection.
  */
 public final class RowExchange {
 
 	/**
-	 * Feeds differ by some milliseconds, and by some hundred where the store is slow.
-	 * Well below the two seconds within which a configuration must be in force.
+	 * Feeds differ by a few milliseconds, and by some hundred if the store is slow. Well
+	 * below the two seconds within which a configuration must be in force.
 	 */
-	private static final long BEHIND_NANOS = Duration.ofMillis(400).toNanos();
+	private static final long DIFFERENCE_TOLERANCE_NANOS = Duration.ofMillis(400).toNanos();
 
-	/** What was told takes effect before it is told again. */
-	private static final long AGAIN_NANOS = Duration.ofSeconds(1).toNanos();
+	/**
+	 * Leaves rows that were sent or requested time to take effect before the next
+	 * attempt.
+	 */
+	private static final long REPEAT_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
 
 	private boolean differ;
 
 	private long differSinceNanos;
 
-	private boolean spoke;
+	private boolean acted;
 
-	private long spokeNanos;
+	private long actedNanos;
 
 	/**
-	 * Takes what the other daemon says that it knows.
-	 * @param own what this one knows
-	 * @param other what the other one knows
-	 * @param now the time
+	 * Compares the row versions of this daemon with those that the other one reported.
+	 * @param own the versions that this daemon has
+	 * @param other the versions that the other daemon reported
+	 * @param nowNanos the current time, in nanoseconds of the steady clock
 	 * @return what to do
 	 */
-	public Action compare(KnownRows own, KnownRows other, long now) {
+	public Action compare(KnownRows own, KnownRows other, long nowNanos) {
 		boolean ahead = own.aheadOf(other);
 		boolean behind = other.aheadOf(own);
 		if (!ahead && !behind) {
@@ -44,27 +47,27 @@
 		}
 		if (!this.differ) {
 			this.differ = true;
-			this.differSinceNanos = now;
+			this.differSinceNanos = nowNanos;
 		}
-		boolean nothingKnown = other.config() == 0 || other.mesh() == 0;
-		boolean due = nothingKnown || now - this.differSinceNanos >= BEHIND_NANOS;
-		if (!due || (this.spoke && now - this.spokeNanos < AGAIN_NANOS)) {
+		boolean otherIsEmpty = other.config() == 0 || other.mesh() == 0;
+		boolean due = otherIsEmpty || nowNanos - this.differSinceNanos >= DIFFERENCE_TOLERANCE_NANOS;
+		if (!due || (this.acted && nowNanos - this.actedNanos < REPEAT_INTERVAL_NANOS)) {
 			return Action.NOTHING;
 		}
-		this.spoke = true;
-		this.spokeNanos = now;
+		this.acted = true;
+		this.actedNanos = nowNanos;
 		return new Action(ahead, behind);
 	}
 
 	/**
-	 * What to do.
+	 * The action to take.
 	 *
-	 * @param send whether to tell the other one what it lacks
-	 * @param request whether to ask it for what this one lacks
+	 * @param send whether to send the other daemon the rows that it lacks
+	 * @param request whether to request the rows that this daemon lacks
 	 */
 	public record Action(boolean send, boolean request) {
 
-		/** Both know the same, or will soon. */
+		/** Both have the same rows, or will have them soon. */
 		public static final Action NOTHING = new Action(false, false);
 
 	}
--- a/core/src/main/java/org/brasspier/core/mesh/RowRequestThrottle.java
+++ b/core/src/main/java/org/brasspier/core/mesh/RowRequestThrottle.java
@@ -3,38 +3,39 @@
 import java.time.Duration;
 
 /**
- * When a daemon that is behind asks another one for the rows that it lacks. The load is
- * that of a daemon with connections to many others, which all notice at the same moment
- * that it is behind: told by all of them, a large row would come as many times as there
- * are connections, and a narrow network would carry nothing else for seconds. One is
- * asked at a time. Not thread-safe; one for each daemon.
+ * Limits the requests of a daemon for rows that it lacks to one at a time. It is made for
+ * a daemon with connections to many others, which all notice at the same moment that it
+ * is behind: if all of them sent a large row, it would arrive once per connection, and a
+ * narrow network would carry nothing else for seconds. Not thread-safe; one for each
+ * daemon.
  */
 public final class RowRequestThrottle {
 
-	/** After so long without an answer another daemon is asked. */
-	private static final long ANSWERED_WITHIN_NANOS = Duration.ofSeconds(1).toNanos();
+	/** After this time without an answer, another daemon is asked. */
+	private static final long ANSWER_TIMEOUT_NANOS = Duration.ofSeconds(1).toNanos();
 
-	private boolean waits;
+	private boolean waiting;
 
-	private long askedNanos;
+	private long requestedNanos;
 
 	/**
-	 * Whether to ask another daemon now. If so, it counts as asked.
-	 * @param now the time
+	 * Returns whether to request rows from another daemon now. If so, the request counts
+	 * as sent.
+	 * @param nowNanos the current time, in nanoseconds of the steady clock
 	 * @return false while an answer is expected
 	 */
-	public boolean tryRequest(long now) {
-		if (this.waits && now - this.askedNanos < ANSWERED_WITHIN_NANOS) {
+	public boolean tryRequest(long nowNanos) {
+		if (this.waiting && nowNanos - this.requestedNanos < ANSWER_TIMEOUT_NANOS) {
 			return false;
 		}
-		this.waits = true;
-		this.askedNanos = now;
+		this.waiting = true;
+		this.requestedNanos = nowNanos;
 		return true;
 	}
 
-	/** Takes that rows came which were not known. */
+	/** Records that new rows were received. */
 	public void onRowsReceived() {
-		this.waits = false;
+		this.waiting = false;
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/mesh/SendOutcome.java
+++ b/core/src/main/java/org/brasspier/core/mesh/SendOutcome.java
@@ -4,12 +4,12 @@
 import org.brasspier.core.request.Answer;
 
 /**
- * What came of sending a request towards a backend server. Immutable and thread-safe.
+ * The outcome of sending a request towards a backend server. Immutable and thread-safe.
  */
 public sealed interface SendOutcome {
 
 	/**
-	 * A backend server ran it and answered whole.
+	 * A backend server ran it, and its answer is complete.
 	 *
 	 * @param answer its answer
 	 */
@@ -19,9 +19,9 @@
 	/**
 	 * It certainly did not run and never will.
 	 *
-	 * @param failure why, and when to try again
-	 * @param reachedBackend whether it came as far as a backend server, which counts as a
-	 * repeat if it is sent once more
+	 * @param failure why, and when to retry
+	 * @param reachedBackend whether it reached a backend server, so that sending it again
+	 * counts as a retry
 	 */
 	record NotRun(Failure failure, boolean reachedBackend) implements SendOutcome {
 	}
--- a/core/src/main/java/org/brasspier/core/mesh/ServiceRetryBudget.java
+++ b/core/src/main/java/org/brasspier/core/mesh/ServiceRetryBudget.java
@@ -3,17 +3,17 @@
 import org.brasspier.core.retry.RetryBudget;
 
 /**
- * What a daemon's repeats of requests for one service are paid from. The load is that of
- * a called service that fails many of its calls: each call is repeated, and so are the
- * requests whose calls failed, which call again. A daemon can't tell whose call it passes
- * on, so those calls can't be charged where they arrive. Repeats of what has run are
- * therefore held to half the share: a service that declined 55 in 100 calls got 0.25
- * repeats a request without that and gets 0.19 with it, where operators allow 0.2. Not
- * thread-safe.
+ * The budget for a daemon's retries of requests for one service. It is made for a called
+ * service that fails many of its calls: each call is retried, and so are the requests
+ * whose calls failed, which make their calls again. A daemon can't tell which request a
+ * call that it forwards belongs to, so those calls can't be charged where they arrive.
+ * Retries of requests that have run are therefore limited to half the share: a service
+ * that declined 55 in 100 calls got 0.25 retries per request without that limit and 0.19
+ * with it, where operators allow 0.2. Not thread-safe.
  */
 public final class ServiceRetryBudget {
 
-	/** A request that runs usually makes one call, so its repeat is two sends. */
+	/** A request that runs usually makes one call, so its retry causes two sends. */
 	private static final int SENDS_OF_A_RERUN = 2;
 
 	private final RetryBudget all;
@@ -22,8 +22,8 @@
 
 	/**
 	 * Creates a full budget.
-	 * @param share what one fresh request adds, from 0 to 1
-	 * @param mostSaved the most repeats that can be saved up, at least 1
+	 * @param share the retries that each new request adds, from 0 to 1
+	 * @param mostSaved the maximum number of retries that can be saved up, at least 1
 	 */
 	public ServiceRetryBudget(double share, int mostSaved) {
 		this.all = new RetryBudget(share, mostSaved);
@@ -31,9 +31,9 @@
 	}
 
 	/**
-	 * Takes another bound of what can be saved up, as when the number of daemons that
-	 * share it has changed.
-	 * @param most the most repeats that can be saved up, at least 1
+	 * Changes the maximum that can be saved up, for example when the number of daemons
+	 * that share it has changed.
+	 * @param most the maximum number of retries that can be saved up, at least 1
 	 */
 	public void setMostSaved(int most) {
 		this.all.setMostSaved(most);
@@ -41,7 +41,7 @@
 	}
 
 	/**
-	 * Counts a request that is sent for the first time.
+	 * Records a request that is sent for the first time.
 	 */
 	public void recordRequest() {
 		this.all.recordRequest();
@@ -49,16 +49,17 @@
 	}
 
 	/**
-	 * Pays for a repeat of what certainly did not run.
-	 * @return false if there is nothing left, and it must not be sent
+	 * Spends one retry of a request that certainly did not run.
+	 * @return false if the budget is exhausted and the request must not be retried
 	 */
 	public boolean trySpend() {
 		return this.all.trySpend();
 	}
 
 	/**
-	 * Pays for a repeat of what has or may have run, and may have made calls.
-	 * @return false if there is nothing left, and it must not be sent
+	 * Spends one retry of a request that has run or may have run, and may have made
+	 * calls.
+	 * @return false if the budget is exhausted and the request must not be retried
 	 */
 	public boolean trySpendOnRerun() {
 		return this.all.canSpend() && this.reruns.trySpend() && this.all.trySpend();
--- a/core/src/main/java/org/brasspier/core/mesh/ServiceRule.java
+++ b/core/src/main/java/org/brasspier/core/mesh/ServiceRule.java
@@ -9,16 +9,17 @@
  * One service of the configuration. Immutable and thread-safe.
  *
  * @param name the service's name
- * @param maxConnections how many connections one backend server accepts, at least 1
+ * @param maxConnections the maximum number of connections that one backend server
+ * accepts, at least 1
  * @param sharded whether its backend servers run a request only while they hold its key
- * @param grants how its backend servers receive grants of keys; empty if the settings of
- * each daemon say so
+ * @param grants how its backend servers receive grants of keys; empty if that is left to
+ * the settings of each daemon
  */
 public record ServiceRule(ServiceName name, int maxConnections, boolean sharded, Optional<GrantDelivery> grants) {
 
 	/**
-	 * Checks the rule.
-	 * @throws IllegalArgumentException if a value is out of its range
+	 * Validates the rule.
+	 * @throws IllegalArgumentException if a value is out of range
 	 */
 	public ServiceRule {
 		if (maxConnections < 1) {
--- a/core/src/main/java/org/brasspier/core/mesh/WeightedService.java
+++ b/core/src/main/java/org/brasspier/core/mesh/WeightedService.java
@@ -3,15 +3,15 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * A service that a route leads to. Immutable and thread-safe.
+ * A service that a route distributes requests to. Immutable and thread-safe.
  *
  * @param service the service
- * @param weight its part of the route's requests, relative to the other parts; at least 0
+ * @param weight its share of the route's requests, relative to the others; at least 0
  */
 public record WeightedService(ServiceName service, int weight) {
 
 	/**
-	 * Checks the weight.
+	 * Validates the weight.
 	 * @throws IllegalArgumentException if it is negative
 	 */
 	public WeightedService {
--- a/core/src/main/java/org/brasspier/core/mesh/package-info.java
+++ b/core/src/main/java/org/brasspier/core/mesh/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What operators have configured for the mesh of daemons, and the decisions that a daemon
- * takes for each request from it. No input, output, clock or thread.
+ * The configuration of the mesh of daemons, and the decisions that a daemon makes for
+ * each request based on it. No input, output, clock or thread.
  */
 @NullMarked
 package org.brasspier.core.mesh;
--- a/core/src/test/java/org/brasspier/core/mesh/FeedModel.java
+++ b/core/src/test/java/org/brasspier/core/mesh/FeedModel.java
@@ -9,19 +9,19 @@
 import java.util.SplittableRandom;
 
 /**
- * Daemons that follow one row of a store by feeds and tell each other what they know, in
- * virtual time. The store falls silent: calls that begin or end meanwhile are never
- * answered. Connections can also be silenced for good, while new ones work.
+ * Simulates daemons that follow one row of a store by feeds and tell each other what they
+ * know, in virtual time. The store can go silent: calls that begin or end meanwhile are
+ * never answered. Connections can also go silent permanently while new ones work.
  */
 final class FeedModel {
 
-	/** What a feed adds to its wait before it gives a call up. */
+	/** What a feed adds to its wait before a call times out. */
 	private static final long MARGIN_MILLIS = 1000;
 
-	/** Until what one daemon knows has reached all others. */
-	private static final long TOLD_MILLIS = 900;
+	/** The time until a change that one daemon knows has reached all others. */
+	private static final long PROPAGATION_MILLIS = 900;
 
-	private static final long GATHER_MILLIS = 200;
+	private static final long BATCH_MILLIS = 200;
 
 	private static final long ANSWER_MILLIS = 5;
 
@@ -58,9 +58,9 @@
 		this.silentUntil = until;
 	}
 
-	// Answers to calls that are under way at that moment are lost.
+	// Answers to calls in progress at that time are lost.
 	void connectionsSilentAt(long when) {
-		at(when, () -> this.feeds.forEach((feed) -> feed.cutOff = true));
+		at(when, () -> this.feeds.forEach((feed) -> feed.answerLost = true));
 	}
 
 	void changeAt(long when) {
@@ -87,13 +87,13 @@
 		return this.feeds.stream().filter((feed) -> feed.known < this.version).count();
 	}
 
-	// The first moment from a time on at which nobody is behind; empty if there is none
-	// until the end.
+	// The first time in the interval at which no daemon is behind; empty if there is
+	// none.
 	Optional<Long> firstTimeAllCurrent(long from, long end) {
-		for (long moment = from; moment <= end; moment += 10) {
-			runUntil(moment);
+		for (long time = from; time <= end; time += 10) {
+			runUntil(time);
 			if (daemonsBehind() == 0) {
-				return Optional.of(moment);
+				return Optional.of(time);
 			}
 		}
 		return Optional.empty();
@@ -114,7 +114,7 @@
 
 		private final int position;
 
-		private final FeedTiming pace = new FeedTiming();
+		private final FeedTiming timing = new FeedTiming();
 
 		private long known;
 
@@ -124,7 +124,7 @@
 
 		private boolean waiting;
 
-		private boolean cutOff;
+		private boolean answerLost;
 
 		Feed(int position) {
 			this.position = position;
@@ -136,12 +136,12 @@
 			this.call++;
 			this.askedAt = model.now;
 			this.waiting = true;
-			this.cutOff = model.silentNow();
-			long wait = this.pace.nextWait(this.position, model.feeds.size()).toMillis();
+			this.answerLost = model.silentNow();
+			long wait = this.timing.nextWait(this.position, model.feeds.size()).toMillis();
 			long number = this.call;
-			boolean news = this.known < model.version;
-			model.at(model.now + (news ? ANSWER_MILLIS : wait + ANSWER_MILLIS), () -> answer(number));
-			model.at(model.now + wait + MARGIN_MILLIS, () -> giveUp(number));
+			boolean changed = this.known < model.version;
+			model.at(model.now + (changed ? ANSWER_MILLIS : wait + ANSWER_MILLIS), () -> answer(number));
+			model.at(model.now + wait + MARGIN_MILLIS, () -> timeOut(number));
 		}
 
 		void changed() {
@@ -153,33 +153,33 @@
 
 		private void answer(long number) {
 			FeedModel model = FeedModel.this;
-			if (number != this.call || !this.waiting || this.cutOff) {
+			if (number != this.call || !this.waiting || this.answerLost) {
 				return;
 			}
 			if (model.silentNow()) {
-				this.cutOff = true;
+				this.answerLost = true;
 				return;
 			}
 			this.waiting = false;
-			boolean news = this.known < model.version;
+			boolean changed = this.known < model.version;
 			learn(model.version);
-			this.pace.onAnswer(news);
-			model.at(model.now + (news ? GATHER_MILLIS : 0), this::ask);
+			this.timing.onAnswer(changed);
+			model.at(model.now + (changed ? BATCH_MILLIS : 0), this::ask);
 		}
 
-		private void giveUp(long number) {
+		private void timeOut(long number) {
 			if (number == this.call && this.waiting) {
 				this.waiting = false;
-				Duration pause = this.pace.onFailure(Duration.ofMillis(FeedModel.this.now - this.askedAt));
-				FeedModel.this.at(FeedModel.this.now + pause.toMillis(), this::ask);
+				Duration retryDelay = this.timing.onFailure(Duration.ofMillis(FeedModel.this.now - this.askedAt));
+				FeedModel.this.at(FeedModel.this.now + retryDelay.toMillis(), this::ask);
 			}
 		}
 
-		private void learn(long told) {
-			if (told > this.known) {
-				this.known = told;
-				FeedModel.this.at(FeedModel.this.now + TOLD_MILLIS,
-						() -> FeedModel.this.feeds.forEach((other) -> other.known = Math.max(other.known, told)));
+		private void learn(long learned) {
+			if (learned > this.known) {
+				this.known = learned;
+				FeedModel.this.at(FeedModel.this.now + PROPAGATION_MILLIS,
+						() -> FeedModel.this.feeds.forEach((other) -> other.known = Math.max(other.known, learned)));
 			}
 		}
 
--- a/core/src/test/java/org/brasspier/core/mesh/FeedModelTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/FeedModelTests.java
@@ -9,27 +9,27 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * Load pattern: every daemon follows the configuration, one change answers all feeds at
- * once, then the store or its connections fall silent. Users' bounds: a change is in
- * force two seconds after its acknowledgement, or three after the end of the silence.
+ * Every daemon follows the configuration, one change answers all feeds at once, then the
+ * store or its connections go silent. Users' bounds: a change is in force two seconds
+ * after its acknowledgement, or three seconds after the end of the silence.
  */
 class FeedModelTests {
 
 	private static final long IN_FORCE_MILLIS = 2000;
 
-	private static final long STABLE_MILLIS = 3000;
+	private static final long RECOVERY_MILLIS = 3000;
 
 	private static final int SEEDS = 100;
 
-	private static void inForceInTime(FeedModel model, long calmFrom, long changedAt, String what) {
+	private static void assertInForceInTime(FeedModel model, long undisturbedFrom, long changedAt, String what) {
 		model.runUntil(changedAt);
-		long deadline = Math.max(calmFrom + STABLE_MILLIS, changedAt + IN_FORCE_MILLIS);
+		long deadline = Math.max(undisturbedFrom + RECOVERY_MILLIS, changedAt + IN_FORCE_MILLIS);
 		assertWithMessage(what).that(model.firstTimeAllCurrent(changedAt, deadline).isPresent()).isTrue();
 	}
 
 	/**
-	 * Guards against feeds that all hang into the end of an outage: no daemon knew a
-	 * change for six seconds.
+	 * Guards against feeds whose calls all hang beyond the end of an outage: no daemon
+	 * knew of a change for six seconds.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 3, 6, 9, 12, 18, 80 })
@@ -44,13 +44,14 @@
 			model.changeAt(before);
 			model.silent(from, until);
 			model.changeAt(changed);
-			inForceInTime(model, until, changed, "seed " + seed + ", " + from + " to " + until + ", then " + changed);
+			assertInForceInTime(model, until, changed,
+					"seed " + seed + ", " + from + " to " + until + ", then " + changed);
 		}
 	}
 
 	/**
-	 * Guards against connections that go silent at every daemon at once: each waited for
-	 * its own time to run out.
+	 * Guards against connections that go silent at all daemons at once: each daemon
+	 * waited for its own call to time out.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 3, 6, 9, 12, 18, 80 })
@@ -64,13 +65,13 @@
 			model.changeAt(before);
 			model.connectionsSilentAt(silenced);
 			model.changeAt(changed);
-			inForceInTime(model, silenced, changed, "seed " + seed + ", " + silenced + ", then " + changed);
+			assertInForceInTime(model, silenced, changed, "seed " + seed + ", " + silenced + ", then " + changed);
 		}
 	}
 
 	@ParameterizedTest
 	@ValueSource(ints = { 12, 80 })
-	void aCalmStretchCostsOneCallEachSixSeconds(int instances) {
+	void withoutDisturbanceEachFeedMakesOneCallEverySixSeconds(int instances) {
 		FeedModel model = new FeedModel(instances, 1);
 		model.runUntil(60_000);
 		assertThat(model.calls()).isAtMost(instances * 12L);
--- a/core/src/test/java/org/brasspier/core/mesh/InstanceBackoffTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/InstanceBackoffTests.java
@@ -9,19 +9,20 @@
 
 class InstanceBackoffTests {
 
-	private static final InstanceId LOST = new InstanceId("lost");
+	private static final InstanceId INSTANCE = new InstanceId("lost");
 
-	private final InstanceBackoff absences = new InstanceBackoff();
+	private final InstanceBackoff backoff = new InstanceBackoff();
 
-	// A machine is taken away for good and its address goes to another service. Its entry
-	// stays, and every daemon goes on sending it a share of the requests, for minutes.
+	// An instance is lost for good and its address goes to another service. Its entry
+	// stays in the directory, and every daemon keeps sending it a share of the requests
+	// for minutes.
 	@Test
-	void anInstanceThatStaysAwayIsTriedEverMoreSeldom() {
+	void triesOfAnUnavailableInstanceBackOff() {
 		int tries = 0;
 		for (int millis = 0; millis < 20_000; millis += 10) {
-			if (!this.absences.shouldAvoid(LOST, nanos(millis))) {
+			if (!this.backoff.shouldAvoid(INSTANCE, nanos(millis))) {
 				tries++;
-				this.absences.recordFailure(LOST, nanos(millis));
+				this.backoff.recordFailure(INSTANCE, nanos(millis));
 			}
 		}
 		assertThat(tries).isAtMost(14);
@@ -29,16 +30,16 @@
 	}
 
 	@Test
-	void anInstanceThatIsBackIsTriedWithinTwoSecondsAndThenAsBefore() {
+	void aRecoveredInstanceIsTriedWithinTwoSecondsAndItsBackoffIsReset() {
 		for (int i = 0; i < 10; i++) {
-			this.absences.recordFailure(LOST, nanos(0));
+			this.backoff.recordFailure(INSTANCE, nanos(0));
 		}
-		assertThat(this.absences.shouldAvoid(LOST, nanos(1_999))).isTrue();
-		assertThat(this.absences.shouldAvoid(LOST, nanos(2_000))).isFalse();
-		this.absences.recordSuccess(LOST);
-		assertThat(this.absences.shouldAvoid(LOST, nanos(0))).isFalse();
-		this.absences.recordFailure(LOST, nanos(3_000));
-		assertThat(this.absences.shouldAvoid(LOST, nanos(3_200))).isFalse();
+		assertThat(this.backoff.shouldAvoid(INSTANCE, nanos(1_999))).isTrue();
+		assertThat(this.backoff.shouldAvoid(INSTANCE, nanos(2_000))).isFalse();
+		this.backoff.recordSuccess(INSTANCE);
+		assertThat(this.backoff.shouldAvoid(INSTANCE, nanos(0))).isFalse();
+		this.backoff.recordFailure(INSTANCE, nanos(3_000));
+		assertThat(this.backoff.shouldAvoid(INSTANCE, nanos(3_200))).isFalse();
 	}
 
 	private static long nanos(int millis) {
--- a/core/src/test/java/org/brasspier/core/mesh/OverdueRequestDetectorTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/OverdueRequestDetectorTests.java
@@ -14,26 +14,26 @@
 	private static final RouteRule ROUTE = new RouteRule("hulls", "host", "/hulls/", true, Duration.ofMillis(1200),
 			Duration.ofMillis(200), 0, List.of(new WeightedService(new ServiceName("hulls"), 1)), 2);
 
-	private final OverdueRequestDetector overdue = new OverdueRequestDetector();
+	private final OverdueRequestDetector detector = new OverdueRequestDetector();
 
 	@Test
-	void aFirstRequestIsNeverOverdueHoweverPatientItsCallerIs() {
-		assertThat(this.overdue.isOverdue(ROUTE, 1200)).isFalse();
-		assertThat(this.overdue.isOverdue(ROUTE, 1020)).isFalse();
+	void requestsOfCallersWithSimilarTimeoutsAreNotOverdue() {
+		assertThat(this.detector.isOverdue(ROUTE, 1200)).isFalse();
+		assertThat(this.detector.isOverdue(ROUTE, 1020)).isFalse();
 	}
 
-	/** Guards against returning callers that are taken for fresh ones. */
+	/** Guards against retrying callers whose requests are treated as new. */
 	@Test
-	void aCallerThatHasWaitedForLongerThanItsTargetIsOverdue() {
-		this.overdue.isOverdue(ROUTE, 1200);
-		assertThat(this.overdue.isOverdue(ROUTE, 750)).isTrue();
+	void aRequestWhoseCallerHasWaitedLongerThanTheTargetIsOverdue() {
+		this.detector.isOverdue(ROUTE, 1200);
+		assertThat(this.detector.isOverdue(ROUTE, 750)).isTrue();
 	}
 
 	@Test
-	void callersThatBecomeLessPatientAreNotOverdueForGood() {
-		this.overdue.isOverdue(ROUTE, 10_000);
-		IntStream.range(0, 10_000).forEach((i) -> this.overdue.isOverdue(ROUTE, 1200));
-		assertThat(this.overdue.isOverdue(ROUTE, 1200)).isFalse();
+	void callersThatReduceTheirTimeoutsAreNotOverduePermanently() {
+		this.detector.isOverdue(ROUTE, 10_000);
+		IntStream.range(0, 10_000).forEach((i) -> this.detector.isOverdue(ROUTE, 1200));
+		assertThat(this.detector.isOverdue(ROUTE, 1200)).isFalse();
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/mesh/ReaderChoiceTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/ReaderChoiceTests.java
@@ -42,7 +42,8 @@
 	}
 
 	/**
-	 * Guards against a reader that waits in vain for the store while nobody tells it.
+	 * Guards against a reader whose own calls to the store hang while no other daemon
+	 * sends it updates.
 	 */
 	@Test
 	void eachReaderFollowsTwoOthers() {
@@ -56,21 +57,21 @@
 	}
 
 	/**
-	 * Guards against a deployment of one failure domain in which nobody tells the only
-	 * reader that the store has fallen silent.
+	 * Guards against a deployment with one failure domain in which no other daemon tells
+	 * the only reader that the store has gone silent.
 	 */
 	@Test
 	void oneFailureDomainHasTwoReaders() {
-		List<Candidate> near = TWELVE.stream()
+		List<Candidate> sameDomain = TWELVE.stream()
 			.map((each) -> new Candidate(each.instance(), new FailureDomain("only")))
 			.toList();
-		assertThat(ReaderChoice.of(near.get(0), near).readers()).hasSize(2);
+		assertThat(ReaderChoice.of(sameDomain.get(0), sameDomain).readers()).hasSize(2);
 	}
 
-	// Guards against a reader whose narrow link is held up by rows for all daemons of its
+	// Guards against a reader whose narrow link is busy with rows for all daemons of its
 	// failure domain, so that requests to it and from it fail.
 	@Test
-	void theDaemonWithTheWidestLinkOfAFailureDomainReads() {
+	void theDaemonWithTheWidestLinkOfAFailureDomainIsTheReader() {
 		List<Candidate> mixed = TWELVE.stream()
 			.map((each) -> new Candidate(each.instance(), each.domain(),
 					each.instance().value().endsWith("1") ? 200 : 10))
@@ -81,7 +82,7 @@
 	}
 
 	@Test
-	void whoKnowsNobodyReadsAlone() {
+	void aDaemonThatKnowsNoOtherIsTheOnlyReader() {
 		ReaderChoice choice = ReaderChoice.of(TWELVE.get(0), List.of());
 		assertThat(choice.isReader()).isTrue();
 		assertThat(choice.followed()).isEmpty();
--- a/core/src/test/java/org/brasspier/core/mesh/RequestRetryPolicyTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/RequestRetryPolicyTests.java
@@ -20,8 +20,7 @@
 
 	private static final SendOutcome DECLINED = new SendOutcome.NotRun(Failure.of(ErrorKind.OVERLOADED, "full"), true);
 
-	private static final SendOutcome TURNED_AWAY = new SendOutcome.NotRun(Failure.of(ErrorKind.OVERLOADED, "full"),
-			false);
+	private static final SendOutcome REJECTED = new SendOutcome.NotRun(Failure.of(ErrorKind.OVERLOADED, "full"), false);
 
 	private static final SendOutcome FAILED = new SendOutcome.Answered(new Answer(500, List.of(), new byte[0]));
 
@@ -32,129 +31,130 @@
 				List.of(new WeightedService(new ServiceName("s"), 1)), 2);
 	}
 
-	private RequestRetryPolicy rules(boolean idempotent) {
+	private RequestRetryPolicy policy(boolean idempotent) {
 		return new RequestRetryPolicy(route(idempotent), this.budget);
 	}
 
 	/**
-	 * A booking's connection breaks after it was sent. Sent again, it could be booked
-	 * twice, and a marina would be billed twice.
+	 * The connection of a booking breaks after the booking was sent. If it were sent
+	 * again, it could be booked twice, and a marina would be billed twice.
 	 */
 	@Test
-	void whatMayNotRunTwiceIsNeverSentAgainIfItMayHaveRun() {
-		assertThat(rules(false).shouldRetry(LOST, true)).isFalse();
-		assertThat(rules(false).shouldRetry(FAILED, true)).isFalse();
-		assertThat(rules(false).shouldRetry(DECLINED, true)).isTrue();
+	void aRequestThatIsNotIdempotentIsNeverRetriedIfItMayHaveRun() {
+		assertThat(policy(false).shouldRetry(LOST, true)).isFalse();
+		assertThat(policy(false).shouldRetry(FAILED, true)).isFalse();
+		assertThat(policy(false).shouldRetry(DECLINED, true)).isTrue();
 	}
 
 	@Test
-	void aLookupIsSentOnceMoreAndNotMoreOftenThanItsRouteAllows() {
-		RequestRetryPolicy rules = rules(true);
-		assertThat(rules.shouldRetry(LOST, true)).isTrue();
-		assertThat(rules.shouldRetry(LOST, true)).isFalse();
+	void aLookupIsRetriedUpToTheAttemptsOfItsRoute() {
+		RequestRetryPolicy policy = policy(true);
+		assertThat(policy.shouldRetry(LOST, true)).isTrue();
+		assertThat(policy.shouldRetry(LOST, true)).isFalse();
 	}
 
-	// Guards against daemons that start together, each with the whole slack of the
-	// deployment since it knows nobody yet.
+	// Guards against daemons that start together and each use the whole slack of the
+	// deployment because they know no other daemon yet.
 	@Test
-	void aBudgetThatMoreDaemonsShareIsCutAtOnce() {
+	void aBudgetSharedByMoreDaemonsIsReducedImmediately() {
 		ServiceRetryBudget shared = new ServiceRetryBudget(0.1, 20);
 		shared.setMostSaved(2);
 		assertThat(IntStream.range(0, 20).filter((i) -> shared.trySpend()).count()).isEqualTo(2);
 	}
 
-	// Guards against a search for a free slot that is taken for refusals and given up.
+	// Guards against a search for a free slot whose steps are counted as rejections, so
+	// that the request is given up.
 	@Test
-	void serversWithoutAFreeSlotDoNotCountAsRefusals() {
+	void serversWithoutAFreeSlotDoNotCountAsRejections() {
 		SendOutcome noFreeSlot = new SendOutcome.NotRun(Failure.of(ErrorKind.NO_FREE_SLOT, "none"), false);
-		RequestRetryPolicy rules = rules(false);
-		assertThat(rules.shouldRetry(noFreeSlot, true)).isTrue();
-		assertThat(rules.shouldRetry(noFreeSlot, true)).isTrue();
-		assertThat(rules.shouldRetry(TURNED_AWAY, true)).isTrue();
-		assertThat(rules.shouldRetry(TURNED_AWAY, true)).isFalse();
+		RequestRetryPolicy policy = policy(false);
+		assertThat(policy.shouldRetry(noFreeSlot, true)).isTrue();
+		assertThat(policy.shouldRetry(noFreeSlot, true)).isTrue();
+		assertThat(policy.shouldRetry(REJECTED, true)).isTrue();
+		assertThat(policy.shouldRetry(REJECTED, true)).isFalse();
 	}
 
 	@Test
-	void whatComesTooLateIsNotSentAgain() {
-		assertThat(rules(true).shouldRetry(LOST, false)).isFalse();
-		assertThat(rules(true).shouldRetry(TURNED_AWAY, false)).isFalse();
+	void aRequestWithTooLittleTimeIsNotRetried() {
+		assertThat(policy(true).shouldRetry(LOST, false)).isFalse();
+		assertThat(policy(true).shouldRetry(REJECTED, false)).isFalse();
 	}
 
 	@Test
-	void whatAGateTurnsAwayCostsNoBudgetButIsTriedTwiceAtMost() {
-		RequestRetryPolicy rules = rules(false);
-		assertThat(rules.shouldRetry(TURNED_AWAY, true)).isTrue();
-		assertThat(rules.shouldRetry(TURNED_AWAY, true)).isFalse();
+	void aRequestThatDaemonsRejectCostsNoBudgetAndIsTriedAtMostTwice() {
+		RequestRetryPolicy policy = policy(false);
+		assertThat(policy.shouldRetry(REJECTED, true)).isTrue();
+		assertThat(policy.shouldRetry(REJECTED, true)).isFalse();
 		assertThat(this.budget.trySpend()).isTrue();
 		assertThat(this.budget.trySpend()).isTrue();
 	}
 
 	/**
-	 * Two of a service's three servers are gone and their entries are not. A request that
-	 * met both was refused though the third server had room.
+	 * Two of a service's three servers are gone but still listed. A request that was sent
+	 * to both was refused although the third server had capacity.
 	 */
 	@Test
-	void whatFindsNoServerIsTriedAtThreeMore() {
+	void aRequestThatFindsNoServerIsTriedAtThreeMore() {
 		SendOutcome absent = new SendOutcome.NotRun(Failure.of(ErrorKind.NO_BACKEND, "gone"), false);
-		RequestRetryPolicy rules = rules(false);
-		assertThat(IntStream.range(0, 3).allMatch((i) -> rules.shouldRetry(absent, true))).isTrue();
-		assertThat(rules.shouldRetry(absent, true)).isFalse();
-		assertThat(rules.mayHaveRun()).isFalse();
+		RequestRetryPolicy policy = policy(false);
+		assertThat(IntStream.range(0, 3).allMatch((i) -> policy.shouldRetry(absent, true))).isTrue();
+		assertThat(policy.shouldRetry(absent, true)).isFalse();
+		assertThat(policy.mayHaveRun()).isFalse();
 	}
 
 	/**
-	 * A server loses every answer for minutes. Were each lookup sent again, the others
-	 * would get twice their load and fall over too.
+	 * A server loses every answer for minutes. If each lookup were retried, the other
+	 * servers would get twice their load and fail too.
 	 */
 	@Test
-	void repeatsEndWithTheBudget() {
-		long repeats = IntStream.range(0, 100).filter((i) -> rules(true).shouldRetry(LOST, true)).count();
-		assertThat(repeats).isEqualTo(2);
+	void retriesEndWhenTheBudgetIsExhausted() {
+		long retries = IntStream.range(0, 100).filter((i) -> policy(true).shouldRetry(LOST, true)).count();
+		assertThat(retries).isEqualTo(2);
 	}
 
 	/**
-	 * A service that others call declines 55 in 100 calls at random for ten seconds. Each
-	 * call is sent once more, and lookups whose calls failed twice are run once more and
-	 * call again: repeats that two budgets pay for meet at the service called. Rates are
-	 * those of a clearing hall's status lookups, of which each makes one call.
+	 * A called service declines 55 in 100 calls at random for ten seconds. Each call is
+	 * retried once, and lookups whose calls failed twice are run again and repeat their
+	 * calls, so retries from two budgets add up at the called service. The rates are
+	 * those of a clearing hall's status lookups, each of which makes one call.
 	 */
 	@Test
-	void repeatsOfLookupsAndOfTheirCallsTogetherStayWithinTheBoundOfTheServiceCalled() {
+	void retriesOfLookupsAndOfTheirCallsTogetherStayWithinTheBoundOfTheCalledService() {
 		Random chance = new Random(241386997);
 		ServiceRetryBudget lookups = new ServiceRetryBudget(0.12, 3);
 		ServiceRetryBudget calls = new ServiceRetryBudget(0.12, 3);
 		int requests = 10_000;
 		int first = 0;
-		int repeats = 0;
+		int retries = 0;
 		for (int i = 0; i < requests; i++) {
 			lookups.recordRequest();
 			RequestRetryPolicy lookup = new RequestRetryPolicy(route(true), lookups);
 			boolean rerun = false;
-			boolean again = true;
-			while (again) {
+			boolean retry = true;
+			while (retry) {
 				calls.recordRequest();
 				first += rerun ? 0 : 1;
-				repeats += rerun ? 1 : 0;
+				retries += rerun ? 1 : 0;
 				RequestRetryPolicy call = new RequestRetryPolicy(route(true), calls);
 				boolean declined = chance.nextInt(100) < 55;
 				if (declined && call.shouldRetry(DECLINED, true)) {
-					repeats++;
+					retries++;
 					declined = chance.nextInt(100) < 55;
 				}
-				again = declined && lookup.shouldRetry(FAILED, true);
+				retry = declined && lookup.shouldRetry(FAILED, true);
 				rerun = true;
 			}
 		}
-		assertThat(repeats).isAtMost(first / 5);
-		assertThat(repeats).isAtLeast(first / 10);
+		assertThat(retries).isAtMost(first / 5);
+		assertThat(retries).isAtLeast(first / 10);
 	}
 
 	@Test
-	void onceASendMayHaveRunThatIsKnownForGood() {
-		RequestRetryPolicy rules = rules(true);
-		rules.shouldRetry(LOST, true);
-		rules.shouldRetry(TURNED_AWAY, true);
-		assertThat(rules.mayHaveRun()).isTrue();
+	void mayHaveRunStaysTrue() {
+		RequestRetryPolicy policy = policy(true);
+		policy.shouldRetry(LOST, true);
+		policy.shouldRetry(REJECTED, true);
+		assertThat(policy.mayHaveRun()).isTrue();
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/mesh/RoutingConfigTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/RoutingConfigTests.java
@@ -27,7 +27,7 @@
 	}
 
 	@Test
-	void theLongestPrefixOfTheHostTakesTheRequest() {
+	void theLongestMatchingPrefixOfTheHostWins() {
 		RoutingConfig config = config(route("short", "/a/", 1), route("long", "/a/b/", 1));
 		assertThat(config.route("host", "/a/b/c").orElseThrow().name()).isEqualTo("long");
 		assertThat(config.route("host", "/a/x").orElseThrow().name()).isEqualTo("short");
@@ -36,17 +36,17 @@
 	}
 
 	@Test
-	void aRouteToAServiceThatIsNotThereIsRefused() {
+	void aRouteToAServiceThatIsNotConfiguredIsRejected() {
 		assertThrows(IllegalArgumentException.class,
 				() -> new RoutingConfig(1, List.of(route("r", "/a/", 1)), List.of(), CallerLimits.DEFAULT));
 	}
 
 	/**
 	 * Bookings call the schedule's service for the weather. Under load those calls waited
-	 * behind lookups of the schedule, and each that was refused failed its booking.
+	 * behind lookups of the schedule, and each one that was refused failed its booking.
 	 */
 	@Test
-	void lookupsThatAreMoreUrgentThanOthersOfTheirServiceGoFirst() {
+	void lookupsThatAreMoreUrgentThanOthersOfTheirServiceHavePrecedence() {
 		RoutingConfig config = config(route("call", "/a/", 1), route("lookup", "/b/", 2));
 		RouteRule call = config.route("host", "/a/").orElseThrow();
 		RouteRule lookup = config.route("host", "/b/").orElseThrow();
@@ -55,13 +55,13 @@
 	}
 
 	@Test
-	void aQueueHoldsNothingForLongerThanItsRoutesTargetAllows() {
+	void theLongestWaitInAQueueIsTheTargetLatencyOfTheRoute() {
 		assertThat(config(route("r", "/a/", 1)).admissionSettings(HULLS).of(RequestClass.LOOKUP).maxWait())
 			.isEqualTo(Duration.ofMillis(200));
 	}
 
 	@Test
-	void aPauseIsWhatIsExpectedAndElseWhatTheCallerCanWait() {
+	void retryAfterIsTheExpectedDurationOrElseWhatTheCallerCanWait() {
 		assertThat(RetryAfter.of(Duration.ofSeconds(5), Duration.ofMillis(300))).isEqualTo(Duration.ofSeconds(5));
 		assertThat(RetryAfter.of(Duration.ofMillis(50), Duration.ofMillis(300))).isEqualTo(Duration.ofMillis(50));
 		assertThat(RetryAfter.of(Duration.ZERO, Duration.ofMillis(300))).isEqualTo(Duration.ofMillis(90));
--- a/core/src/test/java/org/brasspier/core/mesh/RowExchangeTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/RowExchangeTests.java
@@ -20,18 +20,19 @@
 	}
 
 	@Test
-	void feedsThatDifferForAMomentAreLeftAlone() {
+	void aBriefDifferenceBetweenFeedsCausesNoExchange() {
 		assertThat(this.exchange.compare(NEW, OLD, 0)).isEqualTo(Action.NOTHING);
 		assertThat(this.exchange.compare(NEW, NEW, millis(20))).isEqualTo(Action.NOTHING);
 		assertThat(this.exchange.compare(NEW, OLD, millis(500))).isEqualTo(Action.NOTHING);
 	}
 
 	/**
-	 * The feed of one daemon has gone silent. It handled requests by a route that was
-	 * taken back for as long as its feed waits, while all others knew better.
+	 * The feed of one daemon has gone silent. It routed requests by a route that had been
+	 * removed until its call timed out, while all other daemons had the newer
+	 * configuration.
 	 */
 	@Test
-	void aDaemonThatStaysBehindIsTold() {
+	void aDaemonThatStaysBehindIsSentTheRows() {
 		this.exchange.compare(NEW, OLD, 0);
 		assertThat(this.exchange.compare(NEW, OLD, millis(400))).isEqualTo(new Action(true, false));
 		assertThat(this.exchange.compare(NEW, OLD, millis(900))).isEqualTo(Action.NOTHING);
@@ -39,17 +40,17 @@
 	}
 
 	@Test
-	void aDaemonThatIsBehindItselfAsks() {
+	void aDaemonThatIsBehindRequestsTheRows() {
 		this.exchange.compare(OLD, NEW, 0);
 		assertThat(this.exchange.compare(OLD, NEW, millis(400))).isEqualTo(new Action(false, true));
 	}
 
 	/**
-	 * A daemon starts while the store is down. It refuses every caller until somebody
-	 * tells it, so it is told at once.
+	 * A daemon starts while the store is down. It refuses every caller until another
+	 * daemon sends it the configuration, so it is sent immediately.
 	 */
 	@Test
-	void aDaemonThatKnowsNothingIsToldAtOnce() {
+	void aDaemonWithoutRowsIsSentThemImmediately() {
 		assertThat(this.exchange.compare(NEW, new KnownRows(0, 0), 0)).isEqualTo(new Action(true, false));
 	}
 
--- a/core/src/test/java/org/brasspier/core/mesh/RowRequestThrottleTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/RowRequestThrottleTests.java
@@ -9,37 +9,37 @@
 
 class RowRequestThrottleTests {
 
-	private final RowRequestThrottle requests = new RowRequestThrottle();
+	private final RowRequestThrottle throttle = new RowRequestThrottle();
 
 	private static long millis(long count) {
 		return Duration.ofMillis(count).toNanos();
 	}
 
 	/**
-	 * Load: a daemon with connections to 73 others, all of which say within some
-	 * milliseconds that they know more.
+	 * A daemon has connections to 73 others, all of which report newer rows within some
+	 * milliseconds.
 	 */
 	@Test
-	void ofManyWhoKnowMoreOneIsAsked() {
-		long asked = IntStream.range(0, 73).filter((peer) -> this.requests.tryRequest(millis(peer))).count();
+	void onlyOneOfManyDaemonsWithNewerRowsIsAsked() {
+		long asked = IntStream.range(0, 73).filter((peer) -> this.throttle.tryRequest(millis(peer))).count();
 		assertThat(asked).isEqualTo(1);
 	}
 
 	/**
-	 * Guards against a daemon that stays behind because the one that it asked is lost.
+	 * Guards against a daemon that stays behind because the daemon that it asked is lost.
 	 */
 	@Test
-	void anotherOneIsAskedWhereNoAnswerComes() {
-		this.requests.tryRequest(0);
-		assertThat(this.requests.tryRequest(millis(999))).isFalse();
-		assertThat(this.requests.tryRequest(millis(1000))).isTrue();
+	void anotherDaemonIsAskedIfNoAnswerArrives() {
+		this.throttle.tryRequest(0);
+		assertThat(this.throttle.tryRequest(millis(999))).isFalse();
+		assertThat(this.throttle.tryRequest(millis(1000))).isTrue();
 	}
 
 	@Test
-	void whoWasAnsweredMayAskAtOnce() {
-		this.requests.tryRequest(0);
-		this.requests.onRowsReceived();
-		assertThat(this.requests.tryRequest(millis(1))).isTrue();
+	void theNextRequestMayFollowAnAnswerImmediately() {
+		this.throttle.tryRequest(0);
+		this.throttle.onRowsReceived();
+		assertThat(this.throttle.tryRequest(millis(1))).isTrue();
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/mesh/StoreReadersModel.java
+++ b/core/src/test/java/org/brasspier/core/mesh/StoreReadersModel.java
@@ -18,25 +18,25 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * Daemons of which few follow a row of the store and pass its changes on, in virtual
- * time. Daemons can be killed or frozen, cut off from the store so that their calls hang
- * or are turned away, and all connections to the store can fall silent while new ones
- * work.
+ * Simulates daemons of which few follow a row of the store and forward its changes, in
+ * virtual time. Daemons can be killed or frozen, or cut off from the store so that their
+ * calls hang or are rejected, and all connections to the store can go silent while new
+ * ones work.
  */
 final class StoreReadersModel {
 
 	private static final long MARGIN_MILLIS = 1000;
 
-	private static final long GATHER_MILLIS = 200;
+	private static final long BATCH_MILLIS = 200;
 
 	private static final long ANSWER_MILLIS = 5;
 
-	private static final long WAY_MILLIS = 2;
+	private static final long NETWORK_DELAY_MILLIS = 2;
 
 	private static final long STEP_MILLIS = 200;
 
-	/** After so long without an answer a daemon counts as out of reach. */
-	private static final long LOST_MILLIS = 400;
+	/** After this time without an answer a daemon is considered unreachable. */
+	private static final long UNREACHABLE_MILLIS = 400;
 
 	private static final long PROBE_MILLIS = 500;
 
@@ -44,7 +44,7 @@
 
 	private static final long OVERTAKEN_MILLIS = 600;
 
-	private static final long FOLLOWS_MILLIS = FollowedReaders.POLL_INTERVAL.toMillis() * 4;
+	private static final long FOLLOWER_TIMEOUT_MILLIS = FollowedReaders.POLL_INTERVAL.toMillis() * 4;
 
 	private final List<Daemon> daemons = new ArrayList<>();
 
@@ -78,7 +78,7 @@
 	}
 
 	List<Daemon> readers() {
-		return this.daemons.stream().filter((daemon) -> !daemon.resting).toList();
+		return this.daemons.stream().filter((daemon) -> !daemon.idle).toList();
 	}
 
 	long calls() {
@@ -94,7 +94,7 @@
 		this.daemons.forEach(Daemon::changed);
 	}
 
-	// Those that run, reach the store and don't know of the latest change.
+	// Counts the daemons that run, reach the store and lack the latest change.
 	long behind() {
 		return this.daemons.stream()
 			.filter((daemon) -> !daemon.stopped && daemon.store == Store.ANSWERS && daemon.known < this.version)
@@ -127,24 +127,27 @@
 		return Duration.ofMillis(millis).toNanos();
 	}
 
-	/** What keeps news from being late; each can be switched off. */
+	/** A measure that keeps changes from being late; each one can be turned off. */
 	enum Guard {
 
 		/** A daemon without readers follows the store itself. */
 		FOLLOWS_ITSELF,
-		/** A reader that the store does not answer says so. */
-		SAYS_WHEN_NOT_CURRENT,
-		/** Readers pass news on to each other. */
+		/** A reader that the store does not answer reports that. */
+		REPORTS_WHEN_NOT_CURRENT,
+		/** Readers forward changes to each other. */
 		READERS_FOLLOW,
-		/** A reader asks anew once another one is no longer answered. */
-		DOUBTS_WITH_OTHERS
+		/**
+		 * A reader suspects the store and repeats its call once another reader is no
+		 * longer answered.
+		 */
+		SUSPECTS_WITH_OTHERS
 
 	}
 
-	/** How the store treats a daemon. */
+	/** How the store handles a daemon's calls. */
 	enum Store {
 
-		ANSWERS, TURNS_AWAY, HANGS
+		ANSWERS, REJECTS, HANGS
 
 	}
 
@@ -155,7 +158,7 @@
 
 		private final ReaderChoice.Candidate self;
 
-		private final FeedTiming pace = new FeedTiming();
+		private final FeedTiming timing = new FeedTiming();
 
 		private final FollowedReaders followed;
 
@@ -171,7 +174,7 @@
 
 		private boolean stopped;
 
-		private boolean resting;
+		private boolean idle;
 
 		private boolean waiting;
 
@@ -191,7 +194,8 @@
 			this.choice = ReaderChoice.of(this.self, List.of());
 		}
 
-		// Killed, or frozen for good: nobody can tell the difference for a while.
+		// Killed, or frozen permanently: other daemons can't tell the difference for a
+		// while.
 		void stop() {
 			this.stopped = true;
 		}
@@ -210,13 +214,13 @@
 			this.waiting = true;
 			this.silent = this.store == Store.HANGS;
 			long number = ++this.call;
-			long wait = wait(this.pace);
-			if (this.store == Store.TURNS_AWAY) {
+			long wait = wait(this.timing);
+			if (this.store == Store.REJECTS) {
 				model.in(ANSWER_MILLIS, () -> failed(number, ANSWER_MILLIS));
 				return;
 			}
-			boolean news = !this.read || this.known < model.version;
-			model.in(news ? ANSWER_MILLIS : wait + ANSWER_MILLIS, () -> answered(number));
+			boolean changed = !this.read || this.known < model.version;
+			model.in(changed ? ANSWER_MILLIS : wait + ANSWER_MILLIS, () -> answered(number));
 			model.in(wait + MARGIN_MILLIS, () -> failed(number, wait + MARGIN_MILLIS));
 		}
 
@@ -239,15 +243,15 @@
 				return;
 			}
 			this.waiting = false;
-			boolean news = this.known < StoreReadersModel.this.version;
-			boolean doubted = this.pace.isSuspect();
-			this.pace.onAnswer(news);
+			boolean changed = this.known < StoreReadersModel.this.version;
+			boolean wasSuspect = this.timing.isSuspect();
+			this.timing.onAnswer(changed);
 			this.read = true;
 			this.known = StoreReadersModel.this.version;
-			if (news || doubted) {
-				passOn();
+			if (changed || wasSuspect) {
+				forward();
 			}
-			StoreReadersModel.this.in(news ? GATHER_MILLIS : 0, () -> askAgain(number));
+			StoreReadersModel.this.in(changed ? BATCH_MILLIS : 0, () -> askAgain(number));
 		}
 
 		private void askAgain(long number) {
@@ -259,39 +263,40 @@
 		private void failed(long number, long took) {
 			if (number == this.call && this.waiting && !this.stopped) {
 				this.waiting = false;
-				Duration pause = this.pace.onFailure(Duration.ofMillis(took));
-				passOn();
-				StoreReadersModel.this.in(pause.toMillis(), () -> askAgain(number));
+				Duration retryDelay = this.timing.onFailure(Duration.ofMillis(took));
+				forward();
+				StoreReadersModel.this.in(retryDelay.toMillis(), () -> askAgain(number));
 			}
 		}
 
-		private void doubt() {
-			if (this.pace.markSuspect() && this.waiting) {
-				passOn();
+		private void suspectStore() {
+			if (this.timing.markSuspect() && this.waiting) {
+				forward();
 				ask();
 			}
 		}
 
-		private void learn(long told) {
-			if (told > this.known) {
-				this.known = told;
-				passOn();
+		private void learn(long version) {
+			if (version > this.known) {
+				this.known = version;
+				forward();
 			}
 		}
 
 		private boolean current() {
-			return !this.resting && this.read && !this.pace.isSuspect();
+			return !this.idle && this.read && !this.timing.isSuspect();
 		}
 
-		private void passOn() {
+		private void forward() {
 			this.followers.forEach((follower, asked) -> {
-				if (StoreReadersModel.this.now - asked < FOLLOWS_MILLIS) {
-					pass(follower, follower.resting);
+				if (StoreReadersModel.this.now - asked < FOLLOWER_TIMEOUT_MILLIS) {
+					sendTo(follower, follower.idle);
 				}
 			});
 		}
 
-		// Who follows the store as well is told only what it has lacked for a while.
+		// A daemon that follows the store itself is sent only rows that it has lacked for
+		// a while.
 		private void answer(Daemon follower, long itKnows) {
 			boolean lacks = itKnows < this.known;
 			boolean due = lacks && this.lackedSince.containsKey(follower)
@@ -302,36 +307,36 @@
 			else {
 				this.lackedSince.putIfAbsent(follower, StoreReadersModel.this.now);
 			}
-			pass(follower, follower.resting || due);
+			sendTo(follower, follower.idle || due);
 		}
 
-		private void pass(Daemon follower, boolean news) {
-			long told = news ? this.known : 0;
-			boolean current = current() || !on(Guard.SAYS_WHEN_NOT_CURRENT);
-			send(follower, (to) -> to.passed(this.self.instance(), told, current));
+		private void sendTo(Daemon follower, boolean changed) {
+			long version = changed ? this.known : 0;
+			boolean current = current() || !on(Guard.REPORTS_WHEN_NOT_CURRENT);
+			send(follower, (to) -> to.onForwarded(this.self.instance(), version, current));
 		}
 
 		private void send(Daemon to, Consumer<Daemon> message) {
-			StoreReadersModel.this.in(WAY_MILLIS, () -> {
+			StoreReadersModel.this.in(NETWORK_DELAY_MILLIS, () -> {
 				if (!this.stopped && !to.stopped) {
 					message.accept(to);
 				}
 			});
 		}
 
-		private void passed(InstanceId reader, long told, boolean current) {
+		private void onForwarded(InstanceId reader, long version, boolean current) {
 			long number = this.call;
-			if (told > this.known && this.waiting) {
+			if (version > this.known && this.waiting) {
 				StoreReadersModel.this.in(OVERTAKEN_MILLIS, () -> {
 					if (number == this.call) {
-						doubt();
+						suspectStore();
 					}
 				});
 			}
-			learn(told);
-			boolean noLonger = this.followed.onReport(reader, current, nanos(StoreReadersModel.this.now));
-			if (noLonger && !this.resting && on(Guard.DOUBTS_WITH_OTHERS)) {
-				doubt();
+			learn(version);
+			boolean lostStore = this.followed.onReport(reader, current, nanos(StoreReadersModel.this.now));
+			if (lostStore && !this.idle && on(Guard.SUSPECTS_WITH_OTHERS)) {
+				suspectStore();
 			}
 		}
 
@@ -351,15 +356,15 @@
 						Long.MIN_VALUE / 2) >= FollowedReaders.POLL_INTERVAL.toMillis())
 				.forEach(this::follow);
 			boolean covered = this.followed.receivesUpdates(follow, nanos(model.now)) || !on(Guard.FOLLOWS_ITSELF);
-			boolean rest = !this.choice.isReader() && !followed() && covered && this.read;
-			if (rest && !this.resting) {
+			boolean idle = !this.choice.isReader() && !followed() && covered && this.read;
+			if (idle && !this.idle) {
 				this.waiting = false;
 				this.call++;
 			}
-			boolean resumed = this.resting && !rest;
-			this.resting = rest;
+			boolean resumed = this.idle && !idle;
+			this.idle = idle;
 			if (resumed) {
-				this.pace.markSuspect();
+				this.timing.markSuspect();
 				ask();
 			}
 			model.in(STEP_MILLIS, this::step);
@@ -368,7 +373,7 @@
 		private boolean followed() {
 			return this.followers.values()
 				.stream()
-				.anyMatch((asked) -> StoreReadersModel.this.now - asked < FOLLOWS_MILLIS);
+				.anyMatch((asked) -> StoreReadersModel.this.now - asked < FOLLOWER_TIMEOUT_MILLIS);
 		}
 
 		private Collection<ReaderChoice.Candidate> candidates() {
@@ -387,7 +392,7 @@
 				to.followers.put(this, model.now);
 				to.answer(this, knows);
 			});
-			model.in(LOST_MILLIS, () -> {
+			model.in(UNREACHABLE_MILLIS, () -> {
 				if (reader.stopped) {
 					this.unreachable.add(instance);
 					this.followed.onUnreachable(instance);
--- a/core/src/test/java/org/brasspier/core/mesh/StoreReadersModelTests.java
+++ b/core/src/test/java/org/brasspier/core/mesh/StoreReadersModelTests.java
@@ -18,9 +18,9 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * Load pattern: a change of the configuration comes just after the daemons that read the
- * store for all others were lost. Users' bound: it is in force everywhere two seconds
- * after its acknowledgement.
+ * The configuration changes just after the daemons that read the store on behalf of all
+ * others were lost. Users' bound: the change is in force everywhere two seconds after its
+ * acknowledgement.
  */
 class StoreReadersModelTests {
 
@@ -32,7 +32,7 @@
 
 	private static final int DOMAINS = 4;
 
-	/** The first seed at which somebody is behind at the bound; -1 if there is none. */
+	/** The first seed for which a daemon is behind at the bound; -1 if there is none. */
 	private static long firstBehind(int daemons, int domains, BiConsumer<StoreReadersModel, SplittableRandom> fault,
 			Guard... off) {
 		return LongStream.range(0, SEEDS).filter((seed) -> {
@@ -59,13 +59,13 @@
 
 	@ParameterizedTest
 	@CsvSource({ "1, 1", "2, 1", "3, 3", "9, 3", "12, 4", "18, 4", "24, 4", "80, 4", "95, 6" })
-	void inACalmDeploymentAChangeIsInForceEverywhereInTime(int daemons, int domains) {
+	void withoutFaultsAChangeIsInForceEverywhereInTime(int daemons, int domains) {
 		assertThat(firstBehind(daemons, domains, (model, random) -> {
 		})).isEqualTo(-1);
 	}
 
 	/**
-	 * Guards against daemons that wait for readers which are gone.
+	 * Guards against daemons that wait for lost readers.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 3, DOMAINS })
@@ -74,11 +74,11 @@
 	}
 
 	/**
-	 * Guards against daemons that rely on readers which the store no longer answers.
+	 * Guards against daemons that rely on readers that the store no longer answers.
 	 */
 	@ParameterizedTest
-	@CsvSource({ "1, TURNS_AWAY", "2, TURNS_AWAY", "4, TURNS_AWAY", "1, HANGS", "2, HANGS", "3, HANGS", "4, HANGS" })
-	void aChangeAfterTheStoreHasLeftReadersUnansweredIsInForceInTime(int readers, Store how) {
+	@CsvSource({ "1, REJECTS", "2, REJECTS", "4, REJECTS", "1, HANGS", "2, HANGS", "3, HANGS", "4, HANGS" })
+	void aChangeAfterTheStoreStoppedAnsweringReadersIsInForceInTime(int readers, Store how) {
 		assertThat(firstBehind(DAEMONS, DOMAINS, (model, random) -> cutOff(model, readers, how))).isEqualTo(-1);
 	}
 
@@ -96,7 +96,7 @@
 	void eachGuardIsNeeded(Guard guard) {
 		List<BiConsumer<StoreReadersModel, SplittableRandom>> faults = List.of(
 				(model, random) -> lose(model, 1 + random.nextInt(DOMAINS)),
-				(model, random) -> cutOff(model, 1 + random.nextInt(DOMAINS), Store.TURNS_AWAY),
+				(model, random) -> cutOff(model, 1 + random.nextInt(DOMAINS), Store.REJECTS),
 				(model, random) -> cutOff(model, 1 + random.nextInt(DOMAINS), Store.HANGS));
 		assertWithMessage("a seed that is late without " + guard)
 			.that(faults.stream().anyMatch((fault) -> firstBehind(DAEMONS, DOMAINS, fault, guard) >= 0))
@@ -104,10 +104,10 @@
 	}
 
 	/**
-	 * Guards against calls of the store that grow with the number of daemons.
+	 * Guards against a number of store calls that grows with the number of daemons.
 	 */
 	@Test
-	void aCalmMinuteOfChangesCostsCallsByFailureDomainAndNotByDaemon() {
+	void storeCallsGrowWithFailureDomainsAndNotWithDaemons() {
 		StoreReadersModel model = new StoreReadersModel(95, 6, 1);
 		model.run(5000);
 		long before = model.calls();
