--- a/core/src/main/java/org/brasspier/core/crash/CrashDetector.java
+++ b/core/src/main/java/org/brasspier/core/crash/CrashDetector.java
@@ -8,71 +8,74 @@
 import org.brasspier.core.keys.BackendIncarnation;
 
 /**
- * Finds out whether the backend server beside a daemon has crashed, and under which
- * requests. A connection that ends without an answer says nothing yet: networks cut
- * connections, and servers cut answers short. The server has crashed if nothing listens
- * at its address just after, or another life of it begins; it lives if it answers what
- * was sent later. All times are nanoseconds of one steady clock. Not thread-safe.
+ * Detects whether the backend server on a daemon's instance has crashed, and which
+ * requests it was running. A connection that ends without an answer proves nothing by
+ * itself: networks cut connections, and servers truncate answers. The server has crashed
+ * if nothing listens on its address shortly afterwards, or if a new incarnation of it
+ * starts; it is alive if it answers a request that was sent later. All times are
+ * nanoseconds of the same steady clock. Not thread-safe.
  */
 public final class CrashDetector {
 
-	/** A server that crashed is back, or found to be gone, within this time. */
-	private static final long REMEMBERED_NANOS = Duration.ofSeconds(10).toNanos();
+	/** Within this time a crashed server is back or found to be gone. */
+	private static final long RETENTION_NANOS = Duration.ofSeconds(10).toNanos();
 
-	// By request, when its connection ended.
-	private final Map<Long, Long> broken = new LinkedHashMap<>();
+	// The time at which the connection ended, by request.
+	private final Map<Long, Long> lostNanos = new LinkedHashMap<>();
 
-	private Optional<BackendIncarnation> life = Optional.empty();
+	private Optional<BackendIncarnation> incarnation = Optional.empty();
 
 	/**
-	 * Takes that a connection ended while the server had a request of it.
-	 * @param of the server's life
+	 * Records that a connection ended while the server was handling a request from it.
+	 * @param of the server's incarnation
 	 * @param request the request's fingerprint
-	 * @param now the time
+	 * @param nowNanos the current time
 	 */
-	public void onConnectionLost(BackendIncarnation of, long request, long now) {
-		if (!this.life.equals(Optional.of(of))) {
-			this.broken.clear();
-			this.life = Optional.of(of);
+	public void onConnectionLost(BackendIncarnation of, long request, long nowNanos) {
+		if (!this.incarnation.equals(Optional.of(of))) {
+			this.lostNanos.clear();
+			this.incarnation = Optional.of(of);
 		}
-		if (this.broken.size() < CrashReport.MAX_REQUESTS) {
-			this.broken.put(request, now);
+		if (this.lostNanos.size() < CrashReport.MAX_REQUESTS) {
+			this.lostNanos.put(request, nowNanos);
 		}
 	}
 
 	/**
-	 * Takes that the server answered.
-	 * @param of the server's life
-	 * @param sentNanos when it was sent what it answered
+	 * Records that the server answered.
+	 * @param of the server's incarnation
+	 * @param sentNanos when the answered request was sent
 	 */
 	public void onAnswer(BackendIncarnation of, long sentNanos) {
-		if (this.life.equals(Optional.of(of))) {
-			this.broken.values().removeIf((broke) -> broke - sentNanos < 0);
+		if (this.incarnation.equals(Optional.of(of))) {
+			this.lostNanos.values().removeIf((lost) -> lost - sentNanos < 0);
 		}
 	}
 
 	/**
-	 * Whether a connection has ended and it is not known yet why.
-	 * @return true if so
+	 * Returns whether a connection has ended for a reason that is not known yet.
+	 * @return true if one has
 	 */
 	public boolean hasUnexplainedLosses() {
-		return !this.broken.isEmpty();
+		return !this.lostNanos.isEmpty();
 	}
 
 	/**
-	 * Takes that nothing listens at the server's address, or that another life has begun.
-	 * @param of the life that is over
-	 * @param now the time
-	 * @return what it ran when it crashed; empty if nothing was cut off lately
+	 * Records that nothing listens on the server's address, or that a new incarnation has
+	 * started.
+	 * @param of the incarnation that has ended
+	 * @param nowNanos the current time
+	 * @return the requests that it was running when it crashed; empty if no connection
+	 * ended recently
 	 */
-	public Optional<CrashReport> onServerEnded(BackendIncarnation of, long now) {
-		if (!this.life.equals(Optional.of(of))) {
+	public Optional<CrashReport> onServerEnded(BackendIncarnation of, long nowNanos) {
+		if (!this.incarnation.equals(Optional.of(of))) {
 			return Optional.empty();
 		}
-		this.broken.values().removeIf((broke) -> now - broke >= REMEMBERED_NANOS);
-		Optional<CrashReport> report = this.broken.isEmpty() ? Optional.empty()
-				: Optional.of(new CrashReport(of, this.broken.keySet()));
-		this.broken.clear();
+		this.lostNanos.values().removeIf((lost) -> nowNanos - lost >= RETENTION_NANOS);
+		Optional<CrashReport> report = this.lostNanos.isEmpty() ? Optional.empty()
+				: Optional.of(new CrashReport(of, this.lostNanos.keySet()));
+		this.lostNanos.clear();
 		return report;
 	}
 
--- a/core/src/main/java/org/brasspier/core/crash/CrashReport.java
+++ b/core/src/main/java/org/brasspier/core/crash/CrashReport.java
@@ -5,14 +5,15 @@
 import org.brasspier.core.keys.BackendIncarnation;
 
 /**
- * What a backend server was running when it crashed. Immutable and thread-safe.
+ * The requests that a backend server was running when it crashed. Immutable and
+ * thread-safe.
  *
- * @param incarnation the server's life that ended
+ * @param incarnation the server's incarnation that crashed
  * @param requests the fingerprints of the requests, at most {@link #MAX_REQUESTS}
  */
 public record CrashReport(BackendIncarnation incarnation, Set<Long> requests) {
 
-	/** Several times the slots of a backend server. */
+	/** The maximum number of requests, several times the slots of a backend server. */
 	public static final int MAX_REQUESTS = 64;
 
 	/**
--- a/core/src/main/java/org/brasspier/core/crash/CrashSuspects.java
+++ b/core/src/main/java/org/brasspier/core/crash/CrashSuspects.java
@@ -16,73 +16,74 @@
 import org.brasspier.core.keys.BackendIncarnation;
 
 /**
- * Which requests must not reach another backend server, by what all instances tell of
- * crashes. The load is that of a caller that sends a request again and again under which
- * each server crashes: without this it takes a service down server by server, and again
- * each time that one is back.
+ * Determines which requests must not reach another backend server, from the crashes that
+ * all instances report. It guards against a request that crashes every server that runs
+ * it and whose caller sends it again and again: without this it takes a service down
+ * server by server, and again each time a server is back.
  *
  * <p>
- * All that a server ran when it crashed is suspect. A request is kept away once it was
- * part of two crashes or more that have no other suspect in common. What has ended well
- * anywhere is not suspect any more. Where a server is given one suspect at a time, the
- * next crash tells which one it was. Not thread-safe.
+ * All requests that a server was running when it crashed are suspect. A request is
+ * blocked once it was part of two or more crashes that have no other suspect in common. A
+ * request that succeeds on any instance is no longer suspect. If a server is given only
+ * one suspect at a time, the next crash shows which one caused it. Not thread-safe.
  */
 public final class CrashSuspects {
 
-	/** Crashes after which a request is kept away, whatever else was part of them. */
-	private static final int MAX_CRASHES = 5;
+	/** Crashes after which a request is blocked, whatever else was part of them. */
+	private static final int MAX_CRASHES_WITH_OTHERS = 5;
 
-	/** Crashes after which a request is kept away if it alone was part of all of them. */
-	private static final int SURE_CRASHES = 2;
+	/** Crashes after which a request is blocked if it alone was part of all of them. */
+	private static final int MIN_CRASHES_ALONE = 2;
 
-	/** After this time a crash counts no more, and the request may be tried again. */
-	private static final long KEPT_NANOS = Duration.ofMinutes(5).toNanos();
+	/** After this time a crash no longer counts, and the request may be tried again. */
+	private static final long RETENTION_NANOS = Duration.ofMinutes(5).toNanos();
 
-	private final Map<BackendIncarnation, Noted> reports = new LinkedHashMap<>();
+	private final Map<BackendIncarnation, KnownReport> reports = new LinkedHashMap<>();
 
 	private final Map<Long, Cleared> cleared = new LinkedHashMap<>();
 
-	private Set<Long> keptAway = Set.of();
+	private Set<Long> blocked = Set.of();
 
 	/**
-	 * Takes what an instance tells. The same may be told many times.
+	 * Merges the state of an instance. Merging the same state again has no effect.
 	 * @param from the instance
-	 * @param notes what it tells
-	 * @param now the time, in nanoseconds
-	 * @return true if anything of it was not known
+	 * @param state its state
+	 * @param nowNanos the current time, in nanoseconds of the steady clock
+	 * @return true if any of it was new
 	 */
-	public boolean merge(InstanceId from, CrashState notes, long now) {
-		boolean news = false;
-		for (CrashReport report : notes.reports()) {
-			news |= this.reports.putIfAbsent(report.incarnation(), new Noted(from, report, now)) == null;
+	public boolean merge(InstanceId from, CrashState state, long nowNanos) {
+		boolean changed = false;
+		for (CrashReport report : state.reports()) {
+			changed |= this.reports.putIfAbsent(report.incarnation(), new KnownReport(from, report, nowNanos)) == null;
 		}
-		for (long request : notes.cleared()) {
-			news |= this.cleared.putIfAbsent(request, new Cleared(from, now)) == null;
+		for (long request : state.cleared()) {
+			changed |= this.cleared.putIfAbsent(request, new Cleared(from, nowNanos)) == null;
 		}
-		if (news) {
-			decide(now);
+		if (changed) {
+			updateBlocked(nowNanos);
 		}
-		return news;
+		return changed;
 	}
 
 	/**
-	 * Takes that a request ended well at an instance.
+	 * Records that a request succeeded on an instance.
 	 * @param at the instance
 	 * @param request the request's fingerprint
-	 * @param now the time, in nanoseconds
-	 * @return true if it was suspect, so that others are to be told
+	 * @param nowNanos the current time, in nanoseconds of the steady clock
+	 * @return true if it was suspect, so that the other instances must be told
 	 */
-	public boolean recordSuccess(InstanceId at, long request, long now) {
+	public boolean recordSuccess(InstanceId at, long request, long nowNanos) {
 		if (!isSuspect(request)) {
 			return false;
 		}
-		this.cleared.put(request, new Cleared(at, now));
-		decide(now);
+		this.cleared.put(request, new Cleared(at, nowNanos));
+		updateBlocked(nowNanos);
 		return true;
 	}
 
 	/**
-	 * Whether nothing is suspect, as nearly always, so that no fingerprint is needed.
+	 * Returns whether nothing is suspect. That is the usual case, in which no fingerprint
+	 * is needed.
 	 * @return true if no crash is known
 	 */
 	public boolean isEmpty() {
@@ -90,82 +91,82 @@
 	}
 
 	/**
-	 * Whether a request must not reach a backend server.
+	 * Returns whether a request must not reach a backend server.
 	 * @param request the request's fingerprint
-	 * @param now the time, in nanoseconds
-	 * @return true if so
+	 * @param nowNanos the current time, in nanoseconds of the steady clock
+	 * @return true if it is blocked
 	 */
-	public boolean isBlocked(long request, long now) {
-		if (!this.keptAway.contains(request)) {
+	public boolean isBlocked(long request, long nowNanos) {
+		if (!this.blocked.contains(request)) {
 			return false;
 		}
-		decide(now);
-		return this.keptAway.contains(request);
+		updateBlocked(nowNanos);
+		return this.blocked.contains(request);
 	}
 
 	/**
-	 * Whether a request was part of a crash and has not ended well since.
+	 * Returns whether a request was part of a crash and has not succeeded since.
 	 * @param request the request's fingerprint
-	 * @return true if so
+	 * @return true if it is suspect
 	 */
 	public boolean isSuspect(long request) {
 		return !this.cleared.containsKey(request)
-				&& this.reports.values().stream().anyMatch((noted) -> noted.report.requests().contains(request));
+				&& this.reports.values().stream().anyMatch((known) -> known.report.requests().contains(request));
 	}
 
 	/**
-	 * How many requests are kept away.
+	 * Returns the number of blocked requests.
 	 * @return the number
 	 */
 	public int blockedCount() {
-		return this.keptAway.size();
+		return this.blocked.size();
 	}
 
 	/**
-	 * What an instance has to tell the others.
+	 * Returns the state that an instance replicates to the others.
 	 * @param instance the instance
-	 * @return the latest of what is known from it
+	 * @return the latest reports and cleared requests of that instance
 	 */
 	public CrashState stateOf(InstanceId instance) {
-		List<CrashReport> own = latest(this.reports.values().stream().filter((noted) -> noted.from.equals(instance)),
+		List<CrashReport> own = latest(this.reports.values().stream().filter((known) -> known.from.equals(instance)),
 				CrashState.MAX_REPORTS)
-			.map(Noted::report)
+			.map(KnownReport::report)
 			.toList();
-		Set<Long> ended = latest(
+		Set<Long> succeeded = latest(
 				this.cleared.entrySet().stream().filter((entry) -> entry.getValue().at.equals(instance)),
 				CrashState.MAX_CLEARED)
 			.map(Map.Entry::getKey)
 			.collect(Collectors.toUnmodifiableSet());
-		return new CrashState(own, ended);
+		return new CrashState(own, succeeded);
 	}
 
-	// Both maps keep the order in which things became known.
-	private static <T> Stream<T> latest(Stream<T> all, int most) {
+	// Both maps are in the order in which their entries became known.
+	private static <T> Stream<T> latest(Stream<T> all, int maxCount) {
 		List<T> list = all.toList();
-		return list.stream().skip(Math.max(0, list.size() - most));
+		return list.stream().skip(Math.max(0, list.size() - maxCount));
 	}
 
-	private void decide(long now) {
-		this.reports.values().removeIf((noted) -> now - noted.sinceNanos >= KEPT_NANOS);
-		this.cleared.values().removeIf((each) -> now - each.sinceNanos >= KEPT_NANOS);
+	private void updateBlocked(long nowNanos) {
+		this.reports.values().removeIf((known) -> nowNanos - known.sinceNanos >= RETENTION_NANOS);
+		this.cleared.values().removeIf((each) -> nowNanos - each.sinceNanos >= RETENTION_NANOS);
 		Map<Long, List<Set<Long>>> crashes = new HashMap<>();
-		this.reports.values().forEach((noted) -> {
-			Set<Long> suspects = new HashSet<>(noted.report.requests());
+		this.reports.values().forEach((known) -> {
+			Set<Long> suspects = new HashSet<>(known.report.requests());
 			suspects.removeAll(this.cleared.keySet());
 			suspects.forEach((request) -> crashes.computeIfAbsent(request, (key) -> new ArrayList<>()).add(suspects));
 		});
-		this.keptAway = crashes.entrySet()
+		this.blocked = crashes.entrySet()
 			.stream()
-			.filter((entry) -> guilty(entry.getValue()))
+			.filter((entry) -> shouldBlock(entry.getValue()))
 			.map(Map.Entry::getKey)
 			.collect(Collectors.toUnmodifiableSet());
 	}
 
-	private static boolean guilty(List<Set<Long>> crashes) {
-		if (crashes.size() >= MAX_CRASHES) {
+	private static boolean shouldBlock(List<Set<Long>> crashes) {
+		if (crashes.size() >= MAX_CRASHES_WITH_OTHERS) {
 			return true;
 		}
-		if (crashes.size() < SURE_CRASHES) {
+		if (crashes.size() < MIN_CRASHES_ALONE) {
 			return false;
 		}
 		Set<Long> common = new HashSet<>(crashes.stream().min(Comparator.comparingInt(Set::size)).orElseThrow());
@@ -173,7 +174,7 @@
 		return common.size() == 1;
 	}
 
-	private record Noted(InstanceId from, CrashReport report, long sinceNanos) {
+	private record KnownReport(InstanceId from, CrashReport report, long sinceNanos) {
 	}
 
 	private record Cleared(InstanceId at, long sinceNanos) {
--- a/core/src/main/java/org/brasspier/core/crash/package-info.java
+++ b/core/src/main/java/org/brasspier/core/crash/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Requests that crash the backend servers that run them: found out, told to all daemons,
- * kept away from the servers that are left.
+ * Handling of requests that crash the backend servers that run them: crashes are
+ * detected, reported to all daemons, and the requests are blocked from the remaining
+ * servers.
  */
 @NullMarked
 package org.brasspier.core.crash;
--- a/core/src/test/java/org/brasspier/core/crash/CrashDetectorTests.java
+++ b/core/src/test/java/org/brasspier/core/crash/CrashDetectorTests.java
@@ -13,56 +13,58 @@
 
 	private static final BackendIncarnation SECOND = new BackendIncarnation("second", 2);
 
-	private final CrashDetector watch = new CrashDetector();
+	private final CrashDetector detector = new CrashDetector();
 
 	private static long millis(long count) {
 		return Duration.ofMillis(count).toNanos();
 	}
 
 	@Test
-	void allThatWasCutOffIsPartOfTheCrash() {
-		this.watch.onConnectionLost(FIRST, 1, millis(0));
-		this.watch.onConnectionLost(FIRST, 2, millis(1));
-		assertThat(this.watch.onServerEnded(FIRST, millis(5)).orElseThrow().requests()).containsExactly(1L, 2L);
-		assertThat(this.watch.onServerEnded(FIRST, millis(6))).isEmpty();
+	void allRequestsWithoutAnAnswerArePartOfTheCrash() {
+		this.detector.onConnectionLost(FIRST, 1, millis(0));
+		this.detector.onConnectionLost(FIRST, 2, millis(1));
+		assertThat(this.detector.onServerEnded(FIRST, millis(5)).orElseThrow().requests()).containsExactly(1L, 2L);
+		assertThat(this.detector.onServerEnded(FIRST, millis(6))).isEmpty();
 	}
 
-	/** Guards against networks that cut connections and are taken for crashes. */
+	/** Guards against mistaking connections that the network cuts for crashes. */
 	@Test
-	void connectionsThatAreCutWhileTheServerLivesAreNoCrash() {
-		this.watch.onConnectionLost(FIRST, 1, millis(0));
-		this.watch.onAnswer(FIRST, millis(10));
-		assertThat(this.watch.hasUnexplainedLosses()).isFalse();
-		assertThat(this.watch.onServerEnded(FIRST, millis(20))).isEmpty();
+	void connectionsCutWhileTheServerIsAliveAreNoCrash() {
+		this.detector.onConnectionLost(FIRST, 1, millis(0));
+		this.detector.onAnswer(FIRST, millis(10));
+		assertThat(this.detector.hasUnexplainedLosses()).isFalse();
+		assertThat(this.detector.onServerEnded(FIRST, millis(20))).isEmpty();
 	}
 
 	@Test
-	void anAnswerThatWasOnItsWayBeforeTheCrashProvesNothing() {
-		this.watch.onConnectionLost(FIRST, 1, millis(10));
-		this.watch.onAnswer(FIRST, millis(5));
-		assertThat(this.watch.onServerEnded(FIRST, millis(20))).isPresent();
+	void anAnswerToAnEarlierRequestDoesNotRuleOutACrash() {
+		this.detector.onConnectionLost(FIRST, 1, millis(10));
+		this.detector.onAnswer(FIRST, millis(5));
+		assertThat(this.detector.onServerEnded(FIRST, millis(20))).isPresent();
 	}
 
-	/** Guards against a planned restart long after a cut that is taken for a crash. */
+	/**
+	 * Guards against mistaking a planned restart long after a cut connection for a crash.
+	 */
 	@Test
-	void whatWasCutOffLongBeforeTheServerEndedIsNoPartOfIt() {
-		this.watch.onConnectionLost(FIRST, 1, millis(0));
-		assertThat(this.watch.onServerEnded(FIRST, millis(10_000))).isEmpty();
+	void aRequestCutOffLongBeforeTheServerEndedIsNotReported() {
+		this.detector.onConnectionLost(FIRST, 1, millis(0));
+		assertThat(this.detector.onServerEnded(FIRST, millis(10_000))).isEmpty();
 	}
 
 	@Test
-	void theEndOfAnotherLifeIsNoCrashOfThisOne() {
-		this.watch.onConnectionLost(SECOND, 1, millis(0));
-		assertThat(this.watch.onServerEnded(FIRST, millis(1))).isEmpty();
-		assertThat(this.watch.onServerEnded(SECOND, millis(2))).isPresent();
+	void theEndOfAnotherIncarnationIsNoCrashOfThisOne() {
+		this.detector.onConnectionLost(SECOND, 1, millis(0));
+		assertThat(this.detector.onServerEnded(FIRST, millis(1))).isEmpty();
+		assertThat(this.detector.onServerEnded(SECOND, millis(2))).isPresent();
 	}
 
 	@Test
-	void aReportNamesABoundedNumberOfRequests() {
+	void aReportHasABoundedNumberOfRequests() {
 		for (int i = 0; i < CrashReport.MAX_REQUESTS * 2; i++) {
-			this.watch.onConnectionLost(FIRST, i, millis(0));
+			this.detector.onConnectionLost(FIRST, i, millis(0));
 		}
-		assertThat(this.watch.onServerEnded(FIRST, millis(1)).orElseThrow().requests())
+		assertThat(this.detector.onServerEnded(FIRST, millis(1)).orElseThrow().requests())
 			.hasSize(CrashReport.MAX_REQUESTS);
 	}
 
--- a/core/src/test/java/org/brasspier/core/crash/CrashSuspectsTests.java
+++ b/core/src/test/java/org/brasspier/core/crash/CrashSuspectsTests.java
@@ -18,31 +18,33 @@
 
 	private final CrashSuspects suspects = new CrashSuspects();
 
-	private int lives;
+	private int incarnations;
 
-	// Another server crashes while it runs these.
+	// The state of another server that crashed while running these requests.
 	private CrashState crash(Long... requests) {
-		this.lives++;
-		return new CrashState(List.of(new CrashReport(new BackendIncarnation("server", this.lives), Set.of(requests))),
+		this.incarnations++;
+		return new CrashState(
+				List.of(new CrashReport(new BackendIncarnation("server", this.incarnations), Set.of(requests))),
 				Set.of());
 	}
 
 	private void crashed(Long... requests) {
-		this.suspects.merge(new InstanceId("instance-" + this.lives), crash(requests), 0);
+		this.suspects.merge(new InstanceId("instance-" + this.incarnations), crash(requests), 0);
 	}
 
 	@Test
-	void oneCrashKeepsNothingAway() {
+	void oneCrashBlocksNothing() {
 		crashed(CULPRIT, 2L, 3L);
 		assertThat(this.suspects.isBlocked(CULPRIT, 0)).isFalse();
 		assertThat(this.suspects.isSuspect(2)).isTrue();
 	}
 
 	/**
-	 * Load: fourteen slots in use on each of two servers, and one request that both run.
+	 * Two servers with fourteen slots in use each crash, and both ran one and the same
+	 * request.
 	 */
 	@Test
-	void theOnlyRequestOfTwoCrashesIsKeptAwayAndNothingElse() {
+	void onlyTheRequestThatTwoCrashesShareIsBlocked() {
 		crashed(CULPRIT, 2L, 3L, 4L);
 		crashed(CULPRIT, 5L, 6L, 7L);
 		assertThat(this.suspects.isBlocked(CULPRIT, 0)).isTrue();
@@ -50,11 +52,11 @@
 	}
 
 	/**
-	 * Guards against a request that is refused because it was sent on to another server
-	 * together with the culprit.
+	 * Guards against blocking a request because it was sent to another server together
+	 * with the culprit.
 	 */
 	@Test
-	void whatTwoCrashesShareWithTheCulpritIsNotKeptAway() {
+	void aRequestThatTwoCrashesShareBesideTheCulpritIsNotBlocked() {
 		crashed(CULPRIT, 2L, 3L);
 		crashed(CULPRIT, 2L, 4L);
 		assertThat(this.suspects.blockedCount()).isEqualTo(0);
@@ -64,11 +66,11 @@
 	}
 
 	/**
-	 * Guards against an innocent request that is refused because it ran beside the
-	 * culprit on three servers before any of them had told of its crash.
+	 * Guards against blocking a harmless request that ran together with the culprit on
+	 * three servers before any of their crashes was reported.
 	 */
 	@Test
-	void whatRanBesideTheCulpritEachTimeIsServedOnceTheCulpritHasRunAlone() {
+	void aRequestThatAlwaysRanWithTheCulpritIsNotBlockedOnceTheCulpritHasRunAlone() {
 		crashed(CULPRIT, 2L);
 		crashed(CULPRIT, 2L);
 		crashed(CULPRIT, 2L);
@@ -78,9 +80,9 @@
 		assertThat(this.suspects.isBlocked(2, 0)).isFalse();
 	}
 
-	/** Guards against more than two servers that are lost after the third. */
+	/** Guards against losing more than two servers after the third. */
 	@Test
-	void whatWasPartOfFiveCrashesIsKeptAwayWhateverElseWas() {
+	void aRequestOfFiveCrashesIsBlockedWhateverElseWasPartOfThem() {
 		for (int i = 0; i < 5; i++) {
 			assertThat(this.suspects.isBlocked(CULPRIT, 0)).isFalse();
 			crashed(CULPRIT, 2L);
@@ -88,9 +90,9 @@
 		assertThat(this.suspects.isBlocked(CULPRIT, 0)).isTrue();
 	}
 
-	/** Guards against innocent requests that are refused for good. */
+	/** Guards against blocking harmless requests permanently. */
 	@Test
-	void whatEndsWellIsClearedAndLeavesTheCulprit() {
+	void aRequestThatSucceedsIsClearedAndTheCulpritRemains() {
 		crashed(CULPRIT, 2L);
 		assertThat(this.suspects.recordSuccess(HERE, 2, 0)).isTrue();
 		assertThat(this.suspects.recordSuccess(HERE, 2, 0)).isFalse();
@@ -100,17 +102,20 @@
 		assertThat(this.suspects.stateOf(HERE).cleared()).containsExactly(2L);
 	}
 
-	/** Guards against one crash that counts as many because many tell of it. */
+	/**
+	 * Guards against counting one crash several times because several instances report
+	 * it.
+	 */
 	@Test
-	void theSameCrashToldTwiceCountsOnce() {
-		CrashState notes = crash(CULPRIT);
-		assertThat(this.suspects.merge(HERE, notes, 0)).isTrue();
-		assertThat(this.suspects.merge(HERE, notes, 0)).isFalse();
+	void aCrashThatIsMergedTwiceCountsOnce() {
+		CrashState state = crash(CULPRIT);
+		assertThat(this.suspects.merge(HERE, state, 0)).isTrue();
+		assertThat(this.suspects.merge(HERE, state, 0)).isFalse();
 		assertThat(this.suspects.isBlocked(CULPRIT, 0)).isFalse();
 	}
 
 	@Test
-	void aCrashCountsNoMoreAfterFiveMinutes() {
+	void aCrashNoLongerCountsAfterFiveMinutes() {
 		crashed(CULPRIT);
 		crashed(CULPRIT);
 		long later = Duration.ofMinutes(5).toNanos();
@@ -120,15 +125,16 @@
 	}
 
 	@Test
-	void whatAnInstanceTellsIsBoundedAndHasTheLatestCrashes() {
-		CrashState notes = CrashState.EMPTY;
+	void theStateOfAnInstanceIsBoundedAndHasTheLatestCrashes() {
+		CrashState state = CrashState.EMPTY;
 		for (int i = 0; i < CrashState.MAX_REPORTS * 3; i++) {
-			notes = notes.withReport(crash((long) i).reports().get(0));
-			this.suspects.merge(HERE, notes, 0);
+			state = state.withReport(crash((long) i).reports().get(0));
+			this.suspects.merge(HERE, state, 0);
 		}
-		assertThat(this.suspects.stateOf(HERE)).isEqualTo(notes);
-		assertThat(notes.reports()).hasSize(CrashState.MAX_REPORTS);
-		assertThat(notes.reports().get(CrashState.MAX_REPORTS - 1).incarnation().startedMillis()).isEqualTo(this.lives);
+		assertThat(this.suspects.stateOf(HERE)).isEqualTo(state);
+		assertThat(state.reports()).hasSize(CrashState.MAX_REPORTS);
+		assertThat(state.reports().get(CrashState.MAX_REPORTS - 1).incarnation().startedMillis())
+			.isEqualTo(this.incarnations);
 	}
 
 }
