--- a/core/src/main/java/org/brasspier/core/request/Answer.java
+++ b/core/src/main/java/org/brasspier/core/request/Answer.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * A backend server's whole answer. Immutable as long as nobody writes to the body;
- * thread-safe.
+ * A complete answer of a backend server. Thread-safe and immutable as long as nobody
+ * writes to the body.
  *
  * @param status the HTTP status
- * @param headers header fields passed through
- * @param body the whole body, empty if none
+ * @param headers the header fields that are passed through
+ * @param body the complete body, empty if none
  */
 public record Answer(int status, List<HeaderField> headers, byte[] body) {
 
--- a/core/src/main/java/org/brasspier/core/request/BackendLiveness.java
+++ b/core/src/main/java/org/brasspier/core/request/BackendLiveness.java
@@ -1,22 +1,24 @@
 package org.brasspier.core.request;
 
 /**
- * Whether the backend server beside a daemon is there, from what was seen of it.
+ * Tracks whether the backend server on a daemon's instance is alive.
  *
  * <p>
- * Made for servers whose health lags or misleads: a refused connection is proof of a
- * loss, silence is taken for one only if nothing else was heard, and an answered order
- * outweighs a silent probe. A frozen server accepts connections and says nothing, so two
- * silent probes in a row must pass; one alone may be a long pause of its memory
- * management. Not thread-safe.
+ * It is made for servers whose health status lags or misleads: a refused connection
+ * proves a loss, missing answers count as one only if nothing else was received, and an
+ * answered order outweighs a probe that timed out. A frozen server accepts connections
+ * and sends nothing. Two probes in a row must time out, because a single time-out may be
+ * a long garbage collection pause. Not thread-safe.
  */
 public final class BackendLiveness {
 
-	/** Silent probes in a row from which on the server counts as frozen. */
-	static final int SILENT_PROBES = 2;
+	/**
+	 * The number of consecutive probe time-outs at which the server counts as frozen.
+	 */
+	static final int MAX_PROBE_TIMEOUTS = 2;
 
-	/** An announcement comes each second; three missing ones are no accident. */
-	static final long ANNOUNCEMENT_NANOS = 3_500_000_000L;
+	/** An announcement arrives every second; three missing ones are no accident. */
+	static final long ANNOUNCEMENT_TIMEOUT_NANOS = 3_500_000_000L;
 
 	private boolean known;
 
@@ -24,13 +26,13 @@
 
 	private boolean gone;
 
-	private int silentProbes;
+	private int probeTimeouts;
 
 	private long announcedAtNanos;
 
 	/**
-	 * It announced itself.
-	 * @param nowNanos the time on a monotonic clock
+	 * Records an announcement of the server.
+	 * @param nowNanos the current time, in nanoseconds of a monotonic clock
 	 */
 	public void onAnnouncement(long nowNanos) {
 		this.known = true;
@@ -39,24 +41,24 @@
 	}
 
 	/**
-	 * It answered a probe or an order.
+	 * Records that the server answered a probe or an order.
 	 */
 	public void onAnswer() {
-		this.silentProbes = 0;
+		this.probeTimeouts = 0;
 		this.lost = false;
 		this.gone = false;
 	}
 
 	/**
-	 * A probe got no answer in time.
+	 * Records that a probe was not answered in time.
 	 */
 	public void onProbeTimeout() {
-		this.silentProbes++;
-		this.lost |= this.silentProbes >= SILENT_PROBES;
+		this.probeTimeouts++;
+		this.lost |= this.probeTimeouts >= MAX_PROBE_TIMEOUTS;
 	}
 
 	/**
-	 * Its port refused a connection, so nobody listens there.
+	 * Records that the server's port refused a connection, so no process listens there.
 	 */
 	public void onConnectionRefused() {
 		this.lost = true;
@@ -64,20 +66,21 @@
 	}
 
 	/**
-	 * Whether its process is known to be gone, not only silent.
-	 * @return true from a refused connection until it is heard of again
+	 * Returns whether the server's process is known to have ended, rather than only not
+	 * answering.
+	 * @return true from a refused connection until the next announcement or answer
 	 */
 	public boolean isGone() {
 		return this.gone;
 	}
 
 	/**
-	 * Whether orders may be handed to it.
-	 * @param nowNanos the time on the same clock
-	 * @return false before its first announcement, and while it is lost
+	 * Returns whether orders may be sent to the server.
+	 * @param nowNanos the current time, in nanoseconds of the same clock
+	 * @return false before the first announcement and while the server is lost
 	 */
 	public boolean isAlive(long nowNanos) {
-		return this.known && !this.lost && nowNanos - this.announcedAtNanos < ANNOUNCEMENT_NANOS;
+		return this.known && !this.lost && nowNanos - this.announcedAtNanos < ANNOUNCEMENT_TIMEOUT_NANOS;
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/request/CallerRequest.java
+++ b/core/src/main/java/org/brasspier/core/request/CallerRequest.java
@@ -12,19 +12,19 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * One request as a caller sent it, with what brasspier needs to know of it. Immutable as
- * long as nobody writes to the body; thread-safe.
+ * A request of a caller, with the properties that brasspier needs. Thread-safe and
+ * immutable as long as nobody writes to the body.
  *
- * @param service the service asked for
- * @param key the key; always present where the service is divided by key
+ * @param service the requested service
+ * @param key the key; always present if the service is divided by key
  * @param sharded whether the service is divided by key
- * @param identity what tells this request from others
- * @param requestClass what the request is worth and whether it may run twice
- * @param caller under whose share the request counts
- * @param remainingMillis the time until the deadline, in milliseconds, counted from when
+ * @param identity distinguishes this request from others
+ * @param requestClass the request's priority class, and whether it may run twice
+ * @param caller the caller whose share the request counts against
+ * @param remainingMillis the time until the deadline, in milliseconds, measured from when
  * this process received the request
  * @param target the HTTP method and path for the backend server
- * @param headers header fields passed through
+ * @param headers the header fields that are passed through
  * @param body the body, empty if none
  */
 public record CallerRequest(ServiceName service, Optional<String> key, boolean sharded, RequestIdentity identity,
@@ -33,7 +33,8 @@
 
 	/**
 	 * Copies the header fields.
-	 * @throws IllegalArgumentException if a service divided by key lacks the key
+	 * @throws IllegalArgumentException if the service is divided by key and the key is
+	 * missing
 	 */
 	public CallerRequest {
 		if (sharded && key.isEmpty()) {
@@ -45,16 +46,16 @@
 	}
 
 	/**
-	 * The identity of the request.
-	 * @return the id, the same on each resend
+	 * Returns the request id.
+	 * @return the id, the same for each retry
 	 */
 	public RequestId id() {
 		return this.identity.id();
 	}
 
 	/**
-	 * The point that decides who owns this request: that of the key, or of the request id
-	 * where the service is not divided by key.
+	 * Returns the point that determines the owner of this request: that of the key, or of
+	 * the request id if the service is not divided by key.
 	 * @return the point
 	 */
 	public KeyHash keyHash() {
@@ -62,8 +63,8 @@
 	}
 
 	/**
-	 * A hash of what the backend server would see, to tell a resend from another request
-	 * under the same id.
+	 * Returns a hash of the contents that the backend server gets, which distinguishes a
+	 * retry from another request under the same id.
 	 * @return 64 bits
 	 */
 	public long fingerprint() {
@@ -77,8 +78,9 @@
 	}
 
 	/**
-	 * Under what this request is counted when its backend server is lost: its id or,
-	 * where that was made up and a resend has another, its contents.
+	 * Returns the hash under which losses of backend servers are counted for this
+	 * request. It is a hash of the request's id, or of its contents if the id was
+	 * generated, because a retry then has another id.
 	 * @return 64 bits
 	 */
 	public long crashFingerprint() {
@@ -87,7 +89,7 @@
 	}
 
 	/**
-	 * The same request with less time left.
+	 * Returns a copy with another remaining time.
 	 * @param millis the time until the deadline, in milliseconds
 	 * @return the copy
 	 */
@@ -97,8 +99,8 @@
 	}
 
 	/**
-	 * The same request after a send that may have run.
-	 * @return the copy, which is no first send
+	 * Returns a copy to be sent after a send that may have run.
+	 * @return the copy, which is not marked as the first attempt
 	 */
 	public CallerRequest asRetry() {
 		RequestIdentity again = new RequestIdentity(this.identity.id(), this.identity.generated(), false,
--- a/core/src/main/java/org/brasspier/core/request/CrashHistory.java
+++ b/core/src/main/java/org/brasspier/core/request/CrashHistory.java
@@ -12,53 +12,54 @@
 
 /**
  * Counts how often a request was running when its backend server was lost. After two such
- * losses it is refused.
+ * losses the request is refused.
  *
  * <p>
- * The harm it prevents: a request that crashes each backend server that runs it, and
- * whose caller sends it again, takes down the whole service. Why two and not one: all
- * that ran beside the culprit is suspect too, and one loss tells nothing of which it was.
- * Innocent requests clear themselves by ending well. Marks travel with the ranges, so the
- * count is over all owners. Not thread-safe.
+ * It guards against a request that crashes each backend server that runs it and whose
+ * caller retries it, which would take down the whole service. The limit is two and not
+ * one because all requests that ran together with the culprit are suspect as well, and a
+ * single loss does not show which one caused it. Harmless requests are cleared when they
+ * succeed. Marks move with the ranges, so the count covers all owners. Not thread-safe.
  */
 public final class CrashHistory {
 
-	/** So many losses a request may be part of; from then on it is refused. */
+	/** The number of losses from which on a request is refused. */
 	public static final int MAX_CRASHES = 2;
 
 	/**
-	 * Twenty losses, each with 17 slots in use, stay below this even if no suspect ever
-	 * clears itself.
+	 * Twenty losses with 17 slots in use each stay below this even if no suspect is ever
+	 * cleared.
 	 */
 	private static final int MAX_MARKS = 512;
 
-	/** In the order of their latest change. */
+	/** Ordered by latest change. */
 	private final LinkedHashMap<Long, Suspect> suspects = new LinkedHashMap<>();
 
 	/**
-	 * A request was running when its backend server was lost.
-	 * @param mark the request's mark, see {@link CallerRequest#crashFingerprint()}
+	 * Records that a request was running when its backend server was lost.
+	 * @param fingerprint the request's fingerprint, see
+	 * {@link CallerRequest#crashFingerprint()}
 	 * @param point the point of its key or id
-	 * @return how many losses it was part of by now
+	 * @return the number of losses that it was part of so far
 	 */
-	public int recordCrash(long mark, KeyHash point) {
-		int crashes = crashCount(mark) + 1;
-		put(mark, new Suspect(crashes, Optional.of(point)));
+	public int recordCrash(long fingerprint, KeyHash point) {
+		int crashes = crashCount(fingerprint) + 1;
+		put(fingerprint, new Suspect(crashes, Optional.of(point)));
 		return crashes;
 	}
 
 	/**
-	 * A request ended well; it is no longer suspect.
-	 * @param mark the request's mark
+	 * Records that a request succeeded, so that it is no longer suspect.
+	 * @param fingerprint the request's fingerprint
 	 */
-	public void recordSuccess(long mark) {
-		this.suspects.remove(mark);
+	public void recordSuccess(long fingerprint) {
+		this.suspects.remove(fingerprint);
 	}
 
 	/**
-	 * Takes over what earlier owners counted. The higher count holds, since each owner
-	 * counts on from what it was told.
-	 * @param marks the earlier owners' marks
+	 * Merges the counts of earlier owners. The higher count is kept, since each owner
+	 * continues from the count that it received.
+	 * @param marks the marks of earlier owners
 	 */
 	public void merge(List<CrashMark> marks) {
 		marks.forEach((mark) -> {
@@ -69,17 +70,17 @@
 	}
 
 	/**
-	 * How many losses a request was part of.
-	 * @param mark the request's mark
+	 * Returns the number of losses that a request was part of.
+	 * @param fingerprint the request's fingerprint
 	 * @return 0 if it is not suspect
 	 */
-	public int crashCount(long mark) {
-		Suspect suspect = this.suspects.get(mark);
+	public int crashCount(long fingerprint) {
+		Suspect suspect = this.suspects.get(fingerprint);
 		return (suspect != null) ? suspect.crashes : 0;
 	}
 
 	/**
-	 * Whether nothing is suspect, as nearly always.
+	 * Returns whether nothing is suspect, which is the usual case.
 	 * @return true if there is no mark
 	 */
 	public boolean isEmpty() {
@@ -87,8 +88,9 @@
 	}
 
 	/**
-	 * The marks that go with a range to its next owner: those of its points and those
-	 * that came from elsewhere; the highest counts first, then the latest.
+	 * Returns the marks that move with a range to its next owner: those of its points and
+	 * those that were received from earlier owners, highest counts first, then latest
+	 * first.
 	 * @param range the range
 	 * @return at most {@link CrashMark#MAX_PER_RANGE}
 	 */
@@ -103,10 +105,11 @@
 			.toList();
 	}
 
-	// Certain culprits are kept longest, then the latest.
-	private void put(long mark, Suspect suspect) {
-		this.suspects.remove(mark);
-		this.suspects.put(mark, suspect);
+	// Requests that are already refused are evicted last; of the others, the oldest is
+	// evicted first.
+	private void put(long fingerprint, Suspect suspect) {
+		this.suspects.remove(fingerprint);
+		this.suspects.put(fingerprint, suspect);
 		if (this.suspects.size() > MAX_MARKS) {
 			this.suspects.entrySet()
 				.stream()
--- a/core/src/main/java/org/brasspier/core/request/HeaderField.java
+++ b/core/src/main/java/org/brasspier/core/request/HeaderField.java
@@ -1,9 +1,9 @@
 package org.brasspier.core.request;
 
 /**
- * One HTTP header field that is passed through. Immutable and thread-safe.
+ * An HTTP header field that is passed through. Immutable and thread-safe.
  *
- * @param name the name of the field
+ * @param name the field's name
  * @param value its value
  */
 public record HeaderField(String name, String value) {
--- a/core/src/main/java/org/brasspier/core/request/LedgerDecision.java
+++ b/core/src/main/java/org/brasspier/core/request/LedgerDecision.java
@@ -4,24 +4,25 @@
 import org.brasspier.core.Failure;
 
 /**
- * What the ledger says to one send of a posting. Immutable and thread-safe.
+ * The decision of a {@link RequestLedger} about one send of a posting. Immutable and
+ * thread-safe.
  */
 public sealed interface LedgerDecision {
 
-	/** It has not run; run it now and tell the ledger how it ended. */
+	/** It has not run: run it now and report the outcome to the ledger. */
 	record Run() implements LedgerDecision {
 
 	}
 
-	/** An earlier send of it runs now; wait for that one's end. */
+	/** An earlier send of it is running: wait for the outcome of that one. */
 	record Join() implements LedgerDecision {
 
 	}
 
 	/**
-	 * An earlier send of it has ended; this is its answer again.
+	 * An earlier send of it has finished; its outcome is returned again.
 	 *
-	 * @param outcome how the earlier send ended
+	 * @param outcome the outcome of the earlier send
 	 */
 	record Completed(Either<Failure, Answer> outcome) implements LedgerDecision {
 
--- a/core/src/main/java/org/brasspier/core/request/LedgerLimits.java
+++ b/core/src/main/java/org/brasspier/core/request/LedgerLimits.java
@@ -1,23 +1,23 @@
 package org.brasspier.core.request;
 
 /**
- * How much a {@link RequestLedger} remembers. Immutable and thread-safe.
+ * Limits on what a {@link RequestLedger} remembers. Immutable and thread-safe.
  *
- * @param entries how many postings
- * @param answerBytes how many bytes of answers
- * @param horizonMillis for how long, in milliseconds
+ * @param entries the maximum number of postings
+ * @param answerBytes the maximum size of all kept answers, in bytes
+ * @param horizonMillis how long a posting is remembered, in milliseconds
  */
 public record LedgerLimits(int entries, int answerBytes, long horizonMillis) {
 
 	/**
-	 * 65,536 postings are 10 minutes of about 110 a second, ten times what an owner of
-	 * today's size admits; 4 MB of answers are kept, since a resend comes within seconds.
+	 * 65,536 postings are 10 minutes at about 110 per second, ten times what an owner of
+	 * today's size admits. 4 MB of answers are kept, since retries arrive within seconds.
 	 * Ten minutes is the longest deadline.
 	 */
 	public static final LedgerLimits DEFAULT = new LedgerLimits(65_536, 4 << 20, 600_000);
 
 	/**
-	 * Checks the numbers.
+	 * Validates the limits.
 	 * @throws IllegalArgumentException if one is not positive
 	 */
 	public LedgerLimits {
--- a/core/src/main/java/org/brasspier/core/request/Posting.java
+++ b/core/src/main/java/org/brasspier/core/request/Posting.java
@@ -5,10 +5,11 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * A posting as the ledger of its owner knows it. Immutable and thread-safe.
+ * A posting, which is a request that must not run twice, as the ledger of its owner
+ * identifies it. Immutable and thread-safe.
  *
  * @param service its service
- * @param fence the present fence of the range its key or id is in
+ * @param fence the current fence of the range that contains its key or id
  * @param id its id
  * @param fingerprint a hash of its contents, see {@link CallerRequest#fingerprint()}
  */
--- a/core/src/main/java/org/brasspier/core/request/RequestIdentity.java
+++ b/core/src/main/java/org/brasspier/core/request/RequestIdentity.java
@@ -5,11 +5,12 @@
 import org.brasspier.core.RequestId;
 
 /**
- * What tells one request from another. Immutable and thread-safe.
+ * Distinguishes one request from another. Immutable and thread-safe.
  *
- * @param id the id, the same on each resend
- * @param generated whether the entry daemon made the id up, so that no resend repeats it
- * @param firstAttempt whether the caller says that no earlier send can have run
+ * @param id the id, the same for each retry
+ * @param generated whether the entry daemon generated the id, so that a retry of the
+ * caller has another one
+ * @param firstAttempt whether the caller states that no earlier attempt can have run
  * @param ticket the ticket that binds a posting to the owner that may run it
  */
 public record RequestIdentity(RequestId id, boolean generated, boolean firstAttempt, Optional<String> ticket) {
--- a/core/src/main/java/org/brasspier/core/request/RequestLedger.java
+++ b/core/src/main/java/org/brasspier/core/request/RequestLedger.java
@@ -14,19 +14,20 @@
  * Remembers the postings that one owner process has admitted, so that none runs twice.
  *
  * <p>
- * The harm it prevents: a booking whose answer was lost is sent again and bills a marina
- * twice. Why it holds: a posting runs only under the issuer and fence of its ticket, so
- * all its runs would be at this one process; here it runs only if its id is not
- * remembered <em>and</em> its ticket is younger than all that was forgotten. Each send
- * repeats the ticket, so an id that was admitted and forgotten always comes with a ticket
- * that is too old.
+ * It guards against a booking whose answer was lost: the caller retries it, and a marina
+ * is billed twice. The guarantee follows from two rules. A posting runs only under the
+ * issuer and fence of its ticket, so all its runs would be in this one process. In this
+ * process it runs only if its id is not remembered <em>and</em> its ticket is newer than
+ * all forgotten entries. Each retry repeats the ticket, so an id that was admitted and
+ * forgotten always comes with a ticket that is too old.
  *
  * <p>
- * Made for some hundred postings a second at each owner: {@link LedgerLimits#entries()}
- * bounds the memory at that load, and where a burst fills it the oldest are forgotten
- * early, which makes old tickets worthless but never lets anything run twice. Entries of
- * a fence that is no longer held are kept too: a member whose lease lapsed may be granted
- * the same fence again. Not thread-safe.
+ * It is made for some hundred postings per second at each owner:
+ * {@link LedgerLimits#entries()} bounds the memory at that load. If a burst exceeds the
+ * limit, the oldest entries are forgotten early, which invalidates old tickets but never
+ * lets a posting run twice. Entries of a fence that is no longer held are kept too,
+ * because a member whose lease lapsed may be granted the same fence again. Not
+ * thread-safe.
  */
 public final class RequestLedger {
 
@@ -34,18 +35,19 @@
 
 	private final LedgerLimits limits;
 
-	/** In the order of admission, so the oldest come first. */
+	/** Ordered by admission, oldest first. */
 	private final LinkedHashMap<EntryKey, Entry> entries = new LinkedHashMap<>();
 
 	private long forgottenUpToMillis;
 
-	private long keptBytes;
+	private long keptAnswerBytes;
 
 	/**
-	 * Creates a ledger that remembers nothing and has forgotten nothing.
+	 * Creates an empty ledger that has forgotten nothing.
 	 * @param issuer a random number for this process
-	 * @param limits how much it remembers
-	 * @param nowMillis the time on this process's monotonic clock
+	 * @param limits limits on what it remembers
+	 * @param nowMillis the current time, in milliseconds of this process's monotonic
+	 * clock
 	 */
 	public RequestLedger(long issuer, LedgerLimits limits, long nowMillis) {
 		this.issuer = issuer;
@@ -56,8 +58,8 @@
 	/**
 	 * Issues a ticket for the next posting.
 	 * @param service the service
-	 * @param fence the present fence of the range
-	 * @param nowMillis the time on the monotonic clock
+	 * @param fence the current fence of the range
+	 * @param nowMillis the current time, in milliseconds of the monotonic clock
 	 * @return the ticket
 	 */
 	public Ticket issueTicket(ServiceName service, Fence fence, long nowMillis) {
@@ -65,47 +67,47 @@
 	}
 
 	/**
-	 * Decides about one send of a posting.
-	 * @param posting the posting, with the present fence of its range
-	 * @param ticket the ticket it came with
-	 * @param firstSend whether the caller says that no earlier send can have run
-	 * @param nowMillis the time on the monotonic clock
-	 * @return what to do with it
+	 * Decides whether one send of a posting may run.
+	 * @param posting the posting, with the current fence of its range
+	 * @param ticket the ticket that came with it
+	 * @param firstAttempt whether the caller states that no earlier attempt can have run
+	 * @param nowMillis the current time, in milliseconds of the monotonic clock
+	 * @return the decision
 	 */
-	public LedgerDecision admit(Posting posting, Optional<Ticket> ticket, boolean firstSend, long nowMillis) {
+	public LedgerDecision admit(Posting posting, Optional<Ticket> ticket, boolean firstAttempt, long nowMillis) {
 		forgetOlderThan(nowMillis - this.limits.horizonMillis());
 		if (ticket.isEmpty()) {
 			return refused(ErrorKind.TICKET_REQUIRED, "a posting needs a ticket; send it with the one in this answer");
 		}
-		return checkTicket(posting, ticket.get(), firstSend)
-			.orElseGet(() -> admitHere(posting, ticket.get(), firstSend, nowMillis));
+		return checkTicket(posting, ticket.get(), firstAttempt)
+			.orElseGet(() -> admitHere(posting, ticket.get(), firstAttempt, nowMillis));
 	}
 
-	private Optional<LedgerDecision> checkTicket(Posting posting, Ticket ticket, boolean firstSend) {
+	private Optional<LedgerDecision> checkTicket(Posting posting, Ticket ticket, boolean firstAttempt) {
 		if (!ticket.service().equals(posting.service())) {
 			return Optional.of(refused(ErrorKind.TICKET_REQUIRED,
 					"the ticket is for service %s; send with the one in this answer".formatted(ticket.service())));
 		}
 		if (ticket.fence().olderThan(posting.fence())) {
-			return Optional.of(possiblyRan(firstSend, "the owner has changed since the ticket was issued"));
+			return Optional.of(possiblyRan(firstAttempt, "the owner has changed since the ticket was issued"));
 		}
 		if (!ticket.fence().equals(posting.fence()) || ticket.issuer() != this.issuer) {
-			// No owner of this key ever ran anything with this ticket: each demands its
-			// own issuer and fence. So "not run" is certain.
+			// No owner of this key ever ran anything with this ticket, because each one
+			// requires its own issuer and fence. So it certainly did not run.
 			return Optional.of(refused(ErrorKind.TICKET_REQUIRED,
 					"the ticket is for another key's range; send with the one in this answer"));
 		}
 		return Optional.empty();
 	}
 
-	private LedgerDecision admitHere(Posting posting, Ticket ticket, boolean firstSend, long nowMillis) {
+	private LedgerDecision admitHere(Posting posting, Ticket ticket, boolean firstAttempt, long nowMillis) {
 		EntryKey key = EntryKey.of(posting);
 		Entry known = this.entries.get(key);
 		if (known != null) {
-			return repeat(known, posting);
+			return decideRetry(known, posting);
 		}
 		if (ticket.issuedAtMillis() <= this.forgottenUpToMillis) {
-			return possiblyRan(firstSend, "the ticket is older than what its owner remembers");
+			return possiblyRan(firstAttempt, "the ticket is older than what its owner remembers");
 		}
 		if (this.entries.size() >= this.limits.entries() && !forgetOldest()) {
 			return refused(ErrorKind.OVERLOADED, "too many postings are in progress");
@@ -114,22 +116,22 @@
 		return new LedgerDecision.Run();
 	}
 
-	private static LedgerDecision repeat(Entry known, Posting posting) {
+	private static LedgerDecision decideRetry(Entry known, Posting posting) {
 		if (known.fingerprint != posting.fingerprint()) {
 			return refused(ErrorKind.ID_REUSED, "request id %s was used for other contents".formatted(posting.id()));
 		}
 		if (known.inProgress) {
 			return new LedgerDecision.Join();
 		}
-		return known.end.<LedgerDecision>map(LedgerDecision.Completed::new)
+		return known.outcome.<LedgerDecision>map(LedgerDecision.Completed::new)
 			.orElseGet(
 					() -> refused(ErrorKind.POSSIBLY_RAN_BEFORE, "the posting has run; its answer is no longer kept"));
 	}
 
-	private static LedgerDecision possiblyRan(boolean firstSend, String why) {
-		return (firstSend)
-				? refused(ErrorKind.TICKET_REQUIRED, why + "; send the posting with the ticket in this answer")
-				: refused(ErrorKind.POSSIBLY_RAN_BEFORE, why + "; an earlier send may have run");
+	private static LedgerDecision possiblyRan(boolean firstAttempt, String reason) {
+		return (firstAttempt)
+				? refused(ErrorKind.TICKET_REQUIRED, reason + "; send the posting with the ticket in this answer")
+				: refused(ErrorKind.POSSIBLY_RAN_BEFORE, reason + "; an earlier attempt may have run");
 	}
 
 	private static LedgerDecision refused(ErrorKind kind, String detail) {
@@ -137,26 +139,27 @@
 	}
 
 	/**
-	 * An admitted posting ended, and its outcome is final: a resend gets it again.
+	 * Records the final outcome of an admitted posting; a retry gets the same outcome.
 	 * @param posting the posting as it was admitted
-	 * @param end how it ended
+	 * @param outcome the outcome
 	 */
-	public void recordOutcome(Posting posting, Either<Failure, Answer> end) {
+	public void recordOutcome(Posting posting, Either<Failure, Answer> outcome) {
 		Entry entry = this.entries.get(EntryKey.of(posting));
 		if (entry == null) {
 			return;
 		}
 		entry.inProgress = false;
-		int bytes = end.map(RequestLedger::size).getOrElse(0);
+		int bytes = outcome.map(RequestLedger::size).getOrElse(0);
 		if (bytes <= this.limits.answerBytes()) {
-			entry.end = Optional.of(end);
-			this.keptBytes += bytes;
+			entry.outcome = Optional.of(outcome);
+			this.keptAnswerBytes += bytes;
 			dropOldestAnswers();
 		}
 	}
 
 	/**
-	 * An admitted posting certainly did not run and will not; a resend may run it.
+	 * Records that an admitted posting certainly did not run and will not; a retry may
+	 * run it.
 	 * @param posting the posting as it was admitted
 	 */
 	public void recordNotRun(Posting posting) {
@@ -164,7 +167,7 @@
 	}
 
 	/**
-	 * How many postings are remembered.
+	 * Returns the number of remembered postings.
 	 * @return at most the limit
 	 */
 	public int size() {
@@ -195,24 +198,24 @@
 
 	private void forget(Entry entry) {
 		this.forgottenUpToMillis = Math.max(this.forgottenUpToMillis, entry.admittedAtMillis);
-		release(entry);
+		dropAnswer(entry);
 	}
 
 	private void dropOldestAnswers() {
-		if (this.keptBytes <= this.limits.answerBytes()) {
+		if (this.keptAnswerBytes <= this.limits.answerBytes()) {
 			return;
 		}
 		for (Entry entry : this.entries.values()) {
-			release(entry);
-			if (this.keptBytes <= this.limits.answerBytes()) {
+			dropAnswer(entry);
+			if (this.keptAnswerBytes <= this.limits.answerBytes()) {
 				return;
 			}
 		}
 	}
 
-	private void release(Entry entry) {
-		entry.end.ifPresent((end) -> this.keptBytes -= end.map(RequestLedger::size).getOrElse(0));
-		entry.end = Optional.empty();
+	private void dropAnswer(Entry entry) {
+		entry.outcome.ifPresent((outcome) -> this.keptAnswerBytes -= outcome.map(RequestLedger::size).getOrElse(0));
+		entry.outcome = Optional.empty();
 	}
 
 	private static int size(Answer answer) {
@@ -239,7 +242,7 @@
 
 		private boolean inProgress = true;
 
-		private Optional<Either<Failure, Answer>> end = Optional.empty();
+		private Optional<Either<Failure, Answer>> outcome = Optional.empty();
 
 		Entry(long fingerprint, long admittedAtMillis) {
 			this.fingerprint = fingerprint;
--- a/core/src/main/java/org/brasspier/core/request/Ticket.java
+++ b/core/src/main/java/org/brasspier/core/request/Ticket.java
@@ -9,17 +9,19 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * What binds a posting to the one owner process that may run it: it runs only where the
+ * Binds a posting to the one owner process that may run it: it runs only where the
  * issuer, the service and the fence of its key's range equal those of its ticket, so two
- * owners never both run it. Bound to the fence and not to the range, since a split
+ * owners never both run it. It is bound to the fence and not to the range because a split
  * changes the range of a key but neither its owner nor its fence. Immutable and
  * thread-safe.
  *
- * @param service the service it is good for
- * @param fence the fence it was issued under
- * @param issuer a random number of the owner's process; one write may grant ranges to
- * several instances under the same fence, and their clocks and memories differ
- * @param issuedAtMillis when it was issued, on the issuer's monotonic clock
+ * @param service the service that it is valid for
+ * @param fence the fence under which it was issued
+ * @param issuer a random number of the owner's process, needed because one write may
+ * grant ranges to several instances under the same fence, and their clocks and ledgers
+ * differ
+ * @param issuedAtMillis when it was issued, in milliseconds of the issuer's monotonic
+ * clock
  */
 public record Ticket(ServiceName service, Fence fence, long issuer, long issuedAtMillis) {
 
@@ -29,19 +31,20 @@
 		.compile("(1~([A-Za-z0-9._-]{1,64})~([0-9a-f]{1,16})~([0-9a-f]{1,16})~([0-9a-f]{1,16}))~([0-9a-f]{8})");
 
 	/**
-	 * Checks the fence.
-	 * @throws IllegalArgumentException if there is no fence
+	 * Validates the fence.
+	 * @throws IllegalArgumentException if the fence is {@link Fence#NONE}
 	 */
 	public Ticket {
 		if (fence.equals(Fence.NONE)) {
-			throw new IllegalArgumentException("a ticket needs the fence it was issued under, not 0");
+			throw new IllegalArgumentException("a ticket must have the fence under which it was issued, not 0");
 		}
 	}
 
 	/**
-	 * Whether a posting with this ticket certainly does not run, wherever it is sent: no
-	 * owner of its key holds a fence as old as the ticket's any more.
-	 * @param present a fence that the key's range is known to have had before the sending
+	 * Returns whether a posting with this ticket certainly does not run, wherever it is
+	 * sent, because no owner of its key holds a fence as old as the ticket's any more.
+	 * @param present a fence that the key's range is known to have had before the posting
+	 * was sent
 	 * @return false if an owner may admit it
 	 */
 	public boolean isStaleUnder(Fence present) {
@@ -49,7 +52,8 @@
 	}
 
 	/**
-	 * The text for callers, with a checksum so that a damaged one is refused.
+	 * Encodes the ticket for callers, with a checksum so that a corrupted one is
+	 * rejected.
 	 * @return visible ASCII characters
 	 */
 	public String text() {
@@ -59,9 +63,9 @@
 	}
 
 	/**
-	 * Reads a caller's text.
+	 * Decodes the text that a caller sent.
 	 * @param text the text
-	 * @return empty if it is malformed or damaged
+	 * @return empty if it is malformed or corrupted
 	 */
 	public static Optional<Ticket> parse(String text) {
 		Matcher matcher = TEXT.matcher(text);
--- a/core/src/main/java/org/brasspier/core/request/package-info.java
+++ b/core/src/main/java/org/brasspier/core/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A caller's request and its answer, as they travel through the daemons.
+ * A caller's request and its answer, and what daemons remember of them.
  */
 @NullMarked
 package org.brasspier.core.request;
--- a/core/src/test/java/org/brasspier/core/request/CrashHistoryTests.java
+++ b/core/src/test/java/org/brasspier/core/request/CrashHistoryTests.java
@@ -14,9 +14,10 @@
 	private static final KeyRange RANGE = new KeyRange(0, 10);
 
 	@Test
-	void theSecondOwnersCrashCountsOnFromTheFirsts() {
-		// A request crashed the first owner's server. Its range, and the mark with it,
-		// went to the second owner, whose server it crashed too. The third must refuse.
+	void crashesAreCountedAcrossOwners() {
+		// A request crashes the server of the first owner. Its range and mark move to the
+		// second owner, whose server crashes as well. The third owner must refuse the
+		// request.
 		CrashHistory first = new CrashHistory();
 		first.recordCrash(77, POINT);
 		CrashHistory second = new CrashHistory();
@@ -29,14 +30,14 @@
 	}
 
 	@Test
-	void marksOfOtherRangesStay() {
+	void marksOfOtherRangesDoNotMove() {
 		CrashHistory marks = new CrashHistory();
 		marks.recordCrash(77, POINT);
 		assertThat(marks.marksFor(new KeyRange(10, 20))).isEmpty();
 	}
 
 	@Test
-	void aRequestThatEndsWellIsNoLongerSuspect() {
+	void aRequestThatSucceedsIsNoLongerSuspect() {
 		CrashHistory marks = new CrashHistory();
 		marks.recordCrash(77, POINT);
 		marks.recordSuccess(77);
@@ -44,7 +45,7 @@
 	}
 
 	@Test
-	void theHighestCountsTravelAndAreForgottenLast() {
+	void theHighestCountsMoveWithTheRangeAndAreEvictedLast() {
 		CrashHistory marks = new CrashHistory();
 		marks.recordCrash(500, POINT);
 		marks.recordCrash(500, POINT);
--- a/core/src/test/java/org/brasspier/core/request/RequestLedgerDifferentialTests.java
+++ b/core/src/test/java/org/brasspier/core/request/RequestLedgerDifferentialTests.java
@@ -19,8 +19,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Puts the same random sends through small ledgers of changing owners and through a naive
- * record that remembers all that ever ran anywhere.
+ * Runs the same random sends through small ledgers of changing owners and through a naive
+ * record of everything that ever ran, and compares the results.
  */
 class RequestLedgerDifferentialTests {
 
@@ -44,22 +44,22 @@
 
 	private int ran;
 
-	private int ranAtOnceWithAFreshTicket;
+	private int ranFirstAttempt;
 
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
-	void noIdRunsTwiceHoweverOwnersAndMemoryChange(long seed) {
+	void noIdRunsTwiceWhenOwnersChangeAndEntriesAreForgotten(long seed) {
 		this.random = new Random(seed);
 		for (int step = 0; step < STEPS; step++) {
 			this.now += this.random.nextInt(20);
 			switch (this.random.nextInt(100)) {
 				case 0 -> loseOwner();
-				case 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15 -> endOne();
+				case 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15 -> finishOne();
 				default -> sendOne(step);
 			}
 		}
 		assertThat(this.ran).isGreaterThan(1000);
-		assertThat(this.ranAtOnceWithAFreshTicket).isGreaterThan(1000);
+		assertThat(this.ranFirstAttempt).isGreaterThan(1000);
 	}
 
 	private RequestLedger newOwner() {
@@ -72,7 +72,7 @@
 		this.owner = newOwner();
 	}
 
-	private void endOne() {
+	private void finishOne() {
 		if (this.running.isEmpty()) {
 			return;
 		}
@@ -99,7 +99,7 @@
 			assertThat(this.everRan.add(id)).isTrue();
 			this.running.add(posting);
 			this.ran++;
-			this.ranAtOnceWithAFreshTicket += (known) ? 0 : 1;
+			this.ranFirstAttempt += (known) ? 0 : 1;
 		}
 		else if (admission instanceof LedgerDecision.Completed || admission instanceof LedgerDecision.Join) {
 			assertThat(this.everRan).contains(id);
--- a/core/src/test/java/org/brasspier/core/request/RequestLedgerTests.java
+++ b/core/src/test/java/org/brasspier/core/request/RequestLedgerTests.java
@@ -22,16 +22,16 @@
 	private final RequestLedger ledger = new RequestLedger(99, new LedgerLimits(3, 100, 600_000), 0);
 
 	@Test
-	void aPostingWithoutATicketIsAskedForOne() {
+	void aPostingWithoutATicketIsRefused() {
 		assertThat(refusal(this.ledger.admit(posting("a"), Optional.empty(), true, 1)))
 			.isEqualTo(ErrorKind.TICKET_REQUIRED);
 	}
 
 	@Test
-	void aResendWaitsForTheFirstAndThenGetsItsAnswerAgain() {
-		// A crew's booking ran, but the answer was lost on the way. The crew sends it
-		// again, first while it still runs, then afterwards. It must run once, and both
-		// resends must end with the answer of that run.
+	void aRetryWaitsForTheFirstAttemptAndThenGetsItsAnswer() {
+		// A crew's booking runs, but its answer is lost. The crew retries it while it
+		// runs and again afterwards. It must run once, and both retries must get the
+		// answer of that run.
 		Optional<Ticket> ticket = ticket(1);
 		assertThat(this.ledger.admit(posting("a"), ticket, false, 2)).isInstanceOf(LedgerDecision.Run.class);
 		assertThat(this.ledger.admit(posting("a"), ticket, false, 3)).isInstanceOf(LedgerDecision.Join.class);
@@ -41,23 +41,23 @@
 	}
 
 	@Test
-	void aPostingThatCertainlyDidNotRunMayRunLater() {
+	void aPostingThatDidNotRunMayRunLater() {
 		this.ledger.admit(posting("a"), ticket(1), false, 2);
 		this.ledger.recordNotRun(posting("a"));
 		assertThat(this.ledger.admit(posting("a"), ticket(1), false, 3)).isInstanceOf(LedgerDecision.Run.class);
 	}
 
 	@Test
-	void theSameIdWithOtherContentsIsRefused() {
+	void anIdReusedForOtherContentsIsRefused() {
 		this.ledger.admit(posting("a"), ticket(1), false, 2);
 		Posting other = new Posting(HULLBOOK, FENCE, new RequestId("a"), 2);
 		assertThat(refusal(this.ledger.admit(other, ticket(1), false, 3))).isEqualTo(ErrorKind.ID_REUSED);
 	}
 
 	@Test
-	void aTicketOfAnEarlierOwnerDoesNotRunAgain() {
-		// The first owner ran a return and was lost before it answered. The desk sends it
-		// again, and it reaches the next owner, who can't know of it.
+	void aPostingWithATicketOfAnEarlierOwnerDoesNotRun() {
+		// The first owner ran a return and was lost before it answered. The desk retries
+		// it, and it reaches the next owner, which can't know of it.
 		Optional<Ticket> old = Optional.of(new Ticket(HULLBOOK, new Fence(6), 5, 1));
 		assertThat(refusal(this.ledger.admit(posting("a"), old, false, 2))).isEqualTo(ErrorKind.POSSIBLY_RAN_BEFORE);
 		assertThat(refusal(this.ledger.admit(posting("a"), old, true, 2))).isEqualTo(ErrorKind.TICKET_REQUIRED);
@@ -70,9 +70,9 @@
 	}
 
 	@Test
-	void aTicketOlderThanWhatWasForgottenDoesNotRun() {
-		// More postings come than the ledger holds. The oldest is forgotten; its resend
-		// must not run again, while a new ticket is good.
+	void aPostingWithATicketOlderThanAForgottenOneDoesNotRun() {
+		// More postings arrive than the ledger holds, so the oldest is forgotten. Its
+		// retry must not run again, while a new ticket is accepted.
 		Optional<Ticket> early = ticket(1);
 		List.of("a", "b", "c", "d").forEach((id) -> {
 			assertThat(this.ledger.admit(posting(id), early, false, 2)).isInstanceOf(LedgerDecision.Run.class);
@@ -84,14 +84,14 @@
 	}
 
 	@Test
-	void whatIsInProgressIsNeverForgotten() {
+	void postingsInProgressAreNeverForgotten() {
 		List.of("a", "b", "c").forEach((id) -> this.ledger.admit(posting(id), ticket(1), false, 2));
 		assertThat(refusal(this.ledger.admit(posting("d"), ticket(1), false, 3))).isEqualTo(ErrorKind.OVERLOADED);
 		assertThat(this.ledger.admit(posting("a"), ticket(1), false, 900_000)).isInstanceOf(LedgerDecision.Join.class);
 	}
 
 	@Test
-	void anAnswerThatIsNoLongerKeptStillDoesNotRunAgain() {
+	void aPostingWhoseAnswerIsNoLongerKeptDoesNotRunAgain() {
 		for (String id : List.of("a", "b")) {
 			this.ledger.admit(posting(id), ticket(1), false, 2);
 			this.ledger.recordOutcome(posting(id), Either.right(new Answer(200, List.of(), new byte[80])));
