--- a/core/src/main/java/org/brasspier/core/retry/LostConnectionRetries.java
+++ b/core/src/main/java/org/brasspier/core/retry/LostConnectionRetries.java
@@ -3,13 +3,14 @@
 import java.time.Duration;
 
 /**
- * Whether all requests that wait on a connection may be sent again once it is lost. Made
- * for connections that go silent for good while new ones work: all that waits is lost at
- * once, which may be far more than a {@link RetryBudget} has saved up, though the peer is
- * well. What waits has come since the connection was heard last. One that was in use ten
- * times as long before has carried the fresh requests that pay for it. A peer that stalls
- * again and again loses its connections sooner, and resends to it are paid from the
- * budget. Stateless and thread-safe.
+ * Decides whether the requests that are pending on a lost connection may all be retried
+ * without charging the {@link RetryBudget}. It is made for connections that go silent
+ * permanently while new ones work: all pending requests are lost at once, which may be
+ * far more than the budget has saved up, although the peer is healthy. The pending
+ * requests were sent since the connection was last heard from. A connection that was in
+ * use ten times as long before has carried the new requests that pay for the retries. A
+ * peer that stalls repeatedly loses its connections sooner, and retries to it are charged
+ * to the budget. Stateless and thread-safe.
  */
 public final class LostConnectionRetries {
 
@@ -17,10 +18,10 @@
 	}
 
 	/**
-	 * Whether a connection has carried enough.
-	 * @param used from its opening until it was heard last
+	 * Returns whether a connection has carried enough requests.
+	 * @param used from its opening until it was last heard from
 	 * @param silent from then until it was lost
-	 * @return true if what waits on it needs no budget
+	 * @return true if the requests pending on it need no budget
 	 */
 	public static boolean exemptFromBudget(Duration used, Duration silent) {
 		return used.toNanos() * RetryBudget.DEFAULT_SHARE >= silent.toNanos();
--- a/core/src/main/java/org/brasspier/core/retry/RecentLatencies.java
+++ b/core/src/main/java/org/brasspier/core/retry/RecentLatencies.java
@@ -5,65 +5,66 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long requests took lately, in two halves that replace each other. One significant
- * digit keeps it to some 3 kB. Not thread-safe.
+ * The latencies of recent requests, in two histograms of which the newer one replaces the
+ * older one in turn. With one significant digit they take some 3 kB. Not thread-safe.
  */
 public final class RecentLatencies {
 
-	private static final long LONGEST_MICROS = Duration.ofMinutes(10).toNanos() / 1000;
+	private static final long MAX_MICROS = Duration.ofMinutes(10).toNanos() / 1000;
 
-	private final long halfNanos;
+	private final long windowNanos;
 
-	private Histogram present = histogram();
+	private Histogram current = newHistogram();
 
-	private Histogram past = histogram();
+	private Histogram previous = newHistogram();
 
-	private long turnNanos;
+	private long rotateAtNanos;
 
 	/**
-	 * Creates times that hold nothing.
-	 * @param window how far back they reach at least
-	 * @param now the time, in nanoseconds
+	 * Creates empty histograms.
+	 * @param window the minimum time that is covered
+	 * @param nowNanos the current time, in nanoseconds of the steady clock
 	 */
-	public RecentLatencies(Duration window, long now) {
-		this.halfNanos = window.toNanos();
-		this.turnNanos = now + this.halfNanos;
+	public RecentLatencies(Duration window, long nowNanos) {
+		this.windowNanos = window.toNanos();
+		this.rotateAtNanos = nowNanos + this.windowNanos;
 	}
 
 	/**
-	 * Adds one request.
-	 * @param tookNanos how long it took
-	 * @param now the time, in nanoseconds
+	 * Adds the latency of one request.
+	 * @param latencyNanos the latency, in nanoseconds
+	 * @param nowNanos the current time, in nanoseconds of the steady clock
 	 */
-	public void record(long tookNanos, long now) {
-		if (now - this.turnNanos >= 0) {
-			this.past = this.present;
-			this.present = histogram();
-			this.turnNanos = now + this.halfNanos;
+	public void record(long latencyNanos, long nowNanos) {
+		if (nowNanos - this.rotateAtNanos >= 0) {
+			this.previous = this.current;
+			this.current = newHistogram();
+			this.rotateAtNanos = nowNanos + this.windowNanos;
 		}
-		this.present.recordValue(Math.clamp(tookNanos / 1000, 1, LONGEST_MICROS));
+		this.current.recordValue(Math.clamp(latencyNanos / 1000, 1, MAX_MICROS));
 	}
 
 	/**
-	 * The time that a share of requests kept to.
-	 * @param percentile the share, in percent
+	 * Returns a percentile of the latencies.
+	 * @param percentile the percentile, from 0 to 100
 	 * @return zero if nothing was recorded
 	 */
 	public Duration percentile(double percentile) {
-		Histogram full = (this.past.getTotalCount() > this.present.getTotalCount()) ? this.past : this.present;
-		return Duration.ofNanos(full.getValueAtPercentile(percentile) * 1000);
+		Histogram larger = (this.previous.getTotalCount() > this.current.getTotalCount()) ? this.previous
+				: this.current;
+		return Duration.ofNanos(larger.getValueAtPercentile(percentile) * 1000);
 	}
 
 	/**
-	 * How many requests the figures stand on.
+	 * Returns the number of requests that the percentiles are based on.
 	 * @return at least 0
 	 */
 	public long count() {
-		return Math.max(this.past.getTotalCount(), this.present.getTotalCount());
+		return Math.max(this.previous.getTotalCount(), this.current.getTotalCount());
 	}
 
-	private static Histogram histogram() {
-		return new Histogram(1, LONGEST_MICROS, 1);
+	private static Histogram newHistogram() {
+		return new Histogram(1, MAX_MICROS, 1);
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/brasspier/core/retry/RetryBudget.java
@@ -1,18 +1,19 @@
 package org.brasspier.core.retry;
 
 /**
- * How many resends the fresh requests pay for. Made for outages: when everything fails,
- * each request sent three more times makes four times the load just as servers come back.
- * Not thread-safe.
+ * Limits retries to a share of the new requests. It is made for outages: if everything
+ * fails and each request is sent three more times, servers get four times the load just
+ * as they come back. Not thread-safe.
  */
 public final class RetryBudget {
 
-	/** Ten fresh requests pay for one resend, so load grows by a tenth at most. */
+	/** Ten new requests pay for one retry, so load grows by at most a tenth. */
 	public static final double DEFAULT_SHARE = 0.1;
 
 	/**
-	 * What can be saved up: enough for the blip when a range moves, too little for a
-	 * storm after an outage however long it was quiet.
+	 * The maximum that can be saved up: enough for the brief failures while a range
+	 * moves, too little for a retry storm after an outage, however long it was quiet
+	 * before.
 	 */
 	public static final int DEFAULT_MOST_SAVED = 20;
 
@@ -24,8 +25,8 @@
 
 	/**
 	 * Creates a full budget.
-	 * @param share what one fresh request adds, from 0 to 1
-	 * @param mostSaved the most resends that can be saved up, at least 1
+	 * @param share the retries that each new request adds, from 0 to 1
+	 * @param mostSaved the maximum number of retries that can be saved up, at least 1
 	 */
 	public RetryBudget(double share, int mostSaved) {
 		if (!(share >= 0 && share <= 1) || mostSaved < 1) {
@@ -38,7 +39,7 @@
 	}
 
 	/**
-	 * A budget with the usual share.
+	 * Creates a budget with the default share and maximum.
 	 * @return a full budget
 	 */
 	public static RetryBudget withDefaults() {
@@ -46,8 +47,8 @@
 	}
 
 	/**
-	 * Takes another bound of what can be saved up; what is saved beyond it is lost.
-	 * @param most the most resends that can be saved up, at least 1
+	 * Changes the maximum that can be saved up; anything saved beyond it is discarded.
+	 * @param most the maximum number of retries that can be saved up, at least 1
 	 */
 	public void setMostSaved(int most) {
 		this.mostSaved = most;
@@ -55,23 +56,23 @@
 	}
 
 	/**
-	 * Counts a request that is sent for the first time.
+	 * Records a request that is sent for the first time.
 	 */
 	public void recordRequest() {
 		this.saved = Math.min(this.mostSaved, this.saved + this.share);
 	}
 
 	/**
-	 * Whether a resend could be paid for.
-	 * @return false if there is nothing left
+	 * Returns whether a retry could be spent.
+	 * @return false if the budget is exhausted
 	 */
 	public boolean canSpend() {
 		return this.saved >= 1;
 	}
 
 	/**
-	 * Pays for one resend.
-	 * @return false if there is nothing left, and the resend must not be
+	 * Spends one retry.
+	 * @return false if the budget is exhausted and the request must not be retried
 	 */
 	public boolean trySpend() {
 		if (!canSpend()) {
--- a/core/src/main/java/org/brasspier/core/retry/package-info.java
+++ b/core/src/main/java/org/brasspier/core/retry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * When a request may be sent a second time.
+ * Decides when a request may be sent a second time.
  */
 @NullMarked
 package org.brasspier.core.retry;
