--- a/core/src/main/java/org/brasspier/core/routing/Assignment.java
+++ b/core/src/main/java/org/brasspier/core/routing/Assignment.java
@@ -5,11 +5,11 @@
 import org.brasspier.core.KeyRange;
 
 /**
- * One range of one service with its owner. Immutable and thread-safe.
+ * The assignment of one range of a service to its owner. Immutable and thread-safe.
  *
- * @param range the points that are owned
- * @param owner the instance that owns them
- * @param fence the fence under which it does
+ * @param range the range of points
+ * @param owner the instance that owns it
+ * @param fence the fence under which it was granted
  */
 public record Assignment(KeyRange range, InstanceId owner, Fence fence) {
 
--- a/core/src/main/java/org/brasspier/core/routing/OwnershipSnapshot.java
+++ b/core/src/main/java/org/brasspier/core/routing/OwnershipSnapshot.java
@@ -9,21 +9,22 @@
 import org.brasspier.core.ownership.MarkedRange;
 
 /**
- * What the thread that keeps the lease tells the thread that serves requests. The lease
- * is checked against the monotonic clock before a request is handed to a backend server
- * and again before its answer is relayed, so a process that was paused past its lease
- * finds out by itself. Immutable and thread-safe.
+ * The ownership state that the thread that keeps the lease publishes to the thread that
+ * serves requests. The lease is checked against the monotonic clock before a request is
+ * sent to a backend server and again before its answer is forwarded, so a process that
+ * was paused beyond the end of its lease detects that by itself. Immutable and
+ * thread-safe.
  *
  * @param self this instance
  * @param routes all known assignments
- * @param held the assignments that this instance was granted; its own routes may be newer
- * or older than this
- * @param draining what it was granted and is letting go of: nothing new is admitted, what
- * is in flight may end as long as the lease runs
- * @param marked those of the held ranges that came with marks; in the same snapshot, so
- * that no request can see the range without them
- * @param leaseEndNanos when the lease ends, as {@link System#nanoTime()} counts
- * @param addresses how peers are reached
+ * @param held the assignments that were granted to this instance; the entries for this
+ * instance in {@code routes} may be newer or older
+ * @param draining granted assignments that are being released: no new requests are
+ * admitted, and requests in flight may finish as long as the lease is valid
+ * @param marked the held ranges that came with crash marks; in the same snapshot, so that
+ * no request can see a range without its marks
+ * @param leaseEndNanos the end of the lease, as {@link System#nanoTime()} counts
+ * @param addresses the addresses of the peers
  */
 public record OwnershipSnapshot(InstanceId self, RouteTable routes, RouteTable held, RouteTable draining,
 		List<MarkedRange> marked, long leaseEndNanos, PeerAddresses addresses) {
@@ -36,12 +37,12 @@
 	}
 
 	/**
-	 * A snapshot with nothing draining and no marks.
+	 * Creates a snapshot without draining assignments and without marks.
 	 * @param self this instance
 	 * @param routes all known assignments
-	 * @param held the assignments that this instance was granted
-	 * @param leaseEndNanos when the lease ends, as {@link System#nanoTime()} counts
-	 * @param addresses how peers are reached
+	 * @param held the assignments that were granted to this instance
+	 * @param leaseEndNanos the end of the lease, as {@link System#nanoTime()} counts
+	 * @param addresses the addresses of the peers
 	 */
 	public OwnershipSnapshot(InstanceId self, RouteTable routes, RouteTable held, long leaseEndNanos,
 			PeerAddresses addresses) {
@@ -49,19 +50,19 @@
 	}
 
 	/**
-	 * The assignment that covers a point, if this instance holds it now.
+	 * Finds the assignment that covers a point, if this instance holds it now.
 	 * @param service the service
 	 * @param hash the point
-	 * @param nowNanos the time, as {@link System#nanoTime()} counts
-	 * @return empty if the point isn't held or the lease has run out
+	 * @param nowNanos the current time, as {@link System#nanoTime()} counts
+	 * @return empty if the point isn't held or the lease has expired
 	 */
 	public Optional<Assignment> findHeld(ServiceName service, KeyHash hash, long nowNanos) {
 		return (isLeaseValid(nowNanos)) ? this.held.find(service, hash) : Optional.empty();
 	}
 
 	/**
-	 * Whether the lease still runs.
-	 * @param nowNanos the time, as {@link System#nanoTime()} counts
+	 * Returns whether the lease is valid.
+	 * @param nowNanos the current time, as {@link System#nanoTime()} counts
 	 * @return false from the end of the lease on
 	 */
 	public boolean isLeaseValid(long nowNanos) {
--- a/core/src/main/java/org/brasspier/core/routing/PeerAddresses.java
+++ b/core/src/main/java/org/brasspier/core/routing/PeerAddresses.java
@@ -6,7 +6,7 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * How the daemons of a cell are reached. Immutable and thread-safe.
+ * The addresses of the daemons of a cell. Immutable and thread-safe.
  *
  * @param byInstance the address of each known instance
  */
--- a/core/src/main/java/org/brasspier/core/routing/RouteTable.java
+++ b/core/src/main/java/org/brasspier/core/routing/RouteTable.java
@@ -10,13 +10,13 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * A snapshot of all assignments. A stale snapshot costs one redirect, never a wrong run,
- * since the owner's side decides. Immutable and thread-safe; a look-up takes O(log
- * ranges).
+ * A snapshot of all assignments. A stale snapshot costs one redirect but never makes a
+ * request run at the wrong instance, because the owner makes the final decision.
+ * Immutable and thread-safe; a look-up takes O(log ranges).
  */
 public final class RouteTable {
 
-	/** The table that knows of nothing. */
+	/** The table without assignments. */
 	public static final RouteTable EMPTY = new RouteTable(0, Map.of());
 
 	private final long version;
@@ -30,7 +30,7 @@
 
 	/**
 	 * Builds a snapshot.
-	 * @param version the version of the row this was read from; higher is newer
+	 * @param version the version of the row that it was read from; higher is newer
 	 * @param assignments the assignments of each service
 	 * @return the snapshot
 	 */
@@ -49,7 +49,7 @@
 	}
 
 	/**
-	 * The version of the row this snapshot was read from.
+	 * Returns the version of the row that this snapshot was read from.
 	 * @return 0 if nothing was read yet
 	 */
 	public long version() {
@@ -57,7 +57,7 @@
 	}
 
 	/**
-	 * Finds the owner of a point.
+	 * Finds the assignment of a point.
 	 * @param service the service
 	 * @param hash the point
 	 * @return the assignment that covers the point, if any is known
@@ -70,9 +70,9 @@
 	}
 
 	/**
-	 * All assignments of a service in the order of their ranges.
+	 * Returns all assignments of a service, in the order of their ranges.
 	 * @param service the service
-	 * @return empty if the service is unknown
+	 * @return an empty list if the service is unknown
 	 */
 	public List<Assignment> assignments(ServiceName service) {
 		TreeMap<Long, Assignment> index = this.byService.get(service);
--- a/core/src/main/java/org/brasspier/core/routing/package-info.java
+++ b/core/src/main/java/org/brasspier/core/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who owns what, as far as this process knows.
+ * The ownership of ranges, as far as this process knows it.
  */
 @NullMarked
 package org.brasspier.core.routing;
