--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OwnershipDuty.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OwnershipDuty.java
@@ -173,8 +173,8 @@
 		}
 	}
 
-	// Reads the weights only when the document changes: parsing them takes as long as the
-	// rest of a tick.
+	// Reads the weights only when the document changes: parsing them takes as long as
+	// the rest of a tick.
 	private void updateWeights(DocumentInForce latest) {
 		if (latest != this.weightsSource) {
 			this.weightsSource = latest;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/PeerLinks.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/PeerLinks.java
@@ -174,9 +174,8 @@
 		}
 
 		// Messages to one peer from one step of the state machine, such as a manager's
-		// beat,
-		// its answer and a heartbeat, are sent in one segment, because the headers of a
-		// segment are larger than a frame.
+		// beat, its answer and a heartbeat, are sent in one segment, because the
+		// headers of a segment are larger than a frame.
 		private void write(ControlMessage message, int version) {
 			EarlierVersion.of(message, version, PeerLinks.this.known.get())
 				.map((known) -> ControlCodec.encode(known, PeerLinks.this.context.events().stamp()))
--- a/daemon/src/main/java/org/brasspier/daemon/internal/peer/PeerConnection.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/peer/PeerConnection.java
@@ -202,8 +202,8 @@
 		write(frame).whenComplete(() -> this.unsentBytes -= frame.length);
 	}
 
-	// A piece is written only after the previous one has left this process, so that other
-	// frames wait for at most one piece.
+	// A piece is written only after the previous one has left this process, so that
+	// other frames wait for at most one piece.
 	private void sendPieces() {
 		while (!this.sendingPieces && !this.pieces.isEmpty() && this.largeFrames != LargeFrameMode.WAIT) {
 			FramePieces first = this.pieces.getFirst();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardServer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardServer.java
@@ -177,8 +177,7 @@
 		}
 
 		// An upper bound: the sender's estimate of this daemon's clock lags by the
-		// one-way
-		// delay of a message.
+		// one-way delay of a message.
 		private long delayNanos(ForwardMessage.Execute message) {
 			long now = sinceOpenedNanos();
 			return Math.max(0, now - message.sentNanos().orElse(now));
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/InFlightRequests.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/InFlightRequests.java
@@ -30,9 +30,9 @@
 
 	private final List<HeldRange> draining = new ArrayList<>();
 
-	// Reports are offered to a ring; if it is full they are offered again later. A range
-	// is not reported drained while the backend server may still use a grant of it, for
-	// example when it resumes after a pause.
+	// Reports are offered to a ring; if it is full they are offered again later. A
+	// range is not reported drained while the backend server may still use a grant of
+	// it, for example when it resumes after a pause.
 	InFlightRequests(CrashHistory marks, OwnershipReportSink reports, Predicate<HeldRange> granted) {
 		this.marks = marks;
 		this.reports = reports;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/LoadReports.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/LoadReports.java
@@ -61,8 +61,8 @@
 		record(request, busyNanos);
 	}
 
-	// Records a refused request with the mean run time: balancing must spread the demand,
-	// and a full server runs no more than its slots however high the demand is.
+	// Records a refused request with the mean run time: balancing must spread the
+	// demand, and a full server runs no more than its slots however high the demand is.
 	void recordRefused(CallerRequest request) {
 		record(request, this.meanRunNanos);
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRunner.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRunner.java
@@ -95,8 +95,8 @@
 		return new OrderRun(started.outcome(), started.settled());
 	}
 
-	// The last check before the order is sent: the lease may have expired during a pause
-	// while the order was queued, and another owner may already be active.
+	// The last check before the order is sent: the lease may have expired during a
+	// pause while the order was queued, and another owner may already be active.
 	private static @Nullable Outcome refusal(Order order, Cancellation cancellation, long nowNanos) {
 		if (cancellation.isCancelled()) {
 			return Outcome.failed(ErrorKind.DEADLINE_PASSED, "the caller is gone");
@@ -111,8 +111,8 @@
 		return null;
 	}
 
-	// Waits for the server to acknowledge the grant of the order. Completes with false on
-	// a timeout.
+	// Waits for the server to acknowledge the grant of the order. Completes with false
+	// on a timeout.
 	Promise<Boolean> awaitGrant(Order order) {
 		return awaitGrant(order, Math.min(order.deadlineNanos(), System.nanoTime() + GRANT_WAIT_NANOS));
 	}
@@ -145,8 +145,8 @@
 		this.connectionLosses.clear();
 	}
 
-	// The connection broke although the server still answers a probe; it may be about to
-	// end.
+	// The connection broke although the server still answers a probe; it may be about
+	// to end.
 	void onConnectionLost(Order order) {
 		if (this.connectionLosses.size() == MAX_CONNECTION_LOSSES) {
 			this.connectionLosses.removeFirst();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OwnerGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OwnerGate.java
@@ -120,9 +120,9 @@
 		this.continuity.update(this.ownership.get(), System.nanoTime());
 	}
 
-	// Suspect requests run one at a time, concurrently with any others. So harmless ones,
-	// which are cleared when they succeed, are not running when the request that caused
-	// the first crash causes the second.
+	// Suspect requests run one at a time, concurrently with any others. So harmless
+	// ones, which are cleared when they succeed, are not running when the request that
+	// caused the first crash causes the second.
 	private Promise<Outcome> runInTurn(Admitted admitted) {
 		CallerRequest request = admitted.order().request();
 		if (!this.suspects.isSuspect(request)) {
@@ -169,9 +169,9 @@
 		return Promise.of(outcome);
 	}
 
-	// While the lease was expired, another owner may have changed the data in the answer.
-	// That is ruled out if the lease is valid again and the range is held under the same
-	// fence, because any other owner would have had a higher fence.
+	// While the lease was expired, another owner may have changed the data in the
+	// answer. That is ruled out if the lease is valid again and the range is held under
+	// the same fence, because any other owner would have had a higher fence.
 	private Promise<Outcome> afterLapse(Order order, Outcome answered, long waitUntilNanos) {
 		OwnershipSnapshot snapshot = this.ownership.get();
 		long now = System.nanoTime();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/PostingExecutor.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/PostingExecutor.java
@@ -61,7 +61,8 @@
 		return outcome.map((end) -> withTicket(end, held));
 	}
 
-	// Every answer carries a ticket, so that the next posting needs no extra round trip.
+	// Every answer carries a ticket, so that the next posting needs no extra round
+	// trip.
 	Outcome withTicket(Outcome outcome, HeldRange held) {
 		return outcome.withTicket(issueTicket(held).text());
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestPath.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestPath.java
@@ -100,10 +100,10 @@
 		this.serverGate = new ServerGate(reactor, this.watch, this.grants, runner, known.catalog());
 		ForwardClient client = new ForwardClient(reactor, context, known.ownership(), guards);
 		this.inFlight = new InFlightRequests(this.marks, reports, this.serverGate::hasGrant);
-		BackendDispatcher choice = new BackendDispatcher(settings.instance(), this.serverGate, client, known.cell(),
+		BackendDispatcher dispatcher = new BackendDispatcher(settings.instance(), this.serverGate, client, known.cell(),
 				known.catalog(), new BackendChooser(1, new SplittableRandom()), retries());
 		this.ownerGate = new OwnerGate(known.ownership(), postingExecutor(reactor, context), suspects, this.inFlight,
-				choice::run, context.events());
+				dispatcher::run, context.events());
 		RequestRouter router = new RequestRouter(known.ownership(), this.ownerGate, client,
 				new RouteChangeWaiter(reactor, known.ownership()), RetryBudget.withDefaults(), context.events());
 		this.callerPort = new CallerPort(context, router, known.ownership(), known.catalog());
@@ -202,8 +202,8 @@
 	}
 
 	// A frame that is in transit when the link closes leaves its sender with an unknown
-	// outcome. Other daemons learn of the next owner one heartbeat and one renewal after
-	// the ranges have moved, and then send nothing more to this daemon.
+	// outcome. Other daemons learn of the next owner one heartbeat and one renewal
+	// after the ranges have moved, and then send nothing more to this daemon.
 	private boolean noRecentForwards(long startedNanos) {
 		long now = System.nanoTime();
 		return now - startedNanos >= ROUTES_KNOWN_NANOS
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestRouter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestRouter.java
@@ -78,10 +78,9 @@
 	public Promise<Outcome> route(CallerRequest request, Cancellation cancellation) {
 		this.budget.recordRequest();
 		Route route = new Route(request, cancellation, System.nanoTime());
-		// The first attempt may have run. If the retry certainly did not run, the outcome
-		// is
-		// still unknown: "not run" would let the caller send a posting again that has
-		// run.
+		// The first attempt may have run. If the retry certainly did not run, the
+		// outcome is still unknown: "not run" would let the caller send a posting again
+		// that has run.
 		return route.attempt().map((outcome) -> route.retried ? Outcome.afterUnknown(outcome) : outcome);
 	}
 
@@ -150,8 +149,8 @@
 				.isPresent();
 		}
 
-		// After a timeout or a broken link it is usually unknown whether the owner ran a
-		// request. Here it certainly did not.
+		// After a timeout or a broken link it is usually unknown whether the owner ran
+		// a request. Here it certainly did not.
 		private static Outcome notRun(Outcome outcome) {
 			if (!(outcome instanceof Outcome.Failed failed)) {
 				return outcome;
@@ -185,8 +184,8 @@
 		}
 
 		// One more attempt at the owner named in the answer, if its fence is newer than
-		// the
-		// one that this daemon used, so that stale routes never cause a routing loop.
+		// the one that this daemon used, so that stale routes never cause a routing
+		// loop.
 		private boolean shouldRedirect(Outcome.Owner sentTo, Outcome.Failed failed) {
 			return failed.failure().kind() == ErrorKind.NOT_OWNER && !this.redirected
 					&& failed.owner().filter((owner) -> sentTo.fence().olderThan(owner.fence())).isPresent();
@@ -200,8 +199,7 @@
 		}
 
 		// A lookup is idempotent. A posting whose link broke is sent to its owner again
-		// with
-		// the same id and ticket: the owner remembers whether it ran.
+		// with the same id and ticket: the owner remembers whether it ran.
 		private boolean mayRetry(Outcome.Failed failed) {
 			boolean lost = failed.failure().kind() == ErrorKind.OUTCOME_UNKNOWN;
 			boolean harmless = this.request.requestClass().idempotent() || !failed.backendLost();
@@ -216,7 +214,7 @@
 			long until = Math.min(this.waitUntilNanos, now + this.pauseMillis * NANOS_PER_MILLI);
 			this.pauseMillis *= 2;
 			return RequestRouter.this.routes.awaitChange(this.request, seen, until)
-				.then((woken) -> (woken && !this.cancellation.isCancelled()) ? attempt()
+				.then((waited) -> (waited && !this.cancellation.isCancelled()) ? attempt()
 						: Promise.of(finalFailure(refusal)));
 		}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestsDuty.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestsDuty.java
@@ -143,8 +143,7 @@
 		}
 		catch (ExecutionException | TimeoutException ex) {
 			// The time is over; requests still in flight are aborted, as
-			// docs/OPERATING.md
-			// says of --max-leave-millis.
+			// docs/OPERATING.md says of --max-leave-millis.
 		}
 		this.duty.stop();
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RouteChangeWaiter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RouteChangeWaiter.java
@@ -49,7 +49,7 @@
 		Waiter waiter = new Waiter(request, seen, untilNanos, new SettablePromise<>());
 		this.waiting.add(waiter);
 		schedulePoll();
-		return waiter.woken;
+		return waiter.done;
 	}
 
 	private void schedulePoll() {
@@ -67,13 +67,13 @@
 	private void completeReady() {
 		OwnershipSnapshot snapshot = this.ownership.get();
 		long now = System.nanoTime();
-		List<Waiter> woken = this.waiting.stream().filter((waiter) -> waiter.isDone(snapshot, now)).toList();
-		this.waiting.removeAll(woken);
-		woken.forEach((waiter) -> waiter.woken.set(true));
+		List<Waiter> ready = this.waiting.stream().filter((waiter) -> waiter.isDone(snapshot, now)).toList();
+		this.waiting.removeAll(ready);
+		ready.forEach((waiter) -> waiter.done.set(true));
 	}
 
 	private record Waiter(CallerRequest request, Optional<Assignment> seen, long untilNanos,
-			SettablePromise<Boolean> woken) {
+			SettablePromise<Boolean> done) {
 
 		boolean isDone(OwnershipSnapshot snapshot, long nowNanos) {
 			return nowNanos - this.untilNanos >= 0
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
@@ -99,8 +99,8 @@
 
 	private void send(long waitMillis, boolean again) {
 		this.sentDeadlineNanos = effectiveDeadline();
-		// Reads the time of day first, so that a pause between the two readings does not
-		// postpone the deadline.
+		// Reads the time of day first, so that a pause between the two readings does
+		// not postpone the deadline.
 		long timeOfDayMillis = System.currentTimeMillis();
 		long deadlineAtMillis = timeOfDayMillis + (this.sentDeadlineNanos - System.nanoTime()) / NANOS_PER_MILLI;
 		BackendRun next = this.runner.client()
@@ -135,8 +135,8 @@
 	}
 
 	// Whether the deadline of the order may lie beyond the end of the lease: if the
-	// server
-	// itself refuses old fences, and for reads of a service that is not divided by key.
+	// server itself refuses old fences, and for reads of a service that is not divided
+	// by key.
 	private boolean mayOutlastLease() {
 		return this.checksFences
 				|| (!this.order.request().sharded() && this.order.request().requestClass().idempotent());
@@ -144,8 +144,7 @@
 
 	// A server that does not check fences may be paused with the order and resume after
 	// the range has moved. It then sees that this deadline has passed and does not run
-	// the
-	// order.
+	// the order.
 	private long effectiveDeadline() {
 		if (mayOutlastLease()) {
 			return this.order.deadlineNanos();
@@ -250,8 +249,8 @@
 		this.runner.reactor().delay(Duration.ofNanos(rest).plusMillis(1), () -> settleAt(nanos));
 	}
 
-	// When a paused server resumes, it starts orders that it has not read yet, until the
-	// deadline of the order or, if it checks fences, until the end of its grant.
+	// When a paused server resumes, it starts orders that it has not read yet, until
+	// the deadline of the order or, if it checks fences, until the end of its grant.
 	private long residualRunNanos(RunOutcome slot) {
 		if (slot != RunOutcome.INTERRUPTED || this.runner.watch().gone()) {
 			return 0;
@@ -267,8 +266,8 @@
 		this.run.ifPresent((current) -> current.abandon(reason));
 	}
 
-	// The caller is gone. Postings are left to end, since their outcome is remembered for
-	// a resend; the server may still choose not to run them.
+	// The caller has disconnected. Postings run to their end, since their outcome is
+	// remembered for a retry; the server may still choose not to run them.
 	void onCallerGone() {
 		if (this.outcome.isComplete()) {
 			return;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
@@ -111,9 +111,9 @@
 		return offer(order, cancellation);
 	}
 
-	// A draining server still serves its ranges during their handover, so that no request
-	// is refused. The time is limited even if no handover is possible because the
-	// platform's store is unavailable.
+	// A draining server still serves its ranges during their handover, so that no
+	// request is refused. The time is limited even if no handover is possible because
+	// the platform's store is unavailable.
 	private boolean isAvailable() {
 		return this.watch.state().filter((state) -> switch (state) {
 			case READY -> true;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/SuspectRequests.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/SuspectRequests.java
@@ -31,11 +31,10 @@
 	}
 
 	// Merges the crash marks of earlier owners, which are part of the snapshot that
-	// grants
-	// a range, before any request of the range is served. Otherwise a waiting request
-	// that
-	// is resumed by this snapshot could crash one more backend server. Each grant is
-	// merged once, or a request that has succeeded since would become suspect again.
+	// grants a range, before any request of the range is served. Otherwise a waiting
+	// request that is resumed by this snapshot could crash one more backend server.
+	// Each grant is merged once, or a request that has succeeded since would become
+	// suspect again.
 	void mergeMarks(List<MarkedRange> marked) {
 		if (marked == this.lastMarked) {
 			return;
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/BadInputTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/BadInputTests.java
@@ -137,8 +137,7 @@
 	@Test
 	void aTruncatedAnswerIsNotRelayed() throws Exception {
 		// The backend server announces ten bytes, sends four and closes. A caller must
-		// not
-		// mistake a truncated record for a complete one.
+		// not mistake a truncated record for a complete one.
 		this.a.server.behaviour = (exchange, body) -> {
 			exchange.sendResponseHeaders(200, 10);
 			exchange.getResponseBody().write(new byte[] { 'h', 'a', 'l', 'f' });
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/DelayedOrderTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/DelayedOrderTests.java
@@ -55,9 +55,8 @@
 	}
 
 	// Guards against an order that starts after its owner's lease has ended: it was
-	// delayed
-	// between two daemons, and the receiver counted the remaining lease from the time of
-	// receipt.
+	// delayed between two daemons, and the receiver counted the remaining lease from
+	// the time of receipt.
 	@Test
 	void anOrderDelayedBetweenDaemonsDoesNotOutliveItsOwnersLease() throws Exception {
 		long leaseEnd = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/FrozenServerTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/FrozenServerTests.java
@@ -48,8 +48,8 @@
 		this.a.announce("ready", checksFences);
 	}
 
-	// Guards against two owners: a range is released while its paused server still has a
-	// valid grant, which the server uses when it resumes.
+	// Guards against two owners: a range is released while its paused server still has
+	// a valid grant, which the server uses when it resumes.
 	@Test
 	void aRangeIsNotReleasedBeforeTheGrantsOfItsFrozenServerHaveEnded() throws Exception {
 		start(true, true);
@@ -65,8 +65,8 @@
 		assertThat(System.nanoTime() - leaseEnd).isAtLeast(0L);
 	}
 
-	// Guards against a read that starts under an old fence: the daemon has abandoned it,
-	// and a paused server that does not check fences reads it when it resumes.
+	// Guards against a read that starts under an old fence: the daemon has abandoned
+	// it, and a paused server that does not check fences reads it when it resumes.
 	@Test
 	void aRangeIsNotReleasedBeforeTheDeadlineOfAReadOnItsFrozenServer() throws Exception {
 		start(false, false);
@@ -116,9 +116,8 @@
 	}
 
 	// Sends a lookup whose first attempt is not answered. Its deadline leaves three
-	// seconds
-	// for that attempt; the server's grant ends after one second, and the server accepts
-	// no newer grant.
+	// seconds for that attempt; the server's grant ends after one second, and the
+	// server accepts no newer grant.
 	private CompletableFuture<HttpResponse<String>> silentUntilItsGrantHasExpired() throws Exception {
 		start(true, true);
 		this.a.get("/v1/hullbook/warm", "Brasspier-Key", "hull-7");
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/LowBandwidthForwardTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/LowBandwidthForwardTests.java
@@ -38,8 +38,7 @@
 			owner.announce("ready", true);
 			owner.server.behaviour = (exchange, body) -> FakeServer.answer(exchange, 200, LARGE);
 			// On a busy machine the first attempt may fail. With the fault, the
-			// connection
-			// is closed during every answer, so all attempts fail.
+			// connection is closed during every answer, so all attempts fail.
 			Optional<HttpResponse<String>> whole = Optional.empty();
 			for (int i = 0; i < TRIES && whole.isEmpty(); i++) {
 				whole = Optional
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/MixedMessagesTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/MixedMessagesTests.java
@@ -53,10 +53,9 @@
 	}
 
 	// Guards against corrupted header fields: under load a request with a body reached
-	// its
-	// server without its key, or was refused for fields that its caller had sent. The
-	// fields were in a buffer that had been returned to the library's pool together with
-	// the body, and other threads read into it.
+	// its server without its key, or was refused for fields that its caller had sent.
+	// The fields were in a buffer that had been returned to the library's pool together
+	// with the body, and other threads read into it.
 	@Test
 	void headerFieldsAreNotOverwrittenByOtherThreads() throws Exception {
 		this.a.server.behaviour = (exchange, body) -> {
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/PeerClockTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/PeerClockTests.java
@@ -17,9 +17,8 @@
 	private static final long SPARSE_NANOS = 60_000_000_000L;
 
 	// Guards against an order that appears younger than it is: messages in both
-	// directions
-	// are delayed at random, including those that open the connection, and the clocks
-	// drift.
+	// directions are delayed at random, including those that open the connection, and
+	// the clocks drift.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
 	void aMessageNeverAppearsYoungerThanItIs(long seed) {
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/RequestPathTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/RequestPathTests.java
@@ -155,8 +155,8 @@
 	@Test
 	void anAnswerAfterTheLeaseHasExpiredIsNotRelayed() throws Exception {
 		// The owner's process is paused while a lookup runs; its lease expires and
-		// another
-		// owner serves the range. The late answer is outdated and must not be relayed.
+		// another owner serves the range. The late answer is outdated and must not be
+		// relayed.
 		CountDownLatch finish = new CountDownLatch(1);
 		this.a.server.behaviour = (exchange, body) -> {
 			finish.await(20, TimeUnit.SECONDS);
@@ -179,8 +179,8 @@
 		assertThat(running.get(20, TimeUnit.SECONDS).body()).isEqualTo("booked");
 	}
 
-	// Guards against an outdated answer: another owner held the range while the lease was
-	// expired, and the range has come back.
+	// Guards against an outdated answer: another owner held the range while the lease
+	// was expired, and the range has come back.
 	@Test
 	void anAnswerIsNotRelayedOnceTheRangeHasANewerFence() throws Exception {
 		CompletableFuture<HttpResponse<String>> running = answeredDuringLapse();
@@ -190,8 +190,9 @@
 		assertThat(answer.body()).doesNotContain("booked");
 	}
 
-	// Guards against a posting that ran and whose retries never get its answer: the lease
-	// was expired for longer than the answer to the first attempt waited for its renewal.
+	// Guards against a posting that ran and whose retries never get its answer: the
+	// lease was expired for longer than the answer to the first attempt waited for its
+	// renewal.
 	@Test
 	void aRetryGetsTheAnswerThatAnExpiredLeaseWithheldFromTheFirstAttempt() throws Exception {
 		HttpResponse<String> first = answeredDuringLapse().get(20, TimeUnit.SECONDS);
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/SilentLinkTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/SilentLinkTests.java
@@ -70,8 +70,7 @@
 	}
 
 	// Guards against reporting a posting as possibly run although no owner could admit
-	// it:
-	// its ticket is from an earlier owner, and its link broke.
+	// it: its ticket is from an earlier owner, and its link broke.
 	@Test
 	void aPostingWithAStaleTicketIsNotReportedAsPossiblyRunWhenItsLinkBreaks() throws Exception {
 		this.owner.announce("ready", true);
@@ -84,7 +83,8 @@
 		assertThat(this.owner.server.orders).hasSize(1);
 	}
 
-	// Guards against a posting that runs twice: its link broke, and its ticket is valid.
+	// Guards against a posting that runs twice: its link broke, and its ticket is
+	// valid.
 	@Test
 	void aPostingWithAValidTicketIsReportedAsPossiblyRunOnceItsOwnerHasChanged() throws Exception {
 		this.owner.announce("ready", true);
@@ -99,8 +99,8 @@
 	}
 
 	// Guards against a caller that gets no answer by its deadline and must assume that
-	// its
-	// posting may have run, while the connection to the owner was still being opened.
+	// its posting may have run, while the connection to the owner was still being
+	// opened.
 	@Test
 	void aRequestIsAnsweredAtItsDeadlineWhileItsLinkIsStillOpening() throws Exception {
 		this.owner.announce("ready", true);
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/SuspectRequestsTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/SuspectRequestsTests.java
@@ -28,19 +28,18 @@
 
 	private final SuspectRequests suspects = new SuspectRequests(new CrashHistory(), new EventLog(10));
 
-	// Guards against a request that crashes a third server: it has crashed two and waits
-	// at
-	// the daemon that becomes the next owner. When the marks arrived in a ring of their
-	// own, the request could run before them (in 2 of 300 tries); so they are part of the
-	// snapshot.
+	// Guards against a request that crashes a third server: it has crashed two and
+	// waits at the daemon that becomes the next owner. When the marks arrived in a ring
+	// of their own, the request could run before them (in 2 of 300 tries); so they are
+	// part of the snapshot.
 	@Test
 	void marksApplyFromTheSnapshotThatGrantsTheirRange() {
 		this.suspects.mergeMarks(List.of(marked(8, CrashHistory.MAX_CRASHES)));
 		assertThat(this.suspects.isBlocked(CRASHING)).isTrue();
 	}
 
-	// A request that has succeeded since the range was granted is no longer suspect, even
-	// though the same grant is published again with each lease renewal.
+	// A request that has succeeded since the range was granted is no longer suspect,
+	// even though the same grant is published again with each lease renewal.
 	@Test
 	void marksOfOneGrantAreMergedOnce() {
 		this.suspects.mergeMarks(List.of(marked(8, 1)));
