--- a/integration/src/test/java/org/brasspier/integration/RequestPathFaultTests.java
+++ b/integration/src/test/java/org/brasspier/integration/RequestPathFaultTests.java
@@ -43,6 +43,7 @@
 		deployment.close();
 	}
 
+	@Tag("known-red")
 	@Test
 	void aLookupIsAnsweredThoughConnectionsBetweenDaemonsWentSilent() throws Exception {
 		// Something between the daemons loses track of all open connections: they stay
