--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendCrashes.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendCrashes.java
@@ -17,14 +17,15 @@
 import org.brasspier.daemon.mesh.MetadataStore;
 
 /**
- * Crashes of the backend server beside this daemon, told to all others at once and kept
- * in the store for those that start later; and the requests that are kept away for what
- * all of them tell. Belongs to the thread of requests.
+ * Detects crashes of the local backend server and blocks requests that are likely to
+ * crash servers. Crash state is sent to all other daemons at once and written to the
+ * store for daemons that start later; the decision which requests to block uses the crash
+ * state of all daemons. Not thread-safe: confined to the request thread.
  */
 final class BackendCrashes {
 
-	/** By then a process that has crashed has lost its port as well. */
-	private static final Duration LOOK_AFTER = Duration.ofMillis(20);
+	/** By this time the port of a process that has crashed is closed as well. */
+	private static final Duration PORT_CHECK_DELAY = Duration.ofMillis(20);
 
 	private final NioReactor reactor;
 
@@ -42,18 +43,18 @@
 
 	private final MeshLog log;
 
-	private final CrashDetector watch = new CrashDetector();
+	private final CrashDetector detector = new CrashDetector();
 
 	private final CrashSuspects suspects = new CrashSuspects();
 
-	// By the id of the request, its fingerprint.
+	// Fingerprints of suspect requests that are running, by request id.
 	private final Map<String, Long> runningSuspects = new HashMap<>();
 
-	private Optional<BackendIncarnation> life = Optional.empty();
+	private Optional<BackendIncarnation> incarnation = Optional.empty();
 
-	private boolean looking;
+	private boolean portCheckScheduled;
 
-	private boolean untold;
+	private boolean updatePending;
 
 	BackendCrashes(NioReactor reactor, InstanceId self, BackendRegistration registration, BackendPool pool,
 			Directory directory, HopClient hops, MetadataStore store, StoreHealth health, MeshLog log) {
@@ -65,14 +66,14 @@
 		this.hops = hops;
 		this.writer = new OwnRowWriter(StoredRows.CRASHES_PREFIX + self.value(), directory, store, health);
 		this.log = log;
-		registration.addListener(this::lifeChanged);
+		registration.addListener(this::onIncarnationChanged);
 		directory.addCrashListener(this::onCrashState);
 	}
 
 	void start() {
 		this.reactor.delayBackground(OwnRowWriter.CHECK_INTERVAL, () -> {
-			if (this.untold) {
-				tellOthers();
+			if (this.updatePending) {
+				sendToOthers();
 			}
 			write();
 			start();
@@ -80,19 +81,20 @@
 	}
 
 	/**
-	 * Whether a request must not reach a backend server.
+	 * Returns whether a request must not be sent to a backend server.
 	 * @param request the request
-	 * @return true if servers have crashed under it
+	 * @return true if it is blocked because servers have crashed while running it
 	 */
 	boolean isBlocked(MeshRequest request) {
 		return !this.suspects.isEmpty() && this.suspects.isBlocked(request.fingerprint(), System.nanoTime());
 	}
 
 	/**
-	 * Whether a request must wait for another one. Suspects run one at a time, or the
-	 * next crash would leave as many of them as before.
+	 * Returns whether a request must wait until another one has ended. Suspect requests
+	 * run one at a time: if several ran at once, the next crash would not narrow down
+	 * which of them causes it.
 	 * @param request the request
-	 * @return true if it is suspect and the server runs another suspect
+	 * @return true if it is suspect and the server is running another suspect request
 	 */
 	boolean mustWait(MeshRequest request) {
 		if (this.runningSuspects.isEmpty()) {
@@ -104,7 +106,7 @@
 	}
 
 	/**
-	 * Takes that the server is given a request.
+	 * Records that a request is sent to the server.
 	 * @param request the request
 	 */
 	void onRequestStarted(MeshRequest request) {
@@ -114,7 +116,7 @@
 	}
 
 	/**
-	 * Takes that the server is done with a request, one way or another.
+	 * Records that a request has ended, with whatever outcome.
 	 * @param request the request
 	 */
 	void onRequestEnded(MeshRequest request) {
@@ -122,91 +124,93 @@
 	}
 
 	/**
-	 * Takes that a connection to the server ended while it had a request.
-	 * @param of the server's life
+	 * Records that a connection to the server was lost while a request was running on it.
+	 * @param incarnation the server process
 	 * @param request the request
 	 */
-	void onConnectionLost(BackendIncarnation of, MeshRequest request) {
-		this.watch.onConnectionLost(of, request.fingerprint(), System.nanoTime());
-		if (!this.looking) {
-			this.looking = true;
-			this.reactor.delay(LOOK_AFTER, () -> look(of));
+	void onConnectionLost(BackendIncarnation incarnation, MeshRequest request) {
+		this.detector.onConnectionLost(incarnation, request.fingerprint(), System.nanoTime());
+		if (!this.portCheckScheduled) {
+			this.portCheckScheduled = true;
+			this.reactor.delay(PORT_CHECK_DELAY, () -> checkPort(incarnation));
 		}
 	}
 
-	// A connection that opens is kept for the next order.
-	private void look(BackendIncarnation of) {
-		if (!this.watch.hasUnexplainedLosses()) {
-			this.looking = false;
+	// Checks whether the server's port is still open. A connection that opens stays in
+	// the pool for the next request.
+	private void checkPort(BackendIncarnation incarnation) {
+		if (!this.detector.hasUnexplainedLosses()) {
+			this.portCheckScheduled = false;
 			return;
 		}
 		this.pool.open().whenResult((listens) -> {
-			this.looking = false;
+			this.portCheckScheduled = false;
 			this.registration.onConnectionAttempt(listens);
 			if (!listens) {
-				onPortClosed(of);
+				onPortClosed(incarnation);
 			}
 		});
 	}
 
 	/**
-	 * Takes that nothing listens at the server's address.
-	 * @param of the life that had it
+	 * Records that the server's port is closed.
+	 * @param incarnation the server process that had opened it
 	 */
-	void onPortClosed(BackendIncarnation of) {
-		this.watch.onServerEnded(of, System.nanoTime()).ifPresent(this::crashed);
+	void onPortClosed(BackendIncarnation incarnation) {
+		this.detector.onServerEnded(incarnation, System.nanoTime()).ifPresent(this::recordCrash);
 	}
 
-	private void lifeChanged() {
-		Optional<BackendIncarnation> now = this.registration.incarnation();
-		if (!now.equals(this.life)) {
-			this.life.ifPresent(this::onPortClosed);
-			this.life = now;
+	private void onIncarnationChanged() {
+		Optional<BackendIncarnation> current = this.registration.incarnation();
+		if (!current.equals(this.incarnation)) {
+			this.incarnation.ifPresent(this::onPortClosed);
+			this.incarnation = current;
 		}
 	}
 
-	private void crashed(CrashReport report) {
+	private void recordCrash(CrashReport report) {
 		long now = System.nanoTime();
 		CrashState before = this.suspects.stateOf(this.self);
 		this.suspects.merge(this.self, before.withReport(report), now);
 		this.log.record(MeshEvent.BACKEND_CRASHED, "life", report.incarnation(), "running",
 				report.requests().stream().map(Long::toHexString).toList(), "kept_away", this.suspects.blockedCount());
-		tellOthers();
+		sendToOthers();
 	}
 
 	/**
-	 * Takes that the server answered a request.
-	 * @param by the server's life
+	 * Records that the server answered a request.
+	 * @param incarnation the server process that answered
 	 * @param request the request
-	 * @param sentNanos when it was sent
+	 * @param sentNanos when the request was sent, nanoseconds of the steady clock
 	 */
-	void onAnswer(BackendIncarnation by, MeshRequest request, long sentNanos) {
-		this.watch.onAnswer(by, sentNanos);
+	void onAnswer(BackendIncarnation incarnation, MeshRequest request, long sentNanos) {
+		this.detector.onAnswer(incarnation, sentNanos);
 		if (!this.suspects.isEmpty()
 				&& this.suspects.recordSuccess(this.self, request.fingerprint(), System.nanoTime())) {
-			// Many mostly end within a short while, and are told together.
-			this.untold = true;
+			// Sent by the periodic task: many suspect requests usually end within a short
+			// time, and one update covers all of them.
+			this.updatePending = true;
 		}
 	}
 
-	private void tellOthers() {
-		this.untold = false;
-		HopMessage.CrashUpdate told = new HopMessage.CrashUpdate(this.self, this.suspects.stateOf(this.self));
+	private void sendToOthers() {
+		this.updatePending = false;
+		HopMessage.CrashUpdate update = new HopMessage.CrashUpdate(this.self, this.suspects.stateOf(this.self));
 		this.directory.reachable()
 			.filter((member) -> !member.instance().equals(this.self))
-			.forEach((member) -> this.hops.sendToCurrentBuild(member, told));
+			.forEach((member) -> this.hops.sendToCurrentBuild(member, update));
 		write();
 	}
 
 	/**
-	 * Takes what an instance tells.
-	 * @param from the instance
-	 * @param notes what it tells
+	 * Merges the crash state of another instance.
+	 * @param instance the instance
+	 * @param state its crash state
 	 */
-	void onCrashState(InstanceId from, CrashState notes) {
-		if (this.suspects.merge(from, notes, System.nanoTime())) {
-			this.log.record(MeshEvent.CRASHES_TOLD, "from", from, "reports", notes.reports().size(), "cleared",
-					notes.cleared().size(), "kept_away", this.suspects.blockedCount());
+	void onCrashState(InstanceId instance, CrashState state) {
+		if (this.suspects.merge(instance, state, System.nanoTime())) {
+			this.log.record(MeshEvent.CRASHES_TOLD, "from", instance, "reports", state.reports().size(), "cleared",
+					state.cleared().size(), "kept_away", this.suspects.blockedCount());
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendGate.java
@@ -37,9 +37,10 @@
 import org.brasspier.daemon.mesh.MeshSettings;
 
 /**
- * The one gate to the backend server beside this daemon. Nothing else can reach that
- * server, so its slots are counted exactly, what is turned away here certainly did not
- * run, and its leaving takes effect here at once. Belongs to the thread of requests.
+ * The gate: admission control for the local backend server. All requests to that server
+ * pass through this class, so its slots are counted exactly, a request rejected here
+ * certainly did not run, and a drain of the server takes effect here at once. Not
+ * thread-safe: confined to the request thread.
  */
 final class BackendGate {
 
@@ -47,24 +48,28 @@
 
 	private static final double NANOS_PER_SECOND = 1_000_000_000;
 
-	private static final Duration RETRY_SOON = Duration.ofMillis(100);
+	private static final Duration SHORT_RETRY_AFTER = Duration.ofMillis(100);
 
-	/** The way of an answer to a heartbeat and of what it grants. */
+	/**
+	 * Time that the answer to a heartbeat, and the grants in it, take to arrive and take
+	 * effect.
+	 */
 	private static final Duration GRANT_MARGIN = Duration.ofMillis(20);
 
-	/** How often something that waits is looked at. */
-	private static final Duration LOOK_AGAIN = Duration.ofMillis(5);
+	/** How often queued requests are checked for expired deadlines. */
+	private static final Duration EXPIRY_CHECK_INTERVAL = Duration.ofMillis(5);
 
 	/**
-	 * Taken off the time for which a leaving server may be given work, for the way of the
-	 * last order.
+	 * Subtracted from the time for which a draining server may be sent requests, so that
+	 * the last request still reaches it in time.
 	 */
 	private static final Duration DRAIN_MARGIN = Duration.ofMillis(500);
 
 	/**
-	 * All requests wait in one line. The service beside which a request began says
-	 * nothing of who sent it, and making room for another one's requests would refuse
-	 * some that have waited already.
+	 * One caller id for all requests, so that they share one queue. The service from
+	 * whose instance a request was sent does not identify the caller, and queues for each
+	 * of these services would evict requests that have already waited to make room for
+	 * those of another service.
 	 */
 	private static final CallerId CALLER = new CallerId("any");
 
@@ -89,15 +94,15 @@
 	private final AdmissionController admission = new AdmissionController(new AdmissionLimits(1, 1),
 			AdmissionSettings.DEFAULT);
 
-	private final Map<Long, Waiting> waiting = new HashMap<>();
+	private final Map<Long, QueuedRequest> queue = new HashMap<>();
 
 	private long nextNumber = 1;
 
-	private long rulesOfVersion = -1;
+	private long appliedConfigVersion = -1;
 
-	private Optional<BackendIncarnation> life = Optional.empty();
+	private Optional<BackendIncarnation> incarnation = Optional.empty();
 
-	private boolean expiring;
+	private boolean expiryCheckScheduled;
 
 	private boolean stopping;
 
@@ -117,236 +122,248 @@
 	}
 
 	private void backendChanged() {
-		if (!this.registration.incarnation().equals(this.life)) {
-			this.life = this.registration.incarnation();
+		if (!this.registration.incarnation().equals(this.incarnation)) {
+			this.incarnation = this.registration.incarnation();
 			this.pool.forget();
 		}
-		this.rulesOfVersion = -1;
+		this.appliedConfigVersion = -1;
 	}
 
-	private void followConfig() {
-		RoutingConfig inForce = this.config.get();
-		if (inForce.version() == this.rulesOfVersion) {
+	private void applyConfig() {
+		RoutingConfig current = this.config.get();
+		if (current.version() == this.appliedConfigVersion) {
 			return;
 		}
-		this.rulesOfVersion = inForce.version();
-		int connections = inForce.service(this.settings.backend().service())
+		this.appliedConfigVersion = current.version();
+		int connections = current.service(this.settings.backend().service())
 			.map((rule) -> rule.maxConnections())
 			.orElse(this.registration.slots());
 		this.admission.updateLimits(new AdmissionLimits(this.registration.slots(), connections));
-		this.admission.updateRules(inForce.admissionSettings(this.settings.backend().service()), Map.of());
+		this.admission.updateRules(current.admissionSettings(this.settings.backend().service()), Map.of());
 	}
 
 	/**
-	 * Runs a request on the backend server.
-	 * @param ask the request
-	 * @param heldUpNanos how long it was held up on the way from another daemon
-	 * @param cancellation tells when nobody waits for it any more
-	 * @return what came of it; never an exception
+	 * Runs a request on the backend server, after queueing it if necessary.
+	 * @param hopRequest the request
+	 * @param delayNanos how long it was delayed on its way from another daemon,
+	 * nanoseconds
+	 * @param cancellation cancelled when the caller no longer waits for the answer
+	 * @return the outcome; never completes with an exception
 	 */
-	Promise<SendOutcome> run(HopRequest ask, long heldUpNanos, Cancellation cancellation) {
+	Promise<SendOutcome> run(HopRequest hopRequest, long delayNanos, Cancellation cancellation) {
 		long now = System.nanoTime();
-		ask.request().key().ifPresent(this.keys::recordRequest);
-		Optional<Failure> closed = closed(ask, heldUpNanos, now);
-		if (closed.isPresent()) {
-			return Promise.of(turnedAway(ask, closed.get()));
+		hopRequest.request().key().ifPresent(this.keys::recordRequest);
+		Optional<Failure> rejection = findRejection(hopRequest, delayNanos, now);
+		if (rejection.isPresent()) {
+			return Promise.of(reject(hopRequest, rejection.get()));
 		}
-		followConfig();
-		// Not less than what is left: what runs would be broken off before its caller's
-		// time is over. What waited for this loop counts as held up on the way.
-		long remaining = Math.max(0, ask.request().remainingMillis() - heldUpNanos / NANOS_PER_MILLI);
-		Order order = new Order(ask, cancellation, now + remaining * NANOS_PER_MILLI);
+		applyConfig();
+		// The deadline must not be earlier than the caller's, or a running request would
+		// be aborted while its caller still waits. Time spent waiting for this event loop
+		// counts as delay on the way.
+		long remaining = Math.max(0, hopRequest.request().remainingMillis() - delayNanos / NANOS_PER_MILLI);
+		AcceptedRequest accepted = new AcceptedRequest(hopRequest, cancellation, now + remaining * NANOS_PER_MILLI);
 		long number = this.nextNumber++;
-		PendingRequest pending = new PendingRequest(number, ask.requestClass(), CALLER, order.deadlineNanos,
-				ask.overdue());
-		Optional<Duration> wait = ask.mayQueue() ? Optional.empty() : this.admission.expectedQueueWait(pending, now);
-		if (wait.isPresent()) {
-			return Promise.of(turnedAway(ask, new Failure(ErrorKind.NO_FREE_SLOT, "no slot is free", wait.get())));
+		PendingRequest pending = new PendingRequest(number, hopRequest.requestClass(), CALLER, accepted.deadlineNanos,
+				hopRequest.overdue());
+		Optional<Duration> expectedWait = hopRequest.mayQueue() ? Optional.empty()
+				: this.admission.expectedQueueWait(pending, now);
+		if (expectedWait.isPresent()) {
+			return Promise
+				.of(reject(hopRequest, new Failure(ErrorKind.NO_FREE_SLOT, "no slot is free", expectedWait.get())));
 		}
 		return switch (this.admission.offer(pending, now)) {
-			case AdmissionDecision.Run ignored -> start(number, order);
+			case AdmissionDecision.Run ignored -> start(number, accepted);
 			case AdmissionDecision.Queued queued -> {
-				queued.displaced().ifPresent(this::refuse);
-				yield enqueue(number, order);
+				queued.displaced().ifPresent(this::rejectQueued);
+				yield enqueue(number, accepted);
 			}
-			case AdmissionDecision.Refuse refuse -> Promise.of(turnedAway(ask, refuse.failure()));
+			case AdmissionDecision.Refuse refuse -> Promise.of(reject(hopRequest, refuse.failure()));
 		};
 	}
 
 	/**
-	 * Takes no new work from now on, since this process is about to end. Without it, a
-	 * daemon that other daemons still send to is never idle, and what it took last is cut
-	 * off when its time is over, though the server was at work on it.
+	 * Rejects all new requests, because this process is about to end. Otherwise a daemon
+	 * to which others still send requests would never become idle, and the last requests
+	 * that it accepted would be cut off at the end of the grace period while the server
+	 * was running them.
 	 */
 	void stop() {
 		this.stopping = true;
 	}
 
-	// Why nothing may be handed over now.
-	private Optional<Failure> closed(HopRequest ask, long heldUpNanos, long now) {
+	// Returns why a request can't be accepted now, if it can't.
+	private Optional<Failure> findRejection(HopRequest hopRequest, long delayNanos, long now) {
 		if (this.stopping) {
-			return noBackend("the daemon beside the backend server is stopping");
+			return noBackend("the backend server's daemon is stopping");
 		}
-		if (LinkDelay.exceedsTimeout(heldUpNanos)) {
-			return Optional.of(Failure.of(ErrorKind.DEADLINE_PASSED, "it was held up for %d ms between the daemons"
-				.formatted(Duration.ofNanos(heldUpNanos).toMillis())));
+		if (LinkDelay.exceedsTimeout(delayNanos)) {
+			return Optional
+				.of(Failure.of(ErrorKind.DEADLINE_PASSED, "the request was delayed for %d ms between the daemons"
+					.formatted(Duration.ofNanos(delayNanos).toMillis())));
 		}
-		return suspect(ask).or(() -> unservable(ask, now));
+		return suspectRejection(hopRequest).or(() -> backendRejection(hopRequest, now));
 	}
 
-	// Why a request under which servers may have crashed may not be handed over now.
-	private Optional<Failure> suspect(HopRequest ask) {
-		if (this.crashes.isBlocked(ask.request())) {
+	// Returns why a request that may crash servers can't be accepted now, if it can't.
+	private Optional<Failure> suspectRejection(HopRequest hopRequest) {
+		if (this.crashes.isBlocked(hopRequest.request())) {
 			return Optional.of(blockedFailure());
 		}
-		return this.crashes.mustWait(ask.request())
-				? Optional
-					.of(new Failure(ErrorKind.OVERLOADED, "another request that may crash servers runs", RETRY_SOON))
+		return this.crashes.mustWait(hopRequest.request())
+				? Optional.of(new Failure(ErrorKind.OVERLOADED,
+						"another request that is suspected of crashing backend servers is running", SHORT_RETRY_AFTER))
 				: Optional.empty();
 	}
 
-	// Nobody knows when it may be tried again, so no pause is told.
+	// Has no retry-after time: when the request may be tried again is unknown.
 	static Failure blockedFailure() {
-		return Failure.of(ErrorKind.CRASHED_BACKENDS, "backend servers have crashed under this request");
+		return Failure.of(ErrorKind.CRASHED_BACKENDS, "backend servers have crashed while running this request");
 	}
 
-	private Optional<Failure> unservable(HopRequest ask, long now) {
+	private Optional<Failure> backendRejection(HopRequest hopRequest, long now) {
 		if (!this.config.get().isKnown()) {
-			// Whether the service is divided by key is not known either, and a server
-			// that was given a request for keys it doesn't hold would decline it.
-			return Optional.of(new Failure(ErrorKind.NO_CONFIGURATION, "no configuration is known yet", RETRY_SOON));
+			// Without a configuration it is unknown whether the service is sharded, and a
+			// server declines requests for keys that it does not hold.
+			return Optional.of(new Failure(ErrorKind.NO_CONFIGURATION, "no configuration has been received yet",
+					SHORT_RETRY_AFTER));
 		}
-		if (!ask.service().equals(this.settings.backend().service())) {
+		if (!hopRequest.service().equals(this.settings.backend().service())) {
 			return noBackend("this instance's backend server is of service " + this.settings.backend().service());
 		}
-		boolean byKey = ask.request().key().isPresent()
-				&& this.config.get().service(ask.service()).filter((rule) -> rule.sharded()).isPresent();
-		if (!this.registration.ready() && !(byKey && mayFinish(now))) {
+		boolean sharded = hopRequest.request().key().isPresent()
+				&& this.config.get().service(hopRequest.service()).filter((rule) -> rule.sharded()).isPresent();
+		if (!this.registration.ready() && !(sharded && mayStillServe(now))) {
 			return noBackend("the backend server is " + this.registration.phase());
 		}
-		if (byKey && !this.keys.usable(ask.request().key().getAsInt())) {
+		if (sharded && !this.keys.usable(hopRequest.request().key().getAsInt())) {
 			return Optional.of(new Failure(ErrorKind.NOT_OWNER, "the backend server doesn't hold this key now",
-					untilHeld(ask.request().key().getAsInt(), now)));
+					timeUntilHeld(hopRequest.request().key().getAsInt(), now)));
 		}
 		return Optional.empty();
 	}
 
-	// Keys are served on until another server has them, but no longer than a leaving
-	// server may be given work.
-	private boolean mayFinish(long now) {
-		boolean leaving = this.registration.phase() == BackendPhase.DRAINING
+	// Returns whether a draining server may still serve its keys. It serves them until
+	// another server holds them, but no longer than the configured drain time.
+	private boolean mayStillServe(long now) {
+		boolean draining = this.registration.phase() == BackendPhase.DRAINING
 				|| this.registration.phase() == BackendPhase.DEPARTED;
-		Duration longest = this.settings.bounds().drain().minus(DRAIN_MARGIN);
-		return leaving
-				&& this.registration.drainingFor(now).filter((since) -> since.compareTo(longest) < 0).isPresent();
+		Duration maxDrainTime = this.settings.bounds().drain().minus(DRAIN_MARGIN);
+		return draining
+				&& this.registration.drainingFor(now).filter((since) -> since.compareTo(maxDrainTime) < 0).isPresent();
 	}
 
-	// Keys come with the next heartbeat. When one that leaves is held by its next holder,
-	// and when an overdue heartbeat comes, nobody knows, and no pause is told.
-	private Duration untilHeld(int key, long now) {
+	// Returns when this server is expected to hold the key: keys are granted in the
+	// answer to the next heartbeat. Zero, for no retry-after time, if that is unknown
+	// because the key is moving to another holder or the heartbeat is overdue.
+	private Duration timeUntilHeld(int key, long now) {
 		Duration next = this.registration.untilNextHeartbeat(now);
 		return (next.isZero() || this.keys.isMoving(key)) ? Duration.ZERO : next.plus(GRANT_MARGIN);
 	}
 
-	// Nobody knows for how long, so no pause is told.
+	// Has no retry-after time: how long this lasts is unknown.
 	private static Optional<Failure> noBackend(String detail) {
 		return Optional.of(Failure.of(ErrorKind.NO_BACKEND, detail));
 	}
 
-	private SendOutcome turnedAway(HopRequest ask, Failure failure) {
-		this.log.record(MeshEvent.GATE_TURNED_AWAY, "request", ask.request().id(), "class", ask.requestClass(),
-				"reason", failure.kind(), "detail", failure.detail(), "running", this.admission.running(), "waiting",
-				this.admission.waiting(), "left_ms", ask.request().remainingMillis());
+	private SendOutcome reject(HopRequest hopRequest, Failure failure) {
+		this.log.record(MeshEvent.GATE_TURNED_AWAY, "request", hopRequest.request().id(), "class",
+				hopRequest.requestClass(), "reason", failure.kind(), "detail", failure.detail(), "running",
+				this.admission.running(), "waiting", this.admission.waiting(), "left_ms",
+				hopRequest.request().remainingMillis());
 		return new SendOutcome.NotRun(failure, false);
 	}
 
-	private Promise<SendOutcome> enqueue(long number, Order order) {
-		Waiting queued = new Waiting(order, new SettablePromise<>());
-		this.waiting.put(number, queued);
-		order.cancellation.whenCancelled(() -> {
+	private Promise<SendOutcome> enqueue(long number, AcceptedRequest accepted) {
+		QueuedRequest queued = new QueuedRequest(accepted, new SettablePromise<>());
+		this.queue.put(number, queued);
+		accepted.cancellation.whenCancelled(() -> {
 			if (this.admission.cancelWaiting(number)) {
-				refuse(new RefusedRequest(number, Failure.of(ErrorKind.DEADLINE_PASSED, "the caller is gone")));
+				rejectQueued(new RefusedRequest(number, Failure.of(ErrorKind.DEADLINE_PASSED, "the caller is gone")));
 			}
 		});
-		expireSoon();
+		scheduleExpiryCheck();
 		return queued.outcome;
 	}
 
-	private Promise<SendOutcome> start(long number, Order order) {
+	private Promise<SendOutcome> start(long number, AcceptedRequest accepted) {
 		long now = System.nanoTime();
-		Optional<Failure> closed = suspect(order.ask).or(() -> unservable(order.ask, now));
-		if (closed.isPresent() || this.registration.incarnation().isEmpty() || order.cancellation.cancelled()) {
-			finished(number, RunOutcome.NOT_STARTED);
-			Failure why = closed.orElseGet(() -> Failure.of(ErrorKind.DEADLINE_PASSED, "nobody waits for it"));
-			return Promise.of(turnedAway(order.ask, why));
+		Optional<Failure> rejection = suspectRejection(accepted.hopRequest)
+			.or(() -> backendRejection(accepted.hopRequest, now));
+		if (rejection.isPresent() || this.registration.incarnation().isEmpty() || accepted.cancellation.cancelled()) {
+			releaseSlot(number, RunOutcome.NOT_STARTED);
+			Failure failure = rejection.orElseGet(() -> Failure.of(ErrorKind.DEADLINE_PASSED, "nobody waits for it"));
+			return Promise.of(reject(accepted.hopRequest, failure));
 		}
-		return send(number, order, this.registration.incarnation().get(), now);
+		return send(number, accepted, this.registration.incarnation().get(), now);
 	}
 
-	private Promise<SendOutcome> send(long number, Order order, BackendIncarnation to, long now) {
-		int remaining = (int) Math.max(1, (order.deadlineNanos - now) / NANOS_PER_MILLI);
-		BackendRequest written = new BackendRequest(order.ask.request(), order.ask.caller(), to, remaining);
-		this.crashes.onRequestStarted(order.ask.request());
-		BackendPool.BackendRun run = this.pool.run(this.protocol.request(written), order.ask.idempotent(),
-				(answer) -> this.protocol.verdict(written, answer) != BackendProtocol.Verdict.OTHER_REQUEST,
-				() -> mayBeSent(order, to));
+	private Promise<SendOutcome> send(long number, AcceptedRequest accepted, BackendIncarnation incarnation, long now) {
+		int remaining = (int) Math.max(1, (accepted.deadlineNanos - now) / NANOS_PER_MILLI);
+		BackendRequest backendRequest = new BackendRequest(accepted.hopRequest.request(), accepted.hopRequest.caller(),
+				incarnation, remaining);
+		this.crashes.onRequestStarted(accepted.hopRequest.request());
+		BackendPool.BackendRun run = this.pool.run(this.protocol.request(backendRequest),
+				accepted.hopRequest.idempotent(),
+				(answer) -> this.protocol.verdict(backendRequest, answer) != BackendProtocol.Verdict.OTHER_REQUEST,
+				() -> maySend(accepted, incarnation));
 		ScheduledRunnable timeout = this.reactor.delay(remaining + 1L, run::giveUp);
-		// A posting that runs is left to end: its caller's leaving doesn't undo it, and
-		// what is broken off halfway nobody can tell the outcome of.
-		if (order.ask.idempotent()) {
-			order.cancellation.whenCancelled(run::giveUp);
+		// A running request that is not idempotent is not aborted: its effects remain
+		// even if the caller is gone, and the outcome of an aborted request is unknown.
+		if (accepted.hopRequest.idempotent()) {
+			accepted.cancellation.whenCancelled(run::giveUp);
 		}
 		return run.reply().map((reply) -> {
 			timeout.cancel();
-			this.crashes.onRequestEnded(order.ask.request());
-			noteCrash(written, now, reply);
-			return ended(number, written, order, reply);
+			this.crashes.onRequestEnded(accepted.hopRequest.request());
+			updateCrashDetector(backendRequest, now, reply);
+			return onRequestEnded(number, backendRequest, accepted, reply);
 		});
 	}
 
-	private void noteCrash(BackendRequest written, long sentNanos, BackendReply reply) {
+	private void updateCrashDetector(BackendRequest sent, long sentNanos, BackendReply reply) {
 		switch (reply) {
 			case BackendReply.Whole(Answer answer) -> {
-				if (this.protocol.verdict(written, answer) != BackendProtocol.Verdict.NOT_RUN) {
-					this.crashes.onAnswer(written.incarnation(), written.request(), sentNanos);
+				if (this.protocol.verdict(sent, answer) != BackendProtocol.Verdict.NOT_RUN) {
+					this.crashes.onAnswer(sent.incarnation(), sent.request(), sentNanos);
 				}
 			}
-			case BackendReply.Broken ignored -> this.crashes.onConnectionLost(written.incarnation(), written.request());
-			case BackendReply.Garbled ignored ->
-				this.crashes.onConnectionLost(written.incarnation(), written.request());
-			case BackendReply.Closed ignored -> this.crashes.onPortClosed(written.incarnation());
+			case BackendReply.Broken ignored -> this.crashes.onConnectionLost(sent.incarnation(), sent.request());
+			case BackendReply.Garbled ignored -> this.crashes.onConnectionLost(sent.incarnation(), sent.request());
+			case BackendReply.Closed ignored -> this.crashes.onPortClosed(sent.incarnation());
 			case BackendReply.NotSent ignored -> {
-				// It says nothing of the server.
+				// Says nothing about the server.
 			}
 			case BackendReply.GivenUp ignored -> {
-				// Neither does this.
+				// Says nothing about the server.
 			}
 		}
 	}
 
-	// A connection may take as long to open as a leaving server may still be given work.
-	private boolean mayBeSent(Order order, BackendIncarnation to) {
-		return this.registration.incarnation().equals(Optional.of(to))
-				&& unservable(order.ask, System.nanoTime()).isEmpty();
+	// Checked again once a connection is open, since opening one may take longer than the
+	// time for which a draining server may still be sent requests.
+	private boolean maySend(AcceptedRequest accepted, BackendIncarnation incarnation) {
+		return this.registration.incarnation().equals(Optional.of(incarnation))
+				&& backendRejection(accepted.hopRequest, System.nanoTime()).isEmpty();
 	}
 
-	private SendOutcome ended(long number, BackendRequest written, Order order, BackendReply reply) {
-		SendOutcome outcome = outcome(written, order, reply);
+	private SendOutcome onRequestEnded(long number, BackendRequest sent, AcceptedRequest accepted, BackendReply reply) {
+		SendOutcome outcome = outcome(sent, accepted, reply);
 		this.registration.onConnectionAttempt(!(reply instanceof BackendReply.Closed));
-		finished(number, runOutcome(outcome, reply));
+		releaseSlot(number, runOutcome(outcome, reply));
 		if (!(outcome instanceof SendOutcome.Answered)) {
-			this.log.record(MeshEvent.ORDER_FAILED, "request", order.ask.request().id(), "life", written.incarnation(),
-					"reply", reply, "outcome", outcome.getClass().getSimpleName());
+			this.log.record(MeshEvent.ORDER_FAILED, "request", accepted.hopRequest.request().id(), "life",
+					sent.incarnation(), "reply", reply, "outcome", outcome.getClass().getSimpleName());
 		}
 		return outcome;
 	}
 
-	private SendOutcome outcome(BackendRequest written, Order order, BackendReply reply) {
+	private SendOutcome outcome(BackendRequest sent, AcceptedRequest accepted, BackendReply reply) {
 		return switch (reply) {
 			case BackendReply.Whole(Answer answer) ->
-				(this.protocol.verdict(written, answer) == BackendProtocol.Verdict.NOT_RUN)
-						? new SendOutcome.NotRun(
-								new Failure(ErrorKind.OVERLOADED, "the backend server declined it", RETRY_SOON), true)
+				(this.protocol.verdict(sent, answer) == BackendProtocol.Verdict.NOT_RUN)
+						? new SendOutcome.NotRun(new Failure(ErrorKind.OVERLOADED,
+								"the backend server declined the request", SHORT_RETRY_AFTER), true)
 						: new SendOutcome.Answered(answer);
 			case BackendReply.NotSent(String reason) ->
 				new SendOutcome.NotRun(Failure.of(ErrorKind.NO_BACKEND, reason), false);
@@ -354,8 +371,9 @@
 				new SendOutcome.NotRun(Failure.of(ErrorKind.NO_BACKEND, "the backend server's port is closed"), false);
 			case BackendReply.Broken(String reason) -> unknown(ErrorKind.OUTCOME_UNKNOWN, reason);
 			case BackendReply.Garbled(String reason) -> unknown(ErrorKind.BAD_ANSWER, reason);
-			case BackendReply.GivenUp ignored -> unknown(ErrorKind.TIMED_OUT, order.cancellation.cancelled()
-					? "nobody waits for it any more" : "the deadline passed while the backend server had it");
+			case BackendReply.GivenUp ignored ->
+				unknown(ErrorKind.TIMED_OUT, accepted.cancellation.cancelled() ? "nobody waits for it any more"
+						: "the deadline passed while the backend server was running the request");
 		};
 	}
 
@@ -366,56 +384,58 @@
 	private static RunOutcome runOutcome(SendOutcome outcome, BackendReply reply) {
 		return switch (outcome) {
 			case SendOutcome.Answered ignored -> RunOutcome.ANSWERED;
-			// Slots are counted exactly here, so a server that declines is at fault and
-			// not full. Taken for full, a server that declined half of all requests at
-			// random was given ever fewer, and a half of what it could run went unserved.
+			// Slots are counted exactly here, so a server that declines a request is
+			// faulty and not full. When declined requests counted as a sign of a full
+			// server, a server that declined half of all requests at random was sent
+			// fewer and fewer, and half of its capacity stayed unused.
 			case SendOutcome.NotRun ignored -> RunOutcome.NOT_STARTED;
 			case SendOutcome.Unknown ignored ->
 				(reply instanceof BackendReply.GivenUp) ? RunOutcome.INTERRUPTED : RunOutcome.NOT_STARTED;
 		};
 	}
 
-	private void finished(long number, RunOutcome outcome) {
-		carryOut(this.admission.finished(number, outcome, System.nanoTime()));
+	private void releaseSlot(long number, RunOutcome outcome) {
+		applyDecisions(this.admission.finished(number, outcome, System.nanoTime()));
 	}
 
-	private void carryOut(NextRequests next) {
-		next.refused().forEach(this::refuse);
+	private void applyDecisions(NextRequests next) {
+		next.refused().forEach(this::rejectQueued);
 		for (long number : next.run()) {
-			Waiting queued = this.waiting.remove(number);
+			QueuedRequest queued = this.queue.remove(number);
 			if (queued == null) {
-				finished(number, RunOutcome.NOT_STARTED);
+				releaseSlot(number, RunOutcome.NOT_STARTED);
 			}
 			else {
-				start(number, queued.order).whenResult(queued.outcome::trySet);
+				start(number, queued.accepted).whenResult(queued.outcome::trySet);
 			}
 		}
 	}
 
-	private void refuse(RefusedRequest refused) {
-		Waiting queued = this.waiting.remove(refused.id());
+	private void rejectQueued(RefusedRequest refused) {
+		QueuedRequest queued = this.queue.remove(refused.id());
 		if (queued != null) {
-			queued.outcome.trySet(turnedAway(queued.order.ask, refused.failure()));
+			queued.outcome.trySet(reject(queued.accepted.hopRequest, refused.failure()));
 		}
 	}
 
-	// Looks for what can no longer make its deadline, as long as anything waits.
-	private void expireSoon() {
-		if (this.expiring) {
+	// Rejects queued requests that can no longer meet their deadline; reschedules itself
+	// as long as any request is queued.
+	private void scheduleExpiryCheck() {
+		if (this.expiryCheckScheduled) {
 			return;
 		}
-		this.expiring = true;
-		this.reactor.delay(LOOK_AGAIN, () -> {
-			this.expiring = false;
-			carryOut(this.admission.advance(System.nanoTime()));
+		this.expiryCheckScheduled = true;
+		this.reactor.delay(EXPIRY_CHECK_INTERVAL, () -> {
+			this.expiryCheckScheduled = false;
+			applyDecisions(this.admission.advance(System.nanoTime()));
 			if (this.admission.waiting() > 0) {
-				expireSoon();
+				scheduleExpiryCheck();
 			}
 		});
 	}
 
-	// How many lookups a second all slots together can run, from how long one took
-	// lately.
+	// Returns how many lookups per second all slots together can run, from the recent run
+	// time of a lookup.
 	double lookupsPerSecond() {
 		long runNanos = Math.max(NANOS_PER_MILLI, this.admission.meanRunNanos(RequestClass.LOOKUP));
 		return this.registration.slots() * NANOS_PER_SECOND / runNanos;
@@ -429,10 +449,10 @@
 		return List.of(this.admission.running(), this.admission.waiting());
 	}
 
-	private record Order(HopRequest ask, Cancellation cancellation, long deadlineNanos) {
+	private record AcceptedRequest(HopRequest hopRequest, Cancellation cancellation, long deadlineNanos) {
 	}
 
-	private record Waiting(Order order, SettablePromise<SendOutcome> outcome) {
+	private record QueuedRequest(AcceptedRequest accepted, SettablePromise<SendOutcome> outcome) {
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendRegistration.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendRegistration.java
@@ -17,8 +17,8 @@
 import org.brasspier.daemon.mesh.MeshSettings;
 
 /**
- * What is known of the backend server beside this daemon, from its heartbeats. An
- * acknowledged leaving binds from that moment on. Belongs to the thread of requests.
+ * State of the local backend server, from its heartbeats. A departure takes effect at the
+ * moment when it is acknowledged. Not thread-safe: confined to the request thread.
  */
 final class BackendRegistration {
 
@@ -26,17 +26,17 @@
 
 	private final MeshLog log;
 
-	private final BackendTracker track = new BackendTracker();
+	private final BackendTracker tracker = new BackendTracker();
 
 	private final List<Runnable> listeners = new ArrayList<>();
 
-	private GrantSource grants = (beat, now) -> Optional.empty();
+	private GrantSource grantSource = (heartbeat, now) -> Optional.empty();
 
 	private int slots = 1;
 
-	private long heardNanos;
+	private long lastHeartbeatNanos;
 
-	private long leavingSinceNanos;
+	private long drainingSinceNanos;
 
 	private long coldUntilNanos;
 
@@ -46,10 +46,10 @@
 	}
 
 	void setGrantSource(GrantSource source) {
-		this.grants = source;
+		this.grantSource = source;
 	}
 
-	// Called after each change of life, phase or slots.
+	// Listeners run after each change of the server process, its phase or its slots.
 	void addListener(Runnable listener) {
 		this.listeners.add(listener);
 	}
@@ -57,77 +57,81 @@
 	Either<Failure, Optional<GrantAnswer>> receive(BackendMessage message) {
 		long now = System.nanoTime();
 		return switch (message) {
-			case BackendMessage.HeartbeatMessage(Heartbeat beat) -> beat(beat, now);
-			case BackendMessage.Departure(String id) -> departed(id, now);
+			case BackendMessage.HeartbeatMessage(Heartbeat heartbeat) -> heartbeat(heartbeat, now);
+			case BackendMessage.Departure(String id) -> departure(id, now);
 		};
 	}
 
-	private Either<Failure, Optional<GrantAnswer>> beat(Heartbeat beat, long now) {
-		if (!beat.service().equals(this.backend.service()) || !beat.address().equals(this.backend.address())) {
-			String why = "it names service %s at %s, beside this daemon is %s at %s".formatted(beat.service(),
-					beat.address(), this.backend.service(), this.backend.address());
-			this.log.record(MeshEvent.BACKEND_MESSAGE_IGNORED, "life", beat.holds().incarnation(), "reason", why);
-			return Either.left(Failure.of(ErrorKind.BAD_REQUEST, why));
+	private Either<Failure, Optional<GrantAnswer>> heartbeat(Heartbeat heartbeat, long now) {
+		if (!heartbeat.service().equals(this.backend.service())
+				|| !heartbeat.address().equals(this.backend.address())) {
+			String reason = "it names service %s at %s, beside this daemon is %s at %s".formatted(heartbeat.service(),
+					heartbeat.address(), this.backend.service(), this.backend.address());
+			this.log.record(MeshEvent.BACKEND_MESSAGE_IGNORED, "life", heartbeat.holds().incarnation(), "reason",
+					reason);
+			return Either.left(Failure.of(ErrorKind.BAD_REQUEST, reason));
 		}
 		State before = state();
-		if (!this.track.onHeartbeat(beat.holds().incarnation(), beat.sequence(), beat.draining(), now)) {
-			this.log.record(MeshEvent.BACKEND_MESSAGE_IGNORED, "life", beat.holds().incarnation(), "sequence",
-					beat.sequence(), "reason", "it is late");
+		if (!this.tracker.onHeartbeat(heartbeat.holds().incarnation(), heartbeat.sequence(), heartbeat.draining(),
+				now)) {
+			this.log.record(MeshEvent.BACKEND_MESSAGE_IGNORED, "life", heartbeat.holds().incarnation(), "sequence",
+					heartbeat.sequence(), "reason", "it is late");
 			return Either.right(Optional.empty());
 		}
-		this.slots = beat.slots();
-		this.heardNanos = now;
-		this.coldUntilNanos = now + beat.coldStartRemaining().toNanos();
-		changed(before, now);
-		return Either.right(this.grants.answer(beat, now));
+		this.slots = heartbeat.slots();
+		this.lastHeartbeatNanos = now;
+		this.coldUntilNanos = now + heartbeat.coldStartRemaining().toNanos();
+		notifyIfChanged(before, now);
+		return Either.right(this.grantSource.answer(heartbeat, now));
 	}
 
-	private Either<Failure, Optional<GrantAnswer>> departed(String id, long now) {
+	private Either<Failure, Optional<GrantAnswer>> departure(String id, long now) {
 		State before = state();
-		if (!this.track.onDeparture(id)) {
+		if (!this.tracker.onDeparture(id)) {
 			this.log.record(MeshEvent.BACKEND_MESSAGE_IGNORED, "life", id, "reason", "another life goes on");
 		}
-		changed(before, now);
+		notifyIfChanged(before, now);
 		return Either.right(Optional.empty());
 	}
 
 	/**
-	 * Takes that an earlier process of this instance has acknowledged a server's leaving.
-	 * @param life the server's life
+	 * Records that an earlier process of this instance has acknowledged the departure of
+	 * a server.
+	 * @param incarnation the server process
 	 */
-	void restoreDeparture(BackendIncarnation life) {
+	void restoreDeparture(BackendIncarnation incarnation) {
 		State before = state();
-		this.track.restoreDeparture(life);
-		changed(before, System.nanoTime());
+		this.tracker.restoreDeparture(incarnation);
+		notifyIfChanged(before, System.nanoTime());
 	}
 
-	private void changed(State before, long now) {
+	private void notifyIfChanged(State before, long now) {
 		State after = state();
 		if (before.equals(after)) {
 			return;
 		}
 		if (!ready() && !before.phase.equals(after.phase)) {
-			this.leavingSinceNanos = now;
+			this.drainingSinceNanos = now;
 		}
-		this.log.record(MeshEvent.BACKEND_CHANGED, "life", after.life.map(String::valueOf).orElse(""), "phase",
-				after.phase, "before", before.phase, "slots", after.slots, "sequence", this.track.sequence());
+		this.log.record(MeshEvent.BACKEND_CHANGED, "life", after.incarnation.map(String::valueOf).orElse(""), "phase",
+				after.phase, "before", before.phase, "slots", after.slots, "sequence", this.tracker.sequence());
 		this.listeners.forEach(Runnable::run);
 	}
 
 	private State state() {
-		return new State(this.track.incarnation(), this.track.phase(), this.slots);
+		return new State(this.tracker.incarnation(), this.tracker.phase(), this.slots);
 	}
 
 	Optional<BackendIncarnation> incarnation() {
-		return this.track.incarnation();
+		return this.tracker.incarnation();
 	}
 
 	BackendPhase phase() {
-		return this.track.phase();
+		return this.tracker.phase();
 	}
 
 	boolean ready() {
-		return this.track.phase() == BackendPhase.READY;
+		return this.tracker.phase() == BackendPhase.READY;
 	}
 
 	int slots() {
@@ -135,13 +139,14 @@
 	}
 
 	/**
-	 * How long until the server's next heartbeat may be expected, with which it gets
-	 * keys.
-	 * @param now the time
-	 * @return the time; zero if it is overdue, so that nobody knows
+	 * Returns the time until the next heartbeat is expected, in whose answer the server
+	 * is granted keys.
+	 * @param now current time, nanoseconds of the steady clock
+	 * @return the remaining time; zero if the heartbeat is overdue, so that the time is
+	 * unknown
 	 */
 	Duration untilNextHeartbeat(long now) {
-		long left = this.heardNanos + this.backend.heartbeatInterval().toNanos() - now;
+		long left = this.lastHeartbeatNanos + this.backend.heartbeatInterval().toNanos() - now;
 		return Duration.ofNanos(Math.max(0, left));
 	}
 
@@ -149,40 +154,42 @@
 		return now < this.coldUntilNanos;
 	}
 
-	// Takes that a connection to the server was tried.
-	void onConnectionAttempt(boolean open) {
-		this.track.onConnectionAttempt(open, System.nanoTime());
+	// Records whether an attempt to connect to the server succeeded.
+	void onConnectionAttempt(boolean connected) {
+		this.tracker.onConnectionAttempt(connected, System.nanoTime());
 	}
 
 	boolean isDead() {
-		return this.track.isDead(System.nanoTime());
+		return this.tracker.isDead(System.nanoTime());
 	}
 
-	// As far as this process knows: one that found the server leaving can't tell.
+	// Returns how long the server has been draining. Empty if this process has never seen
+	// it ready, because it can't tell then when the drain began.
 	Optional<Duration> drainingFor(long now) {
-		return this.track.seenReady() ? Optional.of(Duration.ofNanos(now - this.leavingSinceNanos)) : Optional.empty();
+		return this.tracker.seenReady() ? Optional.of(Duration.ofNanos(now - this.drainingSinceNanos))
+				: Optional.empty();
 	}
 
 	long nanosSinceHeartbeat(long now) {
-		return this.track.silentNanos(now);
+		return this.tracker.silentNanos(now);
 	}
 
 	/**
-	 * Says what a backend server is to hold.
+	 * Decides which keys a backend server is to hold.
 	 */
 	interface GrantSource {
 
 		/**
-		 * Answers a heartbeat.
-		 * @param beat the heartbeat
-		 * @param now when it came, by the steady clock
-		 * @return the grants; empty if nothing is to be said of them
+		 * Returns the grants with which a heartbeat is answered.
+		 * @param heartbeat the heartbeat
+		 * @param now when it was received, nanoseconds of the steady clock
+		 * @return the grants; empty if the answer contains no statement about grants
 		 */
-		Optional<GrantAnswer> answer(Heartbeat beat, long now);
+		Optional<GrantAnswer> answer(Heartbeat heartbeat, long now);
 
 	}
 
-	private record State(Optional<BackendIncarnation> life, BackendPhase phase, int slots) {
+	private record State(Optional<BackendIncarnation> incarnation, BackendPhase phase, int slots) {
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/ControlPorts.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/ControlPorts.java
@@ -23,8 +23,8 @@
 import org.brasspier.daemon.mesh.MeshSettings;
 
 /**
- * The ports for the platform's question whether this daemon takes work, for the backend
- * server's heartbeats, and for metrics. Belongs to the thread of requests.
+ * HTTP ports for the platform's readiness check, the backend server's heartbeats, and
+ * metrics. Not thread-safe: confined to the request thread.
  */
 final class ControlPorts {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Dispatcher.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/Dispatcher.java
@@ -35,34 +35,39 @@
 import org.brasspier.daemon.mesh.MeshSettings;
 
 /**
- * Brings a request of a caller on this instance to a backend server: the holder of its
- * key, or the one whose answer can be expected first. Belongs to the thread of requests.
+ * Sends a request of a caller on this instance to a backend server: to the holder of its
+ * key, or to the server that is expected to answer first. Sends it again to another
+ * server where the retry policy allows. Not thread-safe: confined to the request thread.
  */
 final class Dispatcher {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
 	/**
-	 * What another failure domain counts for, as a share of the target latency: bytes
-	 * between failure domains are paid for, so the own one is taken as long as the answer
-	 * still comes well in time there.
+	 * Penalty for servers in another failure domain, as a fraction of the target latency.
+	 * Traffic between failure domains is billed, so a server in the same one is preferred
+	 * as long as it still answers well within the target.
 	 */
-	private static final double FAR_SHARE = 0.35;
+	private static final double REMOTE_DOMAIN_PENALTY = 0.35;
 
-	/** A send isn't worth while with less than this share of the target latency left. */
-	private static final int LEAST_TIME_DIVISOR = 3;
+	/**
+	 * A request is not sent again if less than the target latency divided by this is
+	 * left.
+	 */
+	private static final int MIN_TIME_DIVISOR = 3;
 
 	/**
-	 * A part of the operators' bound is kept back: daemons don't count in step, and a
-	 * called service also gets the calls of repeats that other services' budgets pay for.
+	 * Fraction of the configured retry budget that the daemons use. The rest is a
+	 * reserve: daemons do not count in step, and a called service also receives the calls
+	 * made by retried requests, which are charged to the budgets of other services.
 	 */
 	private static final double BUDGET_SHARE = 0.6;
 
 	/**
-	 * Daemons that are counted on at least, while few are known yet: each may spend its
-	 * part of the slack at once.
+	 * Minimum number of daemons among which the slack is divided. Each daemon may spend
+	 * its part at once, and a daemon that has just started knows only a few others.
 	 */
-	private static final int FEWEST_DAEMONS = 9;
+	private static final int MIN_DAEMONS = 9;
 
 	private final MeshSettings settings;
 
@@ -82,11 +87,11 @@
 
 	private final Map<ServiceName, ServiceRetryBudget> budgets = new HashMap<>();
 
-	private final Map<ServiceName, SearchThrottle> searchPaces = new HashMap<>();
+	private final Map<ServiceName, SearchThrottle> searchThrottles = new HashMap<>();
 
-	private final InstanceBackoff absences = new InstanceBackoff();
+	private final InstanceBackoff backoff = new InstanceBackoff();
 
-	private final OverdueRequestDetector overdueRequests = new OverdueRequestDetector();
+	private final OverdueRequestDetector overdueDetector = new OverdueRequestDetector();
 
 	private final SplittableRandom random = new SplittableRandom();
 
@@ -102,42 +107,43 @@
 	}
 
 	/**
-	 * Brings a request on its way.
+	 * Dispatches a request.
 	 * @param request the request
 	 * @param route its route
-	 * @param cancellation tells when its caller is gone
-	 * @return what came of it; never an exception
+	 * @param cancellation cancelled when the caller no longer waits for the answer
+	 * @return the outcome; never completes with an exception
 	 */
 	Promise<SendOutcome> dispatch(MeshRequest request, RouteRule route, Cancellation cancellation) {
-		ServiceName service = service(route);
-		ServiceRetryBudget budget = this.budgets.computeIfAbsent(service, (key) -> budget());
+		ServiceName service = pickService(route);
+		ServiceRetryBudget budget = this.budgets.computeIfAbsent(service, (key) -> newBudget());
 		budget.setMostSaved(mostSaved());
 		budget.recordRequest();
-		return new Course(request, route, service, budget, cancellation).attempt();
+		return new DispatchedRequest(request, route, service, budget, cancellation).attempt();
 	}
 
-	private ServiceName service(RouteRule route) {
+	private ServiceName pickService(RouteRule route) {
 		int total = route.services().stream().mapToInt((part) -> part.weight()).sum();
 		if (route.services().size() == 1 || total == 0) {
 			return route.services().get(0).service();
 		}
-		int lot = this.random.nextInt(total);
+		int draw = this.random.nextInt(total);
 		for (var part : route.services()) {
-			lot -= part.weight();
-			if (lot < 0) {
+			draw -= part.weight();
+			if (draw < 0) {
 				return part.service();
 			}
 		}
 		return route.services().get(0).service();
 	}
 
-	// The slack is shared by all daemons, whose number is taken from the store's rows.
+	// The slack is divided among all daemons, whose number is that of the rows in the
+	// store.
 	private int mostSaved() {
-		int daemons = Math.max(FEWEST_DAEMONS, this.directory.size());
+		int daemons = Math.max(MIN_DAEMONS, this.directory.size());
 		return Math.max(1, (int) (this.settings.bounds().retries().slack() * BUDGET_SHARE / daemons));
 	}
 
-	private ServiceRetryBudget budget() {
+	private ServiceRetryBudget newBudget() {
 		return new ServiceRetryBudget(this.settings.bounds().retries().ratio() * BUDGET_SHARE, mostSaved());
 	}
 
@@ -158,9 +164,9 @@
 	}
 
 	/**
-	 * One request on its way.
+	 * One request and its attempts.
 	 */
-	private final class Course {
+	private final class DispatchedRequest {
 
 		private final MeshRequest request;
 
@@ -170,7 +176,7 @@
 
 		private final RequestClass requestClass;
 
-		private final RequestRetryPolicy rules;
+		private final RequestRetryPolicy retryPolicy;
 
 		private final boolean overdue;
 
@@ -180,20 +186,21 @@
 
 		private final Set<InstanceId> tried = new HashSet<>();
 
-		private final SearchThrottle searchPace;
+		private final SearchThrottle searchThrottle;
 
 		private final SlotSearch search;
 
-		Course(MeshRequest request, RouteRule route, ServiceName service, ServiceRetryBudget budget,
+		DispatchedRequest(MeshRequest request, RouteRule route, ServiceName service, ServiceRetryBudget budget,
 				Cancellation cancellation) {
 			this.request = request;
 			this.route = route;
 			this.service = service;
 			this.requestClass = Dispatcher.this.config.get().requestClass(route, service);
-			this.rules = new RequestRetryPolicy(route, budget);
-			this.searchPace = Dispatcher.this.searchPaces.computeIfAbsent(service, (key) -> new SearchThrottle());
-			this.search = new SlotSearch(byKey() || this.searchPace.shouldSearch());
-			this.overdue = Dispatcher.this.overdueRequests.isOverdue(route, request.remainingMillis());
+			this.retryPolicy = new RequestRetryPolicy(route, budget);
+			this.searchThrottle = Dispatcher.this.searchThrottles.computeIfAbsent(service,
+					(key) -> new SearchThrottle());
+			this.search = new SlotSearch(sharded() || this.searchThrottle.shouldSearch());
+			this.overdue = Dispatcher.this.overdueDetector.isOverdue(route, request.remainingMillis());
 			this.cancellation = cancellation;
 			long millis = Math.min(request.remainingMillis(), route.timeout().toMillis());
 			this.deadlineNanos = System.nanoTime() + millis * NANOS_PER_MILLI;
@@ -204,22 +211,23 @@
 			int remaining = (int) ((this.deadlineNanos - now) / NANOS_PER_MILLI);
 			if (remaining <= 0 || this.cancellation.cancelled()) {
 				return Promise.of(new SendOutcome.NotRun(
-						Failure.of(ErrorKind.DEADLINE_PASSED, "the deadline passed before it was sent"), false));
+						Failure.of(ErrorKind.DEADLINE_PASSED, "the deadline passed before the request was sent"),
+						false));
 			}
 			if (Dispatcher.this.crashes.isBlocked(this.request)) {
 				return Promise.of(new SendOutcome.NotRun(BackendGate.blockedFailure(), false));
 			}
-			if (byKey()) {
+			if (sharded()) {
 				return holder(now).map((target) -> send(target, "KEY", remaining, now))
-					.orElseGet(() -> Promise.of(nobody(remaining)));
+					.orElseGet(() -> Promise.of(noTarget(remaining)));
 			}
-			Optional<Choice> choice = choice(now);
+			Optional<Choice> choice = choose(now);
 			return choice.flatMap((chosen) -> Dispatcher.this.directory.member(chosen.instance()))
 				.map((target) -> send(target, choice.get().reason().name(), remaining, now))
-				.orElseGet(() -> Promise.of(nobody(remaining)));
+				.orElseGet(() -> Promise.of(noTarget(remaining)));
 		}
 
-		private boolean byKey() {
+		private boolean sharded() {
 			return this.request.key().isPresent()
 					&& Dispatcher.this.config.get().service(this.service).filter((rule) -> rule.sharded()).isPresent();
 		}
@@ -228,10 +236,10 @@
 			Optional<KeyMap> map = Dispatcher.this.directory.keys(this.service);
 			return map.map((known) -> known.holding(this.request.key().getAsInt()).owner())
 				.flatMap(Dispatcher.this.directory::member)
-				.filter((member) -> !Dispatcher.this.hops.unreachable(member.instance(), now));
+				.filter((member) -> !Dispatcher.this.hops.isUnreachable(member.instance(), now));
 		}
 
-		private Optional<Choice> choice(long now) {
+		private Optional<Choice> choose(long now) {
 			List<Candidate> candidates = untried(now).stream().map(this::candidate).toList();
 			boolean onlyOne = this.tried.isEmpty() && candidates.size() == 1;
 			if (candidates.isEmpty() || onlyOne || this.search.mayWait()) {
@@ -244,111 +252,115 @@
 			return chooser(this.service).chooseWithReason(candidates, this.requestClass, now);
 		}
 
-		// Those that may be asked. One that could not be reached or had no server lately
-		// is asked only if no other is known: asking it after a full one has turned the
-		// request away would keep the caller waiting a tenth of a second for nothing.
+		// Returns the instances to which the request may be sent. An instance that was
+		// unreachable or had no server recently is used only if no other is known: trying
+		// it after a full server has rejected the request would delay the answer to the
+		// caller by a tenth of a second for nothing.
 		private List<Member> untried(long now) {
 			List<Member> serving = Dispatcher.this.directory.serving(this.service);
 			List<Member> untried = serving.stream()
 				.filter((member) -> !this.tried.contains(member.instance()))
 				.filter((member) -> !Dispatcher.this.hops.shouldAvoid(member.instance(), now))
-				.filter((member) -> !Dispatcher.this.absences.shouldAvoid(member.instance(), now))
+				.filter((member) -> !Dispatcher.this.backoff.shouldAvoid(member.instance(), now))
 				.toList();
 			return (untried.isEmpty() && this.tried.isEmpty()) ? serving : untried;
 		}
 
 		private Candidate candidate(Member member) {
-			boolean near = member.failureDomain().equals(Dispatcher.this.settings.failureDomain());
-			Duration distance = near ? Duration.ZERO
-					: Duration.ofNanos((long) (this.route.targetLatency().toNanos() * FAR_SHARE));
-			return new Candidate(member.instance(), distance, member.slots(), 1);
+			boolean sameDomain = member.failureDomain().equals(Dispatcher.this.settings.failureDomain());
+			Duration penalty = sameDomain ? Duration.ZERO
+					: Duration.ofNanos((long) (this.route.targetLatency().toNanos() * REMOTE_DOMAIN_PENALTY));
+			return new Candidate(member.instance(), penalty, member.slots(), 1);
 		}
 
-		private SendOutcome nobody(int remaining) {
+		private SendOutcome noTarget(int remaining) {
 			Duration pause = RetryAfter.of(Duration.ZERO, Duration.ofMillis(remaining));
-			return new SendOutcome.NotRun(new Failure(byKey() ? ErrorKind.NO_OWNER : ErrorKind.NO_BACKEND,
-					"no backend server of " + this.service + " can take it now", pause), false);
+			return new SendOutcome.NotRun(new Failure(sharded() ? ErrorKind.NO_OWNER : ErrorKind.NO_BACKEND,
+					"no backend server of " + this.service + " can take the request now", pause), false);
 		}
 
 		private Promise<SendOutcome> send(Member target, String reason, int remaining, long now) {
 			this.tried.add(target.instance());
 			Dispatcher.this.log.record(MeshEvent.REQUEST_SENT, "request", this.request.id(), "to", target.instance(),
 					"service", this.service, "reason", reason, "daemons",
-					byKey() ? 0 : chooser(this.service).daemonCount(), "left_ms", remaining);
-			HopRequest ask = new HopRequest(this.service, Dispatcher.this.settings.backend().service(),
-					this.requestClass, this.route.idempotent(), this.overdue, byKey() || this.search.mayWait(),
+					sharded() ? 0 : chooser(this.service).daemonCount(), "left_ms", remaining);
+			HopRequest forwarded = new HopRequest(this.service, Dispatcher.this.settings.backend().service(),
+					this.requestClass, this.route.idempotent(), this.overdue, sharded() || this.search.mayWait(),
 					this.request)
 				.withRemainingMillis(remaining);
-			boolean here = target.instance().equals(Dispatcher.this.settings.instance());
-			Promise<SendOutcome> outcome = here ? Dispatcher.this.gate.run(ask, 0, this.cancellation)
-					: Dispatcher.this.hops.send(target, ask, this.cancellation);
-			return outcome.then((end) -> next(target, now, ask.mayQueue(), end));
+			boolean local = target.instance().equals(Dispatcher.this.settings.instance());
+			Promise<SendOutcome> outcome = local ? Dispatcher.this.gate.run(forwarded, 0, this.cancellation)
+					: Dispatcher.this.hops.send(target, forwarded, this.cancellation);
+			return outcome.then((end) -> onOutcome(target, now, forwarded.mayQueue(), end));
 		}
 
-		private Promise<SendOutcome> next(Member target, long sentNanos, boolean mightWait, SendOutcome end) {
-			learn(target, sentNanos, mightWait, end);
-			long left = this.deadlineNanos - System.nanoTime();
-			boolean enoughTime = left > this.route.targetLatency().toNanos() / LEAST_TIME_DIVISOR
+		private Promise<SendOutcome> onOutcome(Member target, long sentNanos, boolean mayQueue, SendOutcome outcome) {
+			recordOutcome(target, sentNanos, mayQueue, outcome);
+			long leftNanos = this.deadlineNanos - System.nanoTime();
+			boolean enoughTime = leftNanos > this.route.targetLatency().toNanos() / MIN_TIME_DIVISOR
 					&& !this.cancellation.cancelled();
-			if (this.rules.shouldRetry(end, enoughTime && another(target, end))) {
+			if (this.retryPolicy.shouldRetry(outcome, enoughTime && canTryAgain(target, outcome))) {
 				Dispatcher.this.log.record(MeshEvent.REQUEST_RESENT, "request", this.request.id(), "after",
-						target.instance(), "outcome", describe(end), "left_ms", left / NANOS_PER_MILLI);
-				return attempt().map((later) -> better(end, later));
+						target.instance(), "outcome", describe(outcome), "left_ms", leftNanos / NANOS_PER_MILLI);
+				return attempt().map((later) -> combined(outcome, later));
 			}
-			return Promise.of(end);
+			return Promise.of(outcome);
 		}
 
-		// A key has one holder. Asked again at once it would say the same again, unless
-		// another one holds the key by now or the server itself failed; else somebody new
-		// must be left.
-		private boolean another(Member target, SendOutcome end) {
-			if (byKey()) {
-				boolean turnedAway = end instanceof SendOutcome.NotRun notRun && !notRun.reachedBackend();
-				return !turnedAway || holder(System.nanoTime()).filter((member) -> !member.equals(target)).isPresent();
+		// Returns whether sending again can have another outcome. A key has one holder,
+		// which would reject the request again unless the server itself failed or the key
+		// has moved to another holder by now. Without a key, there must be an instance
+		// that has not been tried.
+		private boolean canTryAgain(Member target, SendOutcome outcome) {
+			if (sharded()) {
+				boolean rejected = outcome instanceof SendOutcome.NotRun notRun && !notRun.reachedBackend();
+				return !rejected || holder(System.nanoTime()).filter((member) -> !member.equals(target)).isPresent();
 			}
 			return !untried(System.nanoTime()).isEmpty();
 		}
 
-		// An earlier send may have run, so "not run" would be untrue.
-		private SendOutcome better(SendOutcome earlier, SendOutcome later) {
-			return (later instanceof SendOutcome.NotRun && this.rules.mayHaveRun()) ? earlier : later;
+		// If an earlier attempt may have run, a later "not run" is not true of the whole
+		// request, so the earlier outcome is returned.
+		private SendOutcome combined(SendOutcome earlier, SendOutcome later) {
+			return (later instanceof SendOutcome.NotRun && this.retryPolicy.mayHaveRun()) ? earlier : later;
 		}
 
-		private void learn(Member target, long sentNanos, boolean mightWait, SendOutcome end) {
-			if (byKey()) {
+		private void recordOutcome(Member target, long sentNanos, boolean mayQueue, SendOutcome outcome) {
+			if (sharded()) {
 				return;
 			}
 			long now = System.nanoTime();
-			if (end instanceof SendOutcome.NotRun notRun && notRun.failure().kind() == ErrorKind.NO_BACKEND) {
-				Dispatcher.this.absences.recordFailure(target.instance(), now);
+			if (outcome instanceof SendOutcome.NotRun notRun && notRun.failure().kind() == ErrorKind.NO_BACKEND) {
+				Dispatcher.this.backoff.recordFailure(target.instance(), now);
 			}
 			else {
-				Dispatcher.this.absences.recordSuccess(target.instance());
+				Dispatcher.this.backoff.recordSuccess(target.instance());
 			}
-			long took = now - sentNanos;
-			boolean failed = !(end instanceof SendOutcome.Answered answered)
+			long tookNanos = now - sentNanos;
+			boolean failed = !(outcome instanceof SendOutcome.Answered answered)
 					|| answered.answer().status() >= ErrorKind.INTERNAL_ERROR.status();
 			if (this.cancellation.cancelled()) {
 				chooser(this.service).onCancelled(target.instance());
 			}
-			else if (end instanceof SendOutcome.NotRun notRun && notRun.failure().kind() == ErrorKind.NO_FREE_SLOT) {
+			else if (outcome instanceof SendOutcome.NotRun notRun
+					&& notRun.failure().kind() == ErrorKind.NO_FREE_SLOT) {
 				Duration wait = notRun.failure().retryAfter();
 				chooser(this.service).onFull(target.instance(), wait, now);
 				this.search.onFull(target.instance(), wait);
 				if (this.search.mayWait()) {
-					this.searchPace.onNoSlotFound();
+					this.searchThrottle.onNoSlotFound();
 				}
 			}
 			else {
-				chooser(this.service).onEnded(target.instance(), this.requestClass, took, failed);
-				if (!mightWait && reached(end)) {
-					this.searchPace.onSlotFound();
+				chooser(this.service).onEnded(target.instance(), this.requestClass, tookNanos, failed);
+				if (!mayQueue && reachedBackend(outcome)) {
+					this.searchThrottle.onSlotFound();
 				}
 			}
 		}
 
-		private static boolean reached(SendOutcome end) {
-			return switch (end) {
+		private static boolean reachedBackend(SendOutcome outcome) {
+			return switch (outcome) {
 				case SendOutcome.Answered ignored -> true;
 				case SendOutcome.NotRun notRun -> notRun.reachedBackend();
 				case SendOutcome.Unknown ignored -> false;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopClient.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopClient.java
@@ -14,18 +14,22 @@
 import org.brasspier.daemon.internal.request.Cancellation;
 
 /**
- * The connections to other daemons, one for each. Belongs to the thread of requests.
+ * Client side of hops, the connections from one daemon to another: one for each other
+ * instance. Not thread-safe: confined to the request thread.
  */
 final class HopClient {
 
 	/**
-	 * How long after a connection was lost it is tried again, without a request: a server
-	 * that restarts is missed for long.
+	 * Delay of the first probe after a connection was lost. It is short, so that a server
+	 * that has restarted is soon used again.
 	 */
-	private static final Duration FIRST_PAUSE = Duration.ofMillis(250);
+	private static final Duration MIN_PROBE_DELAY = Duration.ofMillis(250);
 
-	/** So long a daemon that is back may wait for its first request from here. */
-	private static final Duration LONGEST_PAUSE = Duration.ofSeconds(1);
+	/**
+	 * Upper bound of the delay between probes, and so of the time that a recovered daemon
+	 * waits for its first request from this one.
+	 */
+	private static final Duration MAX_PROBE_DELAY = Duration.ofSeconds(1);
 
 	private final NioReactor reactor;
 
@@ -38,22 +42,24 @@
 		this.rows = rows;
 	}
 
-	// Whether requests are better sent elsewhere just now.
+	// Returns whether requests should go to another instance: this one is leaving or
+	// unreachable.
 	boolean shouldAvoid(InstanceId instance, long now) {
 		Peer peer = this.peers.get(instance);
-		return peer != null && (peer.link.leaving() || unreachable(instance, now));
+		return peer != null && (peer.link.isLeaving() || isUnreachable(instance, now));
 	}
 
-	// Whether it could not be reached and has not answered since, or is not heard just
-	// now. A daemon that is leaving still serves what only it can.
-	boolean unreachable(InstanceId instance, long now) {
+	// Returns whether the connection was lost and no probe has been answered since, or
+	// nothing has been received for a while. A daemon that is leaving is not unreachable:
+	// it still serves the keys that only its server holds.
+	boolean isUnreachable(InstanceId instance, long now) {
 		Peer peer = this.peers.get(instance);
-		return peer != null && (peer.lost || peer.link.suspected(now));
+		return peer != null && (peer.lost || peer.link.isSuspect(now));
 	}
 
-	Promise<SendOutcome> send(Member member, HopRequest ask, Cancellation cancellation) {
+	Promise<SendOutcome> send(Member member, HopRequest request, Cancellation cancellation) {
 		Peer peer = peer(member);
-		return peer.link.send(ask, cancellation).whenResult(() -> note(peer));
+		return peer.link.send(request, cancellation).whenResult(() -> probeIfClosed(peer));
 	}
 
 	void sendOneWay(Member member, HopMessage message) {
@@ -65,64 +71,65 @@
 	}
 
 	/**
-	 * Asks another daemon to leave this instance's keys alone for a while.
+	 * Asks another daemon to promise not to take over this instance's keys for a while.
 	 * @param member the other instance
 	 * @param holder this instance
-	 * @param rowVersion the version of its lease's row
-	 * @return its answer; empty if none came
+	 * @param rowVersion version of this instance's lease row
+	 * @return its answer; empty if the connection was lost first
 	 */
 	Promise<Optional<HopMessage.PromiseResponse>> requestPromise(Member member, InstanceId holder, long rowVersion) {
 		Peer peer = peer(member);
-		return peer.link.requestPromise(holder, rowVersion).whenResult(() -> note(peer));
+		return peer.link.requestPromise(holder, rowVersion).whenResult(() -> probeIfClosed(peer));
 	}
 
 	/**
-	 * Asks another daemon what the store shows of the leases.
+	 * Asks another daemon for the lease rows as it reads them from the store.
 	 * @param member the other instance
-	 * @param oldest how old the answer may be
-	 * @return its answer; empty if none came
+	 * @param maxAge maximum age of the rows
+	 * @return its answer; empty if the connection was lost first
 	 */
-	Promise<Optional<HopMessage.LeasesResponse>> requestLeases(Member member, Duration oldest) {
+	Promise<Optional<HopMessage.LeasesResponse>> requestLeases(Member member, Duration maxAge) {
 		Peer peer = peer(member);
-		return peer.link.requestLeases(oldest).whenResult(() -> note(peer));
+		return peer.link.requestLeases(maxAge).whenResult(() -> probeIfClosed(peer));
 	}
 
 	/**
-	 * Asks another daemon for what the store tells it, now and for a while.
+	 * Subscribes to the changes of rows that another daemon reads from the store.
 	 * @param member the other instance
-	 * @param ask what is known here
-	 * @param receiver takes what it passes on
-	 * @return its first answer; empty if none came
+	 * @param request the request, with the row versions that are known here
+	 * @param receiver receives the changes
+	 * @return its first answer; empty if the connection was lost first
 	 */
-	Promise<Optional<HopMessage.RowChanges>> follow(Member member, HopMessage.FollowRequest ask,
+	Promise<Optional<HopMessage.RowChanges>> follow(Member member, HopMessage.FollowRequest request,
 			Consumer<HopMessage.RowChanges> receiver) {
 		Peer peer = peer(member);
-		return peer.link.follow(ask, receiver).whenResult(() -> note(peer));
+		return peer.link.follow(request, receiver).whenResult(() -> probeIfClosed(peer));
 	}
 
-	private void note(Peer peer) {
-		if (peer.link.closed() && !peer.lost) {
+	private void probeIfClosed(Peer peer) {
+		if (peer.link.isClosed() && !peer.lost) {
 			peer.lost = true;
-			probeLater(peer, FIRST_PAUSE);
+			scheduleProbe(peer, MIN_PROBE_DELAY);
 		}
 	}
 
-	// A frozen machine still takes connections. A request that was sent to find out
-	// whether the daemon there is back was lost each time, with all that came after it in
-	// the next 200 ms: a twentieth of all lookups by key while one machine stood still.
-	private void probeLater(Peer peer, Duration pause) {
-		this.reactor.delayBackground(pause, () -> {
+	// Probes with a ping instead of a request. A frozen machine still accepts
+	// connections: when requests served as probes, each of them was lost together with
+	// all that followed in the next 200 ms, a twentieth of all lookups by key while one
+	// machine was frozen.
+	private void scheduleProbe(Peer peer, Duration delay) {
+		this.reactor.delayBackground(delay, () -> {
 			if (peer.replaced) {
 				return;
 			}
-			if (peer.link.closed()) {
+			if (peer.link.isClosed()) {
 				peer.link = link(peer.address);
 			}
 			peer.link.probe().whenResult((answered) -> {
 				peer.lost = !answered;
 				if (!answered) {
-					Duration doubled = pause.multipliedBy(2);
-					probeLater(peer, (doubled.compareTo(LONGEST_PAUSE) > 0) ? LONGEST_PAUSE : doubled);
+					Duration doubled = delay.multipliedBy(2);
+					scheduleProbe(peer, (doubled.compareTo(MAX_PROBE_DELAY) > 0) ? MAX_PROBE_DELAY : doubled);
 				}
 			});
 		});
@@ -140,7 +147,7 @@
 			Optional.ofNullable(this.peers.put(member.instance(), opened)).ifPresent((old) -> old.replaced = true);
 			return opened;
 		}
-		if (known.link.closed()) {
+		if (known.link.isClosed()) {
 			known.link = link(address);
 		}
 		return known;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopCodec.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopCodec.java
@@ -28,11 +28,11 @@
 import org.brasspier.wire.WireException;
 
 /**
- * Writes and reads messages between daemons. Stateless and thread-safe.
+ * Encodes and decodes messages between daemons. Stateless and thread-safe.
  */
 final class HopCodec {
 
-	private static final int ASKED = 1;
+	private static final int FORWARDED_REQUEST = 1;
 
 	private static final int ANSWERED = 2;
 
@@ -40,7 +40,7 @@
 
 	private static final int UNKNOWN = 4;
 
-	private static final int CANCELLED = 5;
+	private static final int CANCEL = 5;
 
 	private static final int PING = 6;
 
@@ -48,35 +48,35 @@
 
 	private static final int LEAVING = 8;
 
-	private static final int LOAD = 9;
+	private static final int LOAD_REPORT = 9;
 
 	private static final int STOPPING = 10;
 
-	private static final int PROMISE_ASKED = 11;
+	private static final int PROMISE_REQUEST = 11;
 
-	private static final int PROMISED = 12;
+	private static final int PROMISE_RESPONSE = 12;
 
-	private static final int PROMISE_RELEASED = 13;
+	private static final int PROMISE_RELEASE = 13;
 
-	private static final int KNOWN = 14;
+	private static final int VERSIONS_NOTICE = 14;
 
-	private static final int ROWS_ASKED = 15;
+	private static final int ROWS_REQUEST = 15;
 
-	private static final int ROWS_TOLD = 16;
+	private static final int ROWS_RESPONSE = 16;
 
-	private static final int ROWS_FOLLOWED = 17;
+	private static final int FOLLOW_REQUEST = 17;
 
-	private static final int ROWS_PASSED = 18;
+	private static final int ROW_CHANGES = 18;
 
-	private static final int LEASES_ASKED = 19;
+	private static final int LEASES_REQUEST = 19;
 
-	private static final int LEASES_TOLD = 20;
+	private static final int LEASES_RESPONSE = 20;
 
 	private static final int COMPRESSED = 21;
 
-	private static final int CRASHES_TOLD = 22;
+	private static final int CRASH_UPDATE = 22;
 
-	private static final double MILLI = 1000;
+	private static final double THOUSANDTHS = 1000;
 
 	private static final int NO_KEY = -1;
 
@@ -88,31 +88,31 @@
 	static byte[] encode(HopMessage message) {
 		FrameWriter frame = new FrameWriter();
 		switch (message) {
-			case HopMessage.ForwardedRequest(long exchange, long sentNanos, HopRequest ask) ->
-				ask(frame.number(ASKED).number(exchange).number(sentNanos), ask);
+			case HopMessage.ForwardedRequest(long exchange, long sentNanos, HopRequest request) ->
+				request(frame.number(FORWARDED_REQUEST).number(exchange).number(sentNanos), request);
 			case HopMessage.ForwardedResponse(long exchange, SendOutcome outcome) -> outcome(frame, exchange, outcome);
-			case HopMessage.Cancel(long exchange) -> frame.number(CANCELLED).number(exchange);
-			case HopMessage.LoadReport(HolderLoad load) -> load(frame.number(LOAD), load);
+			case HopMessage.Cancel(long exchange) -> frame.number(CANCEL).number(exchange);
+			case HopMessage.LoadReport(HolderLoad load) -> load(frame.number(LOAD_REPORT), load);
 			case HopMessage.PromiseRequest(long exchange, InstanceId holder, long rowVersion) ->
-				frame.number(PROMISE_ASKED).number(exchange).text(holder.value()).number(rowVersion);
-			case HopMessage.PromiseResponse(long exchange, long process, boolean promised, boolean able) ->
-				frame.number(PROMISED).number(exchange).number(process).flag(promised).flag(able);
-			case HopMessage.PromiseRelease(InstanceId holder) -> frame.number(PROMISE_RELEASED).text(holder.value());
-			case HopMessage.VersionsNotice(KnownRows rows) -> known(frame.number(KNOWN), rows);
-			case HopMessage.RowsRequest(KnownRows rows) -> known(frame.number(ROWS_ASKED), rows);
-			case HopMessage.RowsResponse told -> told(frame.number(ROWS_TOLD), told);
-			case HopMessage.FollowRequest(KnownRows known, boolean reads) ->
-				known(frame.number(ROWS_FOLLOWED), known).flag(reads);
-			case HopMessage.RowChanges(KnownRows after, KnownRows upTo, boolean current, HopMessage.RowsResponse rows) ->
-				told(known(known(frame.number(ROWS_PASSED), after), upTo).flag(current), rows);
-			case HopMessage.LeasesRequest(long exchange, int oldestMillis) ->
-				frame.number(LEASES_ASKED).number(exchange).number(oldestMillis);
+				frame.number(PROMISE_REQUEST).number(exchange).text(holder.value()).number(rowVersion);
+			case HopMessage.PromiseResponse(long exchange, long process, boolean promised, boolean canTakeOver) ->
+				frame.number(PROMISE_RESPONSE).number(exchange).number(process).flag(promised).flag(canTakeOver);
+			case HopMessage.PromiseRelease(InstanceId holder) -> frame.number(PROMISE_RELEASE).text(holder.value());
+			case HopMessage.VersionsNotice(KnownRows rows) -> versions(frame.number(VERSIONS_NOTICE), rows);
+			case HopMessage.RowsRequest(KnownRows rows) -> versions(frame.number(ROWS_REQUEST), rows);
+			case HopMessage.RowsResponse response -> rowsResponse(frame.number(ROWS_RESPONSE), response);
+			case HopMessage.FollowRequest(KnownRows versions, boolean readsStore) ->
+				versions(frame.number(FOLLOW_REQUEST), versions).flag(readsStore);
+			case HopMessage.RowChanges(KnownRows after, KnownRows upTo, boolean storeReachable, HopMessage.RowsResponse rows) ->
+				rowsResponse(versions(versions(frame.number(ROW_CHANGES), after), upTo).flag(storeReachable), rows);
+			case HopMessage.LeasesRequest(long exchange, int maxAgeMillis) ->
+				frame.number(LEASES_REQUEST).number(exchange).number(maxAgeMillis);
 			case HopMessage.LeasesResponse(long exchange, var leases) ->
-				rows(frame.number(LEASES_TOLD).number(exchange).flag(leases.isPresent()), leases.orElse(List.of()));
-			case HopMessage.CrashUpdate(InstanceId from, CrashState notes) ->
-				crashes(frame.number(CRASHES_TOLD).text(from.value()), notes);
-			case HopMessage.Ping(boolean takesPieces) -> frame.number(PING).flag(takesPieces);
-			case HopMessage.Pong(boolean takesPieces) -> frame.number(PONG).flag(takesPieces);
+				rows(frame.number(LEASES_RESPONSE).number(exchange).flag(leases.isPresent()), leases.orElse(List.of()));
+			case HopMessage.CrashUpdate(InstanceId from, CrashState state) ->
+				crashes(frame.number(CRASH_UPDATE).text(from.value()), state);
+			case HopMessage.Ping(boolean acceptsPieces) -> frame.number(PING).flag(acceptsPieces);
+			case HopMessage.Pong(boolean acceptsPieces) -> frame.number(PONG).flag(acceptsPieces);
 			case HopMessage.Leaving ignored -> frame.number(LEAVING);
 			case HopMessage.Stopping ignored -> frame.number(STOPPING);
 		}
@@ -120,7 +120,7 @@
 	}
 
 	/**
-	 * Writes a message for a daemon that takes compressed ones.
+	 * Encodes a message for a daemon that accepts compressed messages.
 	 * @param message the message
 	 * @return the whole frame
 	 */
@@ -128,13 +128,13 @@
 		return new FrameWriter().number(COMPRESSED).compressed(encode(message)).frame();
 	}
 
-	private static void ask(FrameWriter frame, HopRequest ask) {
-		MeshRequest request = ask.request();
-		frame.text(ask.service().value())
-			.text(ask.caller().value())
-			.number(ask.requestClass().ordinal())
-			.flag(ask.idempotent())
-			.flag(ask.overdue())
+	private static void request(FrameWriter frame, HopRequest forwarded) {
+		MeshRequest request = forwarded.request();
+		frame.text(forwarded.service().value())
+			.text(forwarded.caller().value())
+			.number(forwarded.requestClass().ordinal())
+			.flag(forwarded.idempotent())
+			.flag(forwarded.overdue())
 			.text(request.id())
 			.text(request.host())
 			.text(request.method())
@@ -142,7 +142,7 @@
 			.number(request.remainingMillis())
 			.number(request.key().orElse(NO_KEY));
 		headers(frame, request.headers());
-		frame.bytes(request.body()).flag(ask.mayQueue());
+		frame.bytes(request.body()).flag(forwarded.mayQueue());
 	}
 
 	private static void headers(FrameWriter frame, List<HeaderField> headers) {
@@ -176,50 +176,52 @@
 
 	private static HopMessage decode(int type, FrameReader frame) throws WireException {
 		return switch (type) {
-			case ASKED -> new HopMessage.ForwardedRequest(frame.number(), frame.number(), ask(frame));
+			case FORWARDED_REQUEST -> new HopMessage.ForwardedRequest(frame.number(), frame.number(), request(frame));
 			case ANSWERED -> new HopMessage.ForwardedResponse(frame.number(), answered(frame));
 			case NOT_RUN ->
 				new HopMessage.ForwardedResponse(frame.number(), new SendOutcome.NotRun(failure(frame), frame.flag()));
 			case UNKNOWN -> new HopMessage.ForwardedResponse(frame.number(), new SendOutcome.Unknown(failure(frame)));
-			case CANCELLED -> new HopMessage.Cancel(frame.number());
-			case LOAD -> new HopMessage.LoadReport(load(frame));
-			case PROMISE_ASKED -> new HopMessage.PromiseRequest(frame.number(), instance(frame), frame.number());
-			case PROMISED -> new HopMessage.PromiseResponse(frame.number(), frame.number(), frame.flag(), frame.flag());
-			case PROMISE_RELEASED -> new HopMessage.PromiseRelease(instance(frame));
-			case KNOWN -> new HopMessage.VersionsNotice(known(frame));
-			case ROWS_ASKED -> new HopMessage.RowsRequest(known(frame));
-			case ROWS_TOLD -> told(frame);
-			case ROWS_FOLLOWED -> new HopMessage.FollowRequest(known(frame), frame.flag());
-			case ROWS_PASSED -> new HopMessage.RowChanges(known(frame), known(frame), frame.flag(), told(frame));
-			case LEASES_ASKED -> new HopMessage.LeasesRequest(frame.number(), frame.small());
-			case LEASES_TOLD -> leasesTold(frame);
-			case CRASHES_TOLD -> new HopMessage.CrashUpdate(instance(frame), crashes(frame));
-			case PING -> new HopMessage.Ping(takesPieces(frame));
-			case PONG -> new HopMessage.Pong(takesPieces(frame));
+			case CANCEL -> new HopMessage.Cancel(frame.number());
+			case LOAD_REPORT -> new HopMessage.LoadReport(load(frame));
+			case PROMISE_REQUEST -> new HopMessage.PromiseRequest(frame.number(), instance(frame), frame.number());
+			case PROMISE_RESPONSE ->
+				new HopMessage.PromiseResponse(frame.number(), frame.number(), frame.flag(), frame.flag());
+			case PROMISE_RELEASE -> new HopMessage.PromiseRelease(instance(frame));
+			case VERSIONS_NOTICE -> new HopMessage.VersionsNotice(versions(frame));
+			case ROWS_REQUEST -> new HopMessage.RowsRequest(versions(frame));
+			case ROWS_RESPONSE -> rowsResponse(frame);
+			case FOLLOW_REQUEST -> new HopMessage.FollowRequest(versions(frame), frame.flag());
+			case ROW_CHANGES ->
+				new HopMessage.RowChanges(versions(frame), versions(frame), frame.flag(), rowsResponse(frame));
+			case LEASES_REQUEST -> new HopMessage.LeasesRequest(frame.number(), frame.small());
+			case LEASES_RESPONSE -> leasesResponse(frame);
+			case CRASH_UPDATE -> new HopMessage.CrashUpdate(instance(frame), crashes(frame));
+			case PING -> new HopMessage.Ping(acceptsPieces(frame));
+			case PONG -> new HopMessage.Pong(acceptsPieces(frame));
 			case LEAVING -> new HopMessage.Leaving();
 			case STOPPING -> new HopMessage.Stopping();
 			default -> throw new WireException("message type %d is not known".formatted(type));
 		};
 	}
 
-	// Daemons of an earlier build don't say so.
-	private static boolean takesPieces(FrameReader frame) throws WireException {
+	// Daemons of an earlier build do not send this flag.
+	private static boolean acceptsPieces(FrameReader frame) throws WireException {
 		return frame.more() && frame.flag();
 	}
 
-	private static FrameWriter known(FrameWriter frame, KnownRows rows) {
-		return frame.number(rows.config()).number(rows.mesh());
+	private static FrameWriter versions(FrameWriter frame, KnownRows versions) {
+		return frame.number(versions.config()).number(versions.mesh());
 	}
 
-	private static KnownRows known(FrameReader frame) throws WireException {
+	private static KnownRows versions(FrameReader frame) throws WireException {
 		return new KnownRows(frame.number(), frame.number());
 	}
 
-	private static FrameWriter told(FrameWriter frame, HopMessage.RowsResponse told) {
-		return rows(rows(frame, told.config()), told.mesh());
+	private static FrameWriter rowsResponse(FrameWriter frame, HopMessage.RowsResponse response) {
+		return rows(rows(frame, response.config()), response.mesh());
 	}
 
-	private static HopMessage.RowsResponse told(FrameReader frame) throws WireException {
+	private static HopMessage.RowsResponse rowsResponse(FrameReader frame) throws WireException {
 		return new HopMessage.RowsResponse(frame.list(HopCodec::row), frame.list(HopCodec::row));
 	}
 
@@ -232,7 +234,7 @@
 		return frame;
 	}
 
-	private static HopMessage.LeasesResponse leasesTold(FrameReader frame) throws WireException {
+	private static HopMessage.LeasesResponse leasesResponse(FrameReader frame) throws WireException {
 		long exchange = frame.number();
 		boolean answered = frame.flag();
 		List<MetadataStore.Row> rows = frame.list(HopCodec::row);
@@ -242,9 +244,9 @@
 	private static MetadataStore.Row row(FrameReader frame) throws WireException {
 		String key = frame.text();
 		long version = frame.number();
-		boolean there = frame.flag();
+		boolean present = frame.flag();
 		byte[] value = frame.bytes();
-		return new MetadataStore.Row(key, there ? Optional.of(value) : Optional.empty(), version);
+		return new MetadataStore.Row(key, present ? Optional.of(value) : Optional.empty(), version);
 	}
 
 	private static InstanceId instance(FrameReader frame) throws WireException {
@@ -252,17 +254,17 @@
 			return new InstanceId(frame.text());
 		}
 		catch (IllegalArgumentException ex) {
-			throw new WireException("the name of another instance makes no sense", ex);
+			throw new WireException("a message of another daemon has an invalid instance name", ex);
 		}
 	}
 
-	private static void crashes(FrameWriter frame, CrashState notes) {
-		frame.count(notes.reports().size());
-		notes.reports().forEach((report) -> {
+	private static void crashes(FrameWriter frame, CrashState state) {
+		frame.count(state.reports().size());
+		state.reports().forEach((report) -> {
 			frame.text(report.incarnation().id()).number(report.incarnation().startedMillis());
 			numbers(frame, report.requests());
 		});
-		numbers(frame, notes.cleared());
+		numbers(frame, state.cleared());
 	}
 
 	private static void numbers(FrameWriter frame, Set<Long> numbers) {
@@ -277,7 +279,7 @@
 			return new CrashState(reports, numbers(frame));
 		}
 		catch (IllegalArgumentException ex) {
-			throw new WireException("what another daemon tells of crashes makes no sense", ex);
+			throw new WireException("a crash update of another daemon is invalid", ex);
 		}
 	}
 
@@ -285,28 +287,30 @@
 		return Set.copyOf(frame.list(FrameReader::number));
 	}
 
-	// Rates travel as thousandths.
+	// Rates and capacities are sent as integers, in thousandths.
 	private static void load(FrameWriter frame, HolderLoad load) {
-		frame.text(load.instance().value()).number(Math.round(load.capacity() * MILLI)).count(load.pieces().size());
+		frame.text(load.instance().value())
+			.number(Math.round(load.capacity() * THOUSANDTHS))
+			.count(load.pieces().size());
 		load.pieces()
 			.forEach((piece) -> frame.number(piece.span().from())
 				.number(piece.span().to())
-				.number(Math.round(piece.rate() * MILLI)));
+				.number(Math.round(piece.rate() * THOUSANDTHS)));
 	}
 
 	private static HolderLoad load(FrameReader frame) throws WireException {
 		try {
 			InstanceId instance = new InstanceId(frame.text());
-			double capacity = frame.number() / MILLI;
-			return new HolderLoad(instance, capacity,
-					frame.list((each) -> new KeyLoad(new KeySpan(each.small(), each.small()), each.number() / MILLI)));
+			double capacity = frame.number() / THOUSANDTHS;
+			return new HolderLoad(instance, capacity, frame
+				.list((each) -> new KeyLoad(new KeySpan(each.small(), each.small()), each.number() / THOUSANDTHS)));
 		}
 		catch (IllegalArgumentException ex) {
-			throw new WireException("a load of another daemon makes no sense", ex);
+			throw new WireException("a load report of another daemon is invalid", ex);
 		}
 	}
 
-	private static HopRequest ask(FrameReader frame) throws WireException {
+	private static HopRequest request(FrameReader frame) throws WireException {
 		try {
 			ServiceName service = new ServiceName(frame.text());
 			ServiceName caller = new ServiceName(frame.text());
@@ -319,16 +323,17 @@
 			String target = frame.text();
 			int remaining = frame.small();
 			int key = frame.small();
-			OptionalInt about = (key == NO_KEY) ? OptionalInt.empty() : OptionalInt.of(key);
+			OptionalInt optionalKey = (key == NO_KEY) ? OptionalInt.empty() : OptionalInt.of(key);
 			List<HeaderField> headers = frame.list(HopCodec::header);
 			byte[] body = frame.bytes();
-			// Daemons of an earlier build don't say whether it may wait: it always may.
+			// Daemons of an earlier build do not send this flag; their requests may
+			// always be queued.
 			boolean mayWait = !frame.more() || frame.flag();
 			return new HopRequest(service, caller, requestClass, idempotent, overdue, mayWait,
-					new MeshRequest(id, host, method, target, headers, body, remaining, about));
+					new MeshRequest(id, host, method, target, headers, body, remaining, optionalKey));
 		}
 		catch (IllegalArgumentException | IndexOutOfBoundsException ex) {
-			throw new WireException("a request of another daemon makes no sense", ex);
+			throw new WireException("a request of another daemon is invalid", ex);
 		}
 	}
 
@@ -347,7 +352,7 @@
 			return new Failure(ErrorKind.valueOf(frame.text()), frame.text(), Duration.ofMillis(frame.number()));
 		}
 		catch (IllegalArgumentException ex) {
-			throw new WireException("a failure of another daemon makes no sense", ex);
+			throw new WireException("a failure reported by another daemon is invalid", ex);
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopLink.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopLink.java
@@ -30,74 +30,80 @@
 import org.brasspier.wire.WireException;
 
 /**
- * The connection to one other daemon. It guards against connections that go silent for
- * good while new ones work, as when something between the two ends has lost track of
- * them: anything that waits is pinged for, and silence ends the connection. Belongs to
- * the thread of requests.
+ * Connection to one other daemon. A connection can go silent for good while new ones
+ * work, for example when a device between the two ends has lost its state. Therefore
+ * pings are sent while anything awaits an answer, and a connection that stays silent is
+ * closed. Not thread-safe: confined to the request thread.
  */
 final class HopLink {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	/** Largest body of a request plus its head. */
+	/** Maximum size of a request's body, plus its headers. */
 	static final int MAX_FRAME_BYTES = 72 << 20;
 
 	/**
-	 * What is sent next waits for what the system has taken from this process, 0.1 s on a
-	 * network of 10 megabits a second.
+	 * Bytes in the system's send buffer delay whatever is sent next, up to 0.1 s on a
+	 * network of 10 Mbit/s. So the buffer is small.
 	 */
 	private static final MemSize SEND_BUFFER = MemSize.kilobytes(64);
 
-	/** Of connections between daemons, at both ends. */
+	/** Settings of connections between daemons, used by both ends. */
 	static final SocketSettings SOCKET_SETTINGS = SocketSettings.builder()
 		.withTcpNoDelay(true)
 		.withSendBufferSize(SEND_BUFFER)
 		.build();
 
 	/**
-	 * Many times a round trip between failure domains, a tenth of a caller's patience.
+	 * Many round trips between failure domains, but only a tenth of the time for which a
+	 * caller waits.
 	 */
 	private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(150);
 
-	private static final Duration PING_EVERY = Duration.ofMillis(100);
+	private static final Duration PING_INTERVAL = Duration.ofMillis(100);
 
 	/**
-	 * Three pings and the pause that a processor share of a tenth of a second allows.
+	 * Time for three pings, plus the pause of a process that has used up its processor
+	 * quota for a period of 0.1 s.
 	 */
-	private static final long SILENCE_NANOS = LinkDelay.SILENCE_TIMEOUT.toNanos();
+	private static final long SILENCE_TIMEOUT_NANOS = LinkDelay.SILENCE_TIMEOUT.toNanos();
 
 	/**
-	 * Silent for so long, a link gets nothing new: two pings went unanswered. A lost
-	 * instance's requests then wait for half as long until they are refused or sent
-	 * elsewhere, and a daemon that is this far behind turns requests away anyway.
+	 * No new requests are sent on a connection that has been silent for this long: two
+	 * pings are unanswered. Requests for a lost instance then wait half as long until
+	 * they are rejected or sent elsewhere, and a daemon that is this far behind rejects
+	 * requests anyway.
 	 */
-	private static final long SUSPECT_NANOS = Duration.ofMillis(200).toNanos();
+	private static final long SUSPECT_AFTER_NANOS = Duration.ofMillis(200).toNanos();
 
-	/** A receiver that doesn't read must not fill this process's memory. */
+	/**
+	 * Bounds the memory that a receiver which does not read can take up in this process.
+	 */
 	private static final long MAX_UNSENT_BYTES = 4 << 20;
 
 	private final NioReactor reactor;
 
 	private final SharedRows rows;
 
-	private final RowExchange differences = new RowExchange();
+	private final RowExchange rowExchange = new RowExchange();
 
 	private final Promise<HopSender> connection;
 
-	// Whether the other daemon is of this build, once it has said so.
+	// Completes with whether the other daemon runs this build, once its first answer says
+	// so.
 	private final SettablePromise<Boolean> currentBuild = new SettablePromise<>();
 
-	private final Map<Long, SettablePromise<SendOutcome>> waiting = new HashMap<>();
+	private final Map<Long, SettablePromise<SendOutcome>> pendingRequests = new HashMap<>();
 
-	private final PendingAnswers<HopMessage.PromiseResponse> promises = new PendingAnswers<>();
+	private final PendingAnswers<HopMessage.PromiseResponse> pendingPromises = new PendingAnswers<>();
 
-	private final PendingAnswers<HopMessage.LeasesResponse> leases = new PendingAnswers<>();
+	private final PendingAnswers<HopMessage.LeasesResponse> pendingLeases = new PendingAnswers<>();
 
-	private final List<SettablePromise<Boolean>> probes = new ArrayList<>();
+	private final List<SettablePromise<Boolean>> pendingProbes = new ArrayList<>();
 
-	private final List<SettablePromise<Optional<HopMessage.RowChanges>>> follows = new ArrayList<>();
+	private final List<SettablePromise<Optional<HopMessage.RowChanges>>> pendingFollows = new ArrayList<>();
 
-	private Consumer<HopMessage.RowChanges> follower = (passed) -> {
+	private Consumer<HopMessage.RowChanges> changesReceiver = (changes) -> {
 	};
 
 	private Optional<PeerConnection> open = Optional.empty();
@@ -108,16 +114,16 @@
 
 	private long openedNanos;
 
-	private long waitedFromNanos;
+	private long waitingSinceNanos;
 
-	private boolean pinging;
+	private boolean pingScheduled;
 
 	private boolean closed;
 
 	private boolean leaving;
 
-	// What is sent into a connection that the other side is about to close has an unknown
-	// outcome, so nothing is.
+	// Set once the other daemon is about to close the connection. Nothing is sent from
+	// then on, because the outcome of such a request would be unknown.
 	private boolean stopping;
 
 	HopLink(NioReactor reactor, InetSocketAddress address, SharedRows rows) {
@@ -126,7 +132,7 @@
 		this.connection = TcpSocket.connect(reactor, address, CONNECT_TIMEOUT, SOCKET_SETTINGS).map((socket) -> {
 			this.openedNanos = System.nanoTime();
 			PeerConnection opened = PeerConnection.unproven(socket, MAX_FRAME_BYTES, this::receive);
-			opened.closed().whenResult(this::lost);
+			opened.closed().whenResult(this::onClosed);
 			this.open = Optional.of(opened);
 			HopSender opening = new HopSender(opened, HopCodec::encodeCompressed);
 			opening.holdLargeMessages();
@@ -136,56 +142,58 @@
 		}).whenException((ex) -> this.closed = true);
 	}
 
-	// Any bytes count: a large message takes longer to come on a narrow network than a
-	// connection may be silent.
+	// Any received byte counts, not only a whole message: on a slow network a large
+	// message can take longer than the time for which a connection may be silent.
 	private long silentNanos(long now) {
 		long received = this.open.map(PeerConnection::receivedNanos).orElse(now);
-		return Math.min(now - received, now - this.waitedFromNanos);
+		return Math.min(now - received, now - this.waitingSinceNanos);
 	}
 
-	boolean closed() {
+	boolean isClosed() {
 		return this.closed;
 	}
 
-	// Whether something waits and nothing has come for a while.
-	boolean suspected(long now) {
-		return anybodyWaits() && silentNanos(now) >= SUSPECT_NANOS;
+	// Returns whether an answer is awaited and nothing has been received for a while.
+	boolean isSuspect(long now) {
+		return awaitsAnswer() && silentNanos(now) >= SUSPECT_AFTER_NANOS;
 	}
 
-	// Whether the other daemon is about to stop. What a daemon said on a connection that
-	// is gone says nothing of the one that has started in its place: taken for leaving
-	// still, an instance got nothing from the others for good after a planned restart.
-	boolean leaving() {
+	// Returns whether the other daemon is about to stop. A closed connection says nothing
+	// about the daemon that has started since: when it still counted, an instance never
+	// got requests from the others again after a planned restart.
+	boolean isLeaving() {
 		return !this.closed && (this.leaving || this.stopping);
 	}
 
-	Promise<SendOutcome> send(HopRequest ask, Cancellation cancellation) {
+	Promise<SendOutcome> send(HopRequest request, Cancellation cancellation) {
 		SettablePromise<SendOutcome> outcome = new SettablePromise<>();
-		long askedNanos = System.nanoTime();
+		long requestedNanos = System.nanoTime();
 		this.connection.whenComplete((ready, ex) -> {
-			int left = ask.request().remainingMillis() - (int) ((System.nanoTime() - askedNanos) / NANOS_PER_MILLI);
+			int left = request.request().remainingMillis()
+					- (int) ((System.nanoTime() - requestedNanos) / NANOS_PER_MILLI);
 			if (ex != null || this.closed || this.stopping) {
-				outcome.set(notSent(ErrorKind.NO_BACKEND, "the daemon beside the backend server can't be reached"));
+				outcome.set(notSent(ErrorKind.NO_BACKEND, "the backend server's daemon can't be reached"));
 			}
 			else if (ready.unsentBytes() > MAX_UNSENT_BYTES) {
 				outcome.set(notSent(ErrorKind.OVERLOADED, "the connection to the other daemon is full"));
 			}
 			else if (left <= 0) {
-				outcome.set(notSent(ErrorKind.DEADLINE_PASSED, "the deadline passed before it was sent"));
+				outcome.set(notSent(ErrorKind.DEADLINE_PASSED, "the deadline passed before the request was sent"));
 			}
 			else {
-				send(ready, ask.withRemainingMillis(left), cancellation, outcome);
+				send(ready, request.withRemainingMillis(left), cancellation, outcome);
 			}
 		});
 		return outcome;
 	}
 
-	// Sends what needs no answer; lost if the other daemon can't be reached.
+	// Sends a message that has no answer. It is lost if the other daemon is unreachable.
 	void sendOneWay(HopMessage message) {
 		this.connection.whenResult((ready) -> ready.send(message));
 	}
 
-	// Sends what daemons of an earlier build can't read, to others only.
+	// Sends a message that daemons of an earlier build can't decode; does nothing if the
+	// other daemon runs such a build.
 	void sendToCurrentBuild(HopMessage message) {
 		this.currentBuild.whenResult((current) -> {
 			if (current) {
@@ -195,44 +203,45 @@
 	}
 
 	/**
-	 * Asks the other daemon to leave this instance's keys alone for a while.
+	 * Asks the other daemon to promise not to take over this instance's keys for a while.
 	 * @param holder this instance
-	 * @param rowVersion the version of its lease's row
-	 * @return its answer; empty if none came
+	 * @param rowVersion version of this instance's lease row
+	 * @return its answer; empty if the connection was lost first
 	 */
 	Promise<Optional<HopMessage.PromiseResponse>> requestPromise(InstanceId holder, long rowVersion) {
-		return ask(this.promises, (exchange) -> new HopMessage.PromiseRequest(exchange, holder, rowVersion));
+		return request(this.pendingPromises, (exchange) -> new HopMessage.PromiseRequest(exchange, holder, rowVersion));
 	}
 
 	/**
-	 * Asks the other daemon what the store shows of the leases.
-	 * @param oldest how old the answer may be
-	 * @return its answer; empty if none came
+	 * Asks the other daemon for the lease rows as it reads them from the store.
+	 * @param maxAge maximum age of the rows
+	 * @return its answer; empty if the connection was lost first
 	 */
-	Promise<Optional<HopMessage.LeasesResponse>> requestLeases(Duration oldest) {
-		return ask(this.leases, (exchange) -> new HopMessage.LeasesRequest(exchange, (int) oldest.toMillis()));
+	Promise<Optional<HopMessage.LeasesResponse>> requestLeases(Duration maxAge) {
+		return request(this.pendingLeases,
+				(exchange) -> new HopMessage.LeasesRequest(exchange, (int) maxAge.toMillis()));
 	}
 
-	private <T> Promise<Optional<T>> ask(PendingAnswers<T> answers, LongFunction<HopMessage> question) {
+	private <T> Promise<Optional<T>> request(PendingAnswers<T> answers, LongFunction<HopMessage> message) {
 		return this.connection.then((ready, ex) -> {
 			if (ex != null || this.closed) {
 				return Promise.of(Optional.empty());
 			}
-			long exchange = begin();
+			long exchange = beginExchange();
 			Promise<Optional<T>> answer = answers.register(exchange);
-			ready.send(question.apply(exchange));
-			keepPinging();
+			ready.send(message.apply(exchange));
+			schedulePing();
 			return answer;
 		});
 	}
 
 	/**
-	 * Asks the other daemon for what the store tells it, now and for a while.
-	 * @param ask what is known here
-	 * @param receiver takes what it passes on
-	 * @return its first answer; empty if none came
+	 * Subscribes to the changes of rows that the other daemon reads from the store.
+	 * @param request the request, with the row versions that are known here
+	 * @param receiver receives the changes
+	 * @return its first answer; empty if the connection was lost first
 	 */
-	Promise<Optional<HopMessage.RowChanges>> follow(HopMessage.FollowRequest ask,
+	Promise<Optional<HopMessage.RowChanges>> follow(HopMessage.FollowRequest request,
 			Consumer<HopMessage.RowChanges> receiver) {
 		SettablePromise<Optional<HopMessage.RowChanges>> answer = new SettablePromise<>();
 		this.connection.whenComplete((ready, ex) -> {
@@ -240,95 +249,97 @@
 				answer.set(Optional.empty());
 				return;
 			}
-			if (!anybodyWaits()) {
-				this.waitedFromNanos = System.nanoTime();
+			if (!awaitsAnswer()) {
+				this.waitingSinceNanos = System.nanoTime();
 			}
-			this.follower = receiver;
-			this.follows.add(answer);
-			ready.send(ask);
-			keepPinging();
+			this.changesReceiver = receiver;
+			this.pendingFollows.add(answer);
+			ready.send(request);
+			schedulePing();
 		});
 		return answer;
 	}
 
-	private void passed(HopMessage.RowChanges passed) {
-		this.follower.accept(passed);
-		endFollows(Optional.of(passed));
+	private void onRowChanges(HopMessage.RowChanges changes) {
+		this.changesReceiver.accept(changes);
+		completeFollows(Optional.of(changes));
 	}
 
-	private void endFollows(Optional<HopMessage.RowChanges> answer) {
-		List<SettablePromise<Optional<HopMessage.RowChanges>>> ended = List.copyOf(this.follows);
-		this.follows.clear();
+	private void completeFollows(Optional<HopMessage.RowChanges> answer) {
+		List<SettablePromise<Optional<HopMessage.RowChanges>>> ended = List.copyOf(this.pendingFollows);
+		this.pendingFollows.clear();
 		ended.forEach((follow) -> follow.set(answer));
 	}
 
 	/**
-	 * Asks whether the other daemon hears.
-	 * @return true once anything has come from it; false if the connection is lost first
+	 * Sends a ping to check whether the other daemon is alive.
+	 * @return true once any message has been received from it; false if the connection is
+	 * lost first
 	 */
 	Promise<Boolean> probe() {
-		SettablePromise<Boolean> heard = new SettablePromise<>();
+		SettablePromise<Boolean> alive = new SettablePromise<>();
 		this.connection.whenComplete((ready, ex) -> {
 			if (ex != null || this.closed) {
-				heard.set(false);
+				alive.set(false);
 				return;
 			}
-			if (!anybodyWaits()) {
-				this.waitedFromNanos = System.nanoTime();
+			if (!awaitsAnswer()) {
+				this.waitingSinceNanos = System.nanoTime();
 			}
-			this.probes.add(heard);
+			this.pendingProbes.add(alive);
 			ready.send(new HopMessage.Ping());
-			keepPinging();
+			schedulePing();
 		});
-		return heard;
+		return alive;
 	}
 
-	private void endProbes(boolean heard) {
-		List<SettablePromise<Boolean>> ended = List.copyOf(this.probes);
-		this.probes.clear();
-		ended.forEach((probe) -> probe.set(heard));
+	private void completeProbes(boolean alive) {
+		List<SettablePromise<Boolean>> ended = List.copyOf(this.pendingProbes);
+		this.pendingProbes.clear();
+		ended.forEach((probe) -> probe.set(alive));
 	}
 
-	private long begin() {
-		if (!anybodyWaits()) {
-			this.waitedFromNanos = System.nanoTime();
+	private long beginExchange() {
+		if (!awaitsAnswer()) {
+			this.waitingSinceNanos = System.nanoTime();
 		}
 		return this.nextExchange++;
 	}
 
-	private boolean anybodyWaits() {
-		return !this.waiting.isEmpty() || !this.promises.isEmpty() || !this.probes.isEmpty() || !this.follows.isEmpty();
+	private boolean awaitsAnswer() {
+		return !this.pendingRequests.isEmpty() || !this.pendingPromises.isEmpty() || !this.pendingProbes.isEmpty()
+				|| !this.pendingFollows.isEmpty();
 	}
 
 	private static SendOutcome notSent(ErrorKind kind, String detail) {
 		return new SendOutcome.NotRun(Failure.of(kind, detail), false);
 	}
 
-	private void send(HopSender ready, HopRequest ask, Cancellation cancellation,
+	private void send(HopSender ready, HopRequest request, Cancellation cancellation,
 			SettablePromise<SendOutcome> outcome) {
-		long exchange = begin();
-		this.waiting.put(exchange, outcome);
-		ready.send(new HopMessage.ForwardedRequest(exchange, System.nanoTime() - this.openedNanos, ask));
-		ScheduledRunnable timeout = this.reactor.delay(ask.request().remainingMillis() + 1L,
-				() -> settle(exchange, new SendOutcome.Unknown(
-						Failure.of(ErrorKind.TIMED_OUT, "the deadline passed while another daemon had the request"))));
+		long exchange = beginExchange();
+		this.pendingRequests.put(exchange, outcome);
+		ready.send(new HopMessage.ForwardedRequest(exchange, System.nanoTime() - this.openedNanos, request));
+		ScheduledRunnable timeout = this.reactor.delay(request.request().remainingMillis() + 1L,
+				() -> complete(exchange, new SendOutcome.Unknown(Failure.of(ErrorKind.TIMED_OUT,
+						"the deadline passed while another daemon was handling the request"))));
 		outcome.whenResult(timeout::cancel);
 		cancellation.whenCancelled(() -> {
-			if (this.waiting.containsKey(exchange)) {
+			if (this.pendingRequests.containsKey(exchange)) {
 				ready.send(new HopMessage.Cancel(exchange));
 			}
 		});
-		keepPinging();
+		schedulePing();
 	}
 
-	private void keepPinging() {
-		if (this.pinging) {
+	private void schedulePing() {
+		if (this.pingScheduled) {
 			return;
 		}
-		this.pinging = true;
-		this.reactor.delay(PING_EVERY, () -> {
-			this.pinging = false;
-			if (!this.closed && anybodyWaits()) {
+		this.pingScheduled = true;
+		this.reactor.delay(PING_INTERVAL, () -> {
+			this.pingScheduled = false;
+			if (!this.closed && awaitsAnswer()) {
 				ping();
 			}
 		});
@@ -336,17 +347,17 @@
 
 	private void ping() {
 		long silent = silentNanos(System.nanoTime());
-		if (silent >= SILENCE_NANOS) {
-			this.open.ifPresent((ready) -> ready.close(silent(ready, silent)));
+		if (silent >= SILENCE_TIMEOUT_NANOS) {
+			this.open.ifPresent((ready) -> ready.close(silenceTimeout(ready, silent)));
 			return;
 		}
-		if (silent >= PING_EVERY.toNanos() / 2) {
+		if (silent >= PING_INTERVAL.toNanos() / 2) {
 			this.sender.ifPresent((ready) -> ready.send(new HopMessage.Ping()));
 		}
-		keepPinging();
+		schedulePing();
 	}
 
-	private static WireException silent(PeerConnection ready, long silentNanos) {
+	private static WireException silenceTimeout(PeerConnection ready, long silentNanos) {
 		long bytesAgo = System.nanoTime() - ready.receivedNanos();
 		return new WireException("nothing came for %d ms, bytes %d ms ago, %d of a message, %d unsent".formatted(
 				Duration.ofNanos(silentNanos).toMillis(), Duration.ofNanos(bytesAgo).toMillis(), ready.pendingBytes(),
@@ -354,68 +365,71 @@
 	}
 
 	private void receive(FrameReader frame) throws WireException {
-		endProbes(true);
+		completeProbes(true);
 		switch (HopCodec.decode(frame)) {
-			case HopMessage.ForwardedResponse(long exchange, SendOutcome outcome) -> settle(exchange, outcome);
-			case HopMessage.PromiseResponse promised -> this.promises.complete(promised.exchange(), promised);
-			case HopMessage.LeasesResponse told -> this.leases.complete(told.exchange(), told);
-			case HopMessage.VersionsNotice(KnownRows known) -> compare(known);
-			case HopMessage.RowsResponse told -> this.rows.applyAndLog(told);
-			case HopMessage.RowChanges passed -> passed(passed);
+			case HopMessage.ForwardedResponse(long exchange, SendOutcome outcome) -> complete(exchange, outcome);
+			case HopMessage.PromiseResponse response -> this.pendingPromises.complete(response.exchange(), response);
+			case HopMessage.LeasesResponse response -> this.pendingLeases.complete(response.exchange(), response);
+			case HopMessage.VersionsNotice(KnownRows versions) -> compareVersions(versions);
+			case HopMessage.RowsResponse response -> this.rows.applyAndLog(response);
+			case HopMessage.RowChanges changes -> onRowChanges(changes);
 			case HopMessage.Leaving ignored -> this.leaving = true;
 			case HopMessage.Stopping ignored -> this.stopping = true;
-			case HopMessage.Pong(boolean takes) -> {
-				this.sender.ifPresent((ready) -> ready.peerAcceptsPieces(takes));
-				this.currentBuild.trySet(takes);
+			case HopMessage.Pong(boolean acceptsPieces) -> {
+				this.sender.ifPresent((ready) -> ready.peerAcceptsPieces(acceptsPieces));
+				this.currentBuild.trySet(acceptsPieces);
 			}
-			case HopMessage.ForwardedRequest ignored -> throw wrongSide();
-			case HopMessage.Cancel ignored -> throw wrongSide();
-			case HopMessage.Ping ignored -> throw wrongSide();
-			case HopMessage.CrashUpdate ignored -> throw wrongSide();
-			case HopMessage.LoadReport ignored -> throw wrongSide();
-			case HopMessage.RowsRequest(KnownRows known) -> sendOneWay(this.rows.missingRows(known));
-			case HopMessage.FollowRequest ignored -> throw wrongSide();
-			case HopMessage.LeasesRequest ignored -> throw wrongSide();
-			case HopMessage.PromiseRequest ignored -> throw wrongSide();
-			case HopMessage.PromiseRelease ignored -> throw wrongSide();
+			case HopMessage.ForwardedRequest ignored -> throw wrongDirection();
+			case HopMessage.Cancel ignored -> throw wrongDirection();
+			case HopMessage.Ping ignored -> throw wrongDirection();
+			case HopMessage.CrashUpdate ignored -> throw wrongDirection();
+			case HopMessage.LoadReport ignored -> throw wrongDirection();
+			case HopMessage.RowsRequest(KnownRows versions) -> sendOneWay(this.rows.missingRows(versions));
+			case HopMessage.FollowRequest ignored -> throw wrongDirection();
+			case HopMessage.LeasesRequest ignored -> throw wrongDirection();
+			case HopMessage.PromiseRequest ignored -> throw wrongDirection();
+			case HopMessage.PromiseRelease ignored -> throw wrongDirection();
 		}
 	}
 
-	private void compare(KnownRows known) {
+	private void compareVersions(KnownRows versions) {
 		long now = System.nanoTime();
-		RowExchange.Action step = this.differences.compare(this.rows.knownVersions(), known, now);
-		if (step.send()) {
-			// It asks one of those who know more; a daemon of an earlier build can't ask.
-			boolean asks = this.sender.filter(HopSender::peerAcceptsPieces).isPresent();
-			sendOneWay(asks ? new HopMessage.VersionsNotice(this.rows.knownVersions()) : this.rows.missingRows(known));
+		RowExchange.Action action = this.rowExchange.compare(this.rows.knownVersions(), versions, now);
+		if (action.send()) {
+			// The other daemon then requests the rows from one of those that know newer
+			// versions. A daemon of an earlier build can't request rows, so it is sent
+			// them.
+			boolean canRequest = this.sender.filter(HopSender::peerAcceptsPieces).isPresent();
+			sendOneWay(canRequest ? new HopMessage.VersionsNotice(this.rows.knownVersions())
+					: this.rows.missingRows(versions));
 		}
-		if (step.request() && this.rows.tryRequestRows(now)) {
+		if (action.request() && this.rows.tryRequestRows(now)) {
 			sendOneWay(new HopMessage.RowsRequest(this.rows.knownVersions()));
 		}
 	}
 
-	private static WireException wrongSide() {
-		return new WireException("a message came from the wrong side of the connection");
+	private static WireException wrongDirection() {
+		return new WireException("received a message that only the other side of a connection may send");
 	}
 
-	// Numbers are never used twice, so a late answer finds nobody.
-	private void settle(long exchange, SendOutcome outcome) {
-		SettablePromise<SendOutcome> promise = this.waiting.remove(exchange);
+	// Exchange numbers are never reused, so a late answer is ignored.
+	private void complete(long exchange, SendOutcome outcome) {
+		SettablePromise<SendOutcome> promise = this.pendingRequests.remove(exchange);
 		if (promise != null) {
 			promise.set(outcome);
 		}
 	}
 
-	private void lost(Exception reason) {
+	private void onClosed(Exception reason) {
 		this.closed = true;
-		endProbes(false);
-		endFollows(Optional.empty());
-		this.promises.onConnectionLost();
-		this.leases.onConnectionLost();
+		completeProbes(false);
+		completeFollows(Optional.empty());
+		this.pendingPromises.onConnectionLost();
+		this.pendingLeases.onConnectionLost();
 		SendOutcome outcome = new SendOutcome.Unknown(Failure.of(ErrorKind.OUTCOME_UNKNOWN,
 				"the connection to the other daemon broke: " + reason.getMessage()));
-		List<SettablePromise<SendOutcome>> all = List.copyOf(this.waiting.values());
-		this.waiting.clear();
+		List<SettablePromise<SendOutcome>> all = List.copyOf(this.pendingRequests.values());
+		this.pendingRequests.clear();
 		all.forEach((promise) -> promise.set(outcome));
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopMessage.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopMessage.java
@@ -11,40 +11,41 @@
 import org.brasspier.daemon.mesh.MetadataStore;
 
 /**
- * What one daemon sends to another. Immutable and thread-safe.
+ * A message from one daemon to another. Immutable and thread-safe.
  */
 sealed interface HopMessage {
 
 	/**
-	 * The backend server beside the receiver is to run a request.
+	 * Asks the receiver to run a request on its local backend server.
 	 *
-	 * @param exchange the number under which it is answered
-	 * @param sentNanos when it was written, from the beginning of the connection at its
-	 * sender
+	 * @param exchange number of the exchange, repeated in the answer
+	 * @param sentNanos when it was written, nanoseconds since the sender opened the
+	 * connection
 	 * @param request the request
 	 */
 	record ForwardedRequest(long exchange, long sentNanos, HopRequest request) implements HopMessage {
 	}
 
 	/**
-	 * What came of it.
+	 * The outcome of a forwarded request.
 	 *
-	 * @param exchange the number
+	 * @param exchange number of the exchange
 	 * @param outcome the outcome
 	 */
 	record ForwardedResponse(long exchange, SendOutcome outcome) implements HopMessage {
 	}
 
 	/**
-	 * Nobody waits for it any more.
+	 * Cancels a forwarded request, because its caller no longer waits for it.
 	 *
-	 * @param exchange the number
+	 * @param exchange number of the exchange
 	 */
 	record Cancel(long exchange) implements HopMessage {
 	}
 
 	/**
-	 * What the sender's backend server is asked for; the receiver plans who holds what.
+	 * The load of the sender's backend server, sent to the daemon that plans the
+	 * assignment of keys.
 	 *
 	 * @param load the load
 	 */
@@ -52,28 +53,30 @@
 	}
 
 	/**
-	 * A holder of keys asks the receiver to leave them alone for a while.
+	 * Asks the receiver, as the deputy of a holder of keys, to promise not to take over
+	 * the holder's keys for a while.
 	 *
-	 * @param exchange the number under which it is answered
+	 * @param exchange number of the exchange, repeated in the answer
 	 * @param holder the holder
-	 * @param rowVersion the version of its lease's row, as it knows it
+	 * @param rowVersion version of the holder's lease row that the holder knows
 	 */
 	record PromiseRequest(long exchange, InstanceId holder, long rowVersion) implements HopMessage {
 	}
 
 	/**
-	 * The answer to that.
+	 * The answer to a promise request.
 	 *
-	 * @param exchange the number
-	 * @param process which process of the instance answers
-	 * @param promised whether it leaves them alone
-	 * @param canTakeOver whether it could take them if its promise ended
+	 * @param exchange number of the exchange
+	 * @param process id of the answering process of the instance
+	 * @param promised whether it promises not to take over the keys
+	 * @param canTakeOver whether it could take over the keys once its promise has ended
 	 */
 	record PromiseResponse(long exchange, long process, boolean promised, boolean canTakeOver) implements HopMessage {
 	}
 
 	/**
-	 * A holder grants nothing any more, so the receiver may take its keys.
+	 * Releases the receiver from its promise: the holder grants no keys any more, so the
+	 * receiver may take them over.
 	 *
 	 * @param holder the holder
 	 */
@@ -81,31 +84,32 @@
 	}
 
 	/**
-	 * How much the sender knows of the store's rows.
+	 * The newest versions of the store's rows that the sender knows.
 	 *
-	 * @param versions the newest versions
+	 * @param versions the newest known versions
 	 */
 	record VersionsNotice(KnownRows versions) implements HopMessage {
 	}
 
 	/**
-	 * The sender wants what it doesn't know.
+	 * Requests the rows that are newer than those the sender knows.
 	 *
-	 * @param versions what it knows
+	 * @param versions the newest versions that the sender knows
 	 */
 	record RowsRequest(KnownRows versions) implements HopMessage {
 	}
 
 	/**
-	 * Rows of the store that the receiver may not know.
+	 * Rows of the store that the receiver may not have yet. Sent in response to a
+	 * request, and by the daemon that has just written a row.
 	 *
-	 * @param config the configuration's row, or none
-	 * @param mesh rows of instances and of maps of keys
+	 * @param config the row of the configuration, or an empty list
+	 * @param mesh rows of instances and of key maps
 	 */
 	record RowsResponse(List<MetadataStore.Row> config, List<MetadataStore.Row> mesh) implements HopMessage {
 
 		/**
-		 * Whether there is nothing to tell.
+		 * Returns whether there are no rows.
 		 * @return true if there are no rows
 		 */
 		boolean isEmpty() {
@@ -115,28 +119,28 @@
 	}
 
 	/**
-	 * The sender wants to be told what the store tells the receiver.
+	 * Subscribes the sender to the changes that the receiver reads from the store.
 	 *
-	 * @param known up to which versions it knows all changes
-	 * @param readsStore whether it follows the store as well
+	 * @param known versions up to which the sender knows all changes
+	 * @param readsStore whether the sender follows the store itself, too
 	 */
 	record FollowRequest(KnownRows known, boolean readsStore) implements HopMessage {
 	}
 
 	/**
-	 * What the store has told the sender, for a daemon that follows it.
+	 * Changes that the sender has read from the store, for a daemon that follows it.
 	 *
-	 * @param after the versions from which on all changes are here
-	 * @param upTo the versions up to which they are
-	 * @param storeReachable whether the store answers the sender
+	 * @param after versions after which all changes are included
+	 * @param upTo versions up to which all changes are included
+	 * @param storeReachable whether the store currently answers the sender
 	 * @param rows the rows that have changed
 	 */
 	record RowChanges(KnownRows after, KnownRows upTo, boolean storeReachable,
 			RowsResponse rows) implements HopMessage {
 
 		/**
-		 * The same for a receiver that is to hear no more than whether the store answers.
-		 * @return a message that says nothing of any change
+		 * Returns a copy that only tells whether the store answers the sender.
+		 * @return a message without changes
 		 */
 		RowChanges withoutRows() {
 			return new RowChanges(this.after, this.after, this.storeReachable, new RowsResponse(List.of(), List.of()));
@@ -145,37 +149,37 @@
 	}
 
 	/**
-	 * The sender wants to know what the store shows of the leases.
+	 * Requests the lease rows as the receiver reads them from the store.
 	 *
-	 * @param exchange the number under which it is answered
-	 * @param maxAgeMillis how old the answer may be, in milliseconds
+	 * @param exchange number of the exchange, repeated in the answer
+	 * @param maxAgeMillis maximum age of the rows, milliseconds
 	 */
 	record LeasesRequest(long exchange, int maxAgeMillis) implements HopMessage {
 	}
 
 	/**
-	 * The answer to that.
+	 * The answer to a request for lease rows.
 	 *
-	 * @param exchange the number
-	 * @param rows the leases' rows; empty if the store did not answer
+	 * @param exchange number of the exchange
+	 * @param rows the lease rows; empty if the store did not answer
 	 */
 	record LeasesResponse(long exchange, Optional<List<MetadataStore.Row>> rows) implements HopMessage {
 	}
 
 	/**
-	 * What an instance knows of crashes of backend servers.
+	 * The crash state of an instance.
 	 *
 	 * @param from the instance
-	 * @param notes what it knows
+	 * @param state its crash state
 	 */
-	record CrashUpdate(InstanceId from, CrashState notes) implements HopMessage {
+	record CrashUpdate(InstanceId from, CrashState state) implements HopMessage {
 	}
 
 	/**
-	 * Asks whether the receiver still hears.
+	 * Checks whether the receiver is alive; answered by a pong.
 	 *
-	 * @param acceptsPieces whether the sender takes large messages in pieces and
-	 * compressed ones; daemons of an earlier build don't
+	 * @param acceptsPieces whether the sender accepts compressed messages and large
+	 * messages in pieces; daemons of an earlier build do not
 	 */
 	record Ping(boolean acceptsPieces) implements HopMessage {
 
@@ -186,10 +190,10 @@
 	}
 
 	/**
-	 * It does.
+	 * The answer to a ping.
 	 *
-	 * @param acceptsPieces whether the sender takes large messages in pieces and
-	 * compressed ones; daemons of an earlier build don't
+	 * @param acceptsPieces whether the sender accepts compressed messages and large
+	 * messages in pieces; daemons of an earlier build do not
 	 */
 	record Pong(boolean acceptsPieces) implements HopMessage {
 
@@ -199,11 +203,14 @@
 
 	}
 
-	/** The sender is about to stop; it answers what it has, and wants no more. */
+	/**
+	 * The sender is about to stop. It still serves requests, but asks others to send new
+	 * ones elsewhere.
+	 */
 	record Leaving() implements HopMessage {
 	}
 
-	/** The sender takes nothing new from now on, and closes the connection soon. */
+	/** The sender rejects new requests from now on and closes the connection soon. */
 	record Stopping() implements HopMessage {
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopRequest.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopRequest.java
@@ -5,15 +5,16 @@
 import org.brasspier.daemon.mesh.MeshRequest;
 
 /**
- * A request for a backend server of a service. Immutable and thread-safe.
+ * A request to a backend server of a service. Immutable and thread-safe.
  *
  * @param service the service
- * @param caller the service of the instance where the request began
- * @param requestClass how it is queued
+ * @param caller the service of the instance on which the request was sent
+ * @param requestClass the class by which it is queued
  * @param idempotent whether it may run more than once
- * @param overdue whether it can't be answered within its target any more
- * @param mayQueue whether it may wait for a slot; else it is turned away if none is free
- * @param request the request, with the time that is left
+ * @param overdue whether it can no longer be answered within its target latency
+ * @param mayQueue whether it may be queued for a slot; otherwise it is rejected if none
+ * is free
+ * @param request the request, with its remaining time
  */
 record HopRequest(ServiceName service, ServiceName caller, RequestClass requestClass, boolean idempotent,
 		boolean overdue, boolean mayQueue, MeshRequest request) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopSender.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopSender.java
@@ -6,8 +6,8 @@
 
 /**
  * Sends messages on one connection to another daemon. Rows of the store are compressed
- * and keep their order, and whatever is large goes in pieces, so that requests, answers
- * and pings need not wait for it. Belongs to the thread of requests.
+ * and keep their order. Large messages are sent in pieces, so that requests, answers and
+ * pings need not wait for them. Not thread-safe: confined to the request thread.
  */
 final class HopSender {
 
@@ -15,12 +15,12 @@
 
 	private final Function<HopMessage, byte[]> compressedRows;
 
-	private boolean takesPieces;
+	private boolean acceptsPieces;
 
 	/**
-	 * Creates a sender to a daemon of which nothing is known yet.
+	 * Creates a sender to a daemon whose capabilities are not known yet.
 	 * @param connection the connection
-	 * @param compressedRows writes rows for a daemon that takes them compressed
+	 * @param compressedRows encodes rows for a daemon that accepts compressed messages
 	 */
 	HopSender(PeerConnection connection, Function<HopMessage, byte[]> compressedRows) {
 		this.connection = connection;
@@ -28,37 +28,40 @@
 	}
 
 	/**
-	 * Holds large messages back until it is known how the other daemon takes them.
+	 * Holds large messages back until it is known in which form the other daemon accepts
+	 * them.
 	 */
 	void holdLargeMessages() {
 		this.connection.largeFrames(PeerConnection.LargeFrames.WAIT);
 	}
 
 	/**
-	 * Takes that the other daemon has said how it takes large messages.
-	 * @param takes whether in pieces and compressed
+	 * Sets in which form the other daemon accepts large messages, and sends those held
+	 * back.
+	 * @param accepts true for pieces and compressed messages, false for whole messages
+	 * only
 	 */
-	void peerAcceptsPieces(boolean takes) {
-		this.takesPieces = takes;
-		this.connection.largeFrames(takes ? PeerConnection.LargeFrames.IN_PIECES : PeerConnection.LargeFrames.WHOLE);
+	void peerAcceptsPieces(boolean accepts) {
+		this.acceptsPieces = accepts;
+		this.connection.largeFrames(accepts ? PeerConnection.LargeFrames.IN_PIECES : PeerConnection.LargeFrames.WHOLE);
 	}
 
 	boolean peerAcceptsPieces() {
-		return this.takesPieces;
+		return this.acceptsPieces;
 	}
 
 	void send(HopMessage message) {
 		switch (message) {
 			case HopMessage.RowsResponse rows when !rows.isEmpty() -> sendRows(rows);
 			case HopMessage.RowChanges rows -> sendRows(rows);
-			// What is taken back must not overtake the large request that it takes back.
+			// A cancellation must not overtake the large request that it cancels.
 			case HopMessage.Cancel cancelled -> this.connection.sendInOrder(HopCodec.encode(cancelled));
 			default -> this.connection.send(HopCodec.encode(message));
 		}
 	}
 
 	private void sendRows(HopMessage rows) {
-		this.connection.sendInOrder(this.takesPieces ? this.compressedRows.apply(rows) : HopCodec.encode(rows));
+		this.connection.sendInOrder(this.acceptsPieces ? this.compressedRows.apply(rows) : HopCodec.encode(rows));
 	}
 
 	long unsentBytes() {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopServer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopServer.java
@@ -23,17 +23,16 @@
 import org.brasspier.wire.WireException;
 
 /**
- * Takes requests of other daemons for the backend server beside this one. It never passes
- * them on, so stale routes can't make a request go in circles. Belongs to the thread of
- * requests.
+ * Accepts requests of other daemons for the local backend server. It never forwards them,
+ * so stale routes can't create a loop. Not thread-safe: confined to the request thread.
  */
 final class HopServer {
 
 	/**
-	 * How often a daemon says how much it knows, on a connection that is in use: often
-	 * enough to be told within half a second that it is behind.
+	 * Interval at which a daemon sends the row versions it knows on a connection that is
+	 * in use: short enough that a daemon that is behind learns so within half a second.
 	 */
-	private static final long TELL_EVERY_NANOS = Duration.ofMillis(250).toNanos();
+	private static final long VERSIONS_NOTICE_INTERVAL_NANOS = Duration.ofMillis(250).toNanos();
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -53,7 +52,7 @@
 
 	private final RowFrameCache rowFrames = new RowFrameCache();
 
-	private final Set<Exchanges> connections = new HashSet<>();
+	private final Set<Connection> connections = new HashSet<>();
 
 	private boolean leaving;
 
@@ -77,13 +76,13 @@
 		this.server.listen();
 	}
 
-	// Tells all other daemons to send no more.
+	// Asks all other daemons to send new requests elsewhere.
 	void leave() {
 		this.leaving = true;
 		this.connections.forEach((each) -> each.send(new HopMessage.Leaving()));
 	}
 
-	// Tells all other daemons that nothing new is taken.
+	// Tells all other daemons that new requests are rejected.
 	void stop() {
 		this.stopping = true;
 		this.connections.forEach((each) -> each.send(new HopMessage.Stopping()));
@@ -91,17 +90,17 @@
 
 	void close() {
 		this.server.close();
-		List.copyOf(this.connections).forEach(Exchanges::close);
+		List.copyOf(this.connections).forEach(Connection::close);
 	}
 
 	private void accept(ITcpSocket socket) {
-		new Exchanges().begin(socket);
+		new Connection().begin(socket);
 	}
 
 	/**
-	 * What one connection asked for and waits for.
+	 * One connection from another daemon, with its running requests.
 	 */
-	private final class Exchanges implements RowFollowers.Sink {
+	private final class Connection implements RowFollowers.Sink {
 
 		private final Map<Long, Cancellation> running = new HashMap<>();
 
@@ -109,7 +108,7 @@
 
 		private final long openedNanos = System.nanoTime();
 
-		private long toldNanos = this.openedNanos - TELL_EVERY_NANOS;
+		private long noticeSentNanos = this.openedNanos - VERSIONS_NOTICE_INTERVAL_NANOS;
 
 		private Optional<PeerConnection> connection = Optional.empty();
 
@@ -126,7 +125,7 @@
 			opened.closed().whenResult(this::closed);
 		}
 
-		// Whoever asked is gone, or can't be reached any more: nobody waits for answers.
+		// The sender is gone or unreachable, so nobody waits for the answers.
 		private void closed(Exception reason) {
 			HopServer.this.connections.remove(this);
 			HopServer.this.followers.remove(this);
@@ -147,82 +146,86 @@
 		}
 
 		void close() {
-			this.connection.ifPresent((opened) -> opened.close(new WireException("this daemon ends")));
+			this.connection.ifPresent((opened) -> opened.close(new WireException("this daemon is stopping")));
 		}
 
 		private void receive(FrameReader frame) throws WireException {
 			switch (HopCodec.decode(frame)) {
-				case HopMessage.ForwardedRequest asked when frame.inPieces() -> runLarge(asked);
-				case HopMessage.ForwardedRequest asked -> run(asked.exchange(), heldUpNanos(asked), asked.request());
+				case HopMessage.ForwardedRequest message when frame.inPieces() -> runLarge(message);
+				case HopMessage.ForwardedRequest message ->
+					run(message.exchange(), delayNanos(message), message.request());
 				case HopMessage.Cancel(long exchange) -> cancel(exchange);
-				case HopMessage.Ping(boolean takesPieces) -> pinged(takesPieces);
+				case HopMessage.Ping(boolean acceptsPieces) -> onPing(acceptsPieces);
 				case HopMessage.LoadReport(var load) -> HopServer.this.keys.onLoadReport(load);
-				case HopMessage.PromiseRequest asked -> send(HopServer.this.keys.promise(asked));
-				case HopMessage.LeasesRequest asked -> HopServer.this.keys.leaseRows(asked).whenResult(this::send);
+				case HopMessage.PromiseRequest message -> send(HopServer.this.keys.promise(message));
+				case HopMessage.LeasesRequest message -> HopServer.this.keys.leaseRows(message).whenResult(this::send);
 				case HopMessage.PromiseRelease(var holder) -> HopServer.this.keys.onPromiseReleased(holder);
-				case HopMessage.FollowRequest asked -> HopServer.this.followers.follow(this, asked, this);
-				case HopMessage.CrashUpdate(var from, var notes) -> HopServer.this.crashes.onCrashState(from, notes);
-				case HopMessage.ForwardedResponse ignored -> throw wrongSide();
-				case HopMessage.RowsRequest(KnownRows known) -> send(HopServer.this.rows.missingRows(known));
-				case HopMessage.RowsResponse told -> HopServer.this.rows.applyAndLog(told);
-				case HopMessage.VersionsNotice(KnownRows known) -> noticed(known);
-				case HopMessage.RowChanges ignored -> throw wrongSide();
-				case HopMessage.LeasesResponse ignored -> throw wrongSide();
-				case HopMessage.PromiseResponse ignored -> throw wrongSide();
-				case HopMessage.Pong ignored -> throw wrongSide();
-				case HopMessage.Leaving ignored -> throw wrongSide();
-				case HopMessage.Stopping ignored -> throw wrongSide();
+				case HopMessage.FollowRequest message -> HopServer.this.followers.follow(this, message, this);
+				case HopMessage.CrashUpdate(var instance, var state) ->
+					HopServer.this.crashes.onCrashState(instance, state);
+				case HopMessage.ForwardedResponse ignored -> throw wrongDirection();
+				case HopMessage.RowsRequest(KnownRows versions) -> send(HopServer.this.rows.missingRows(versions));
+				case HopMessage.RowsResponse response -> HopServer.this.rows.applyAndLog(response);
+				case HopMessage.VersionsNotice(KnownRows versions) -> onVersionsNotice(versions);
+				case HopMessage.RowChanges ignored -> throw wrongDirection();
+				case HopMessage.LeasesResponse ignored -> throw wrongDirection();
+				case HopMessage.PromiseResponse ignored -> throw wrongDirection();
+				case HopMessage.Pong ignored -> throw wrongDirection();
+				case HopMessage.Leaving ignored -> throw wrongDirection();
+				case HopMessage.Stopping ignored -> throw wrongDirection();
 			}
 		}
 
-		private void pinged(boolean takesPieces) {
-			if (takesPieces) {
+		private void onPing(boolean acceptsPieces) {
+			if (acceptsPieces) {
 				this.sender.ifPresent((ready) -> ready.peerAcceptsPieces(true));
 			}
 			send(new HopMessage.Pong());
 		}
 
-		// Of all who say that they know more, one at a time is asked.
-		private void noticed(KnownRows known) {
+		// If several daemons know newer rows, they are requested from one of them at a
+		// time.
+		private void onVersionsNotice(KnownRows versions) {
 			KnownRows own = HopServer.this.rows.knownVersions();
-			if (known.aheadOf(own) && HopServer.this.rows.tryRequestRows(System.nanoTime())) {
+			if (versions.aheadOf(own) && HopServer.this.rows.tryRequestRows(System.nanoTime())) {
 				send(new HopMessage.RowsRequest(own));
 			}
 		}
 
-		private static WireException wrongSide() {
-			return new WireException("a message came from the wrong side of the connection");
+		private static WireException wrongDirection() {
+			return new WireException("received a message that only the other side of a connection may send");
 		}
 
-		private long heldUpNanos(HopMessage.ForwardedRequest asked) {
-			return this.delay.delayNanos(asked.sentNanos(), System.nanoTime() - this.openedNanos);
+		private long delayNanos(HopMessage.ForwardedRequest message) {
+			return this.delay.delayNanos(message.sentNanos(), System.nanoTime() - this.openedNanos);
 		}
 
-		// A large request is long on its way, and nobody has given it up: its sender
-		// waits for as long as anything comes.
-		private void runLarge(HopMessage.ForwardedRequest asked) throws WireException {
-			int onItsWayMillis = (int) (heldUpNanos(asked) / NANOS_PER_MILLI);
-			int remaining = Math.max(0, asked.request().request().remainingMillis() - onItsWayMillis);
-			run(asked.exchange(), 0, asked.request().withRemainingMillis(remaining));
+		// A large request takes long to arrive, which is not a delay after which it is
+		// rejected: its sender waits as long as any bytes are exchanged. Only its
+		// remaining time is reduced.
+		private void runLarge(HopMessage.ForwardedRequest message) throws WireException {
+			int delayMillis = (int) (delayNanos(message) / NANOS_PER_MILLI);
+			int remaining = Math.max(0, message.request().request().remainingMillis() - delayMillis);
+			run(message.exchange(), 0, message.request().withRemainingMillis(remaining));
 		}
 
-		private void run(long exchange, long heldUpNanos, HopRequest ask) throws WireException {
+		private void run(long exchange, long delayNanos, HopRequest request) throws WireException {
 			Cancellation cancellation = new Cancellation();
 			if (this.running.put(exchange, cancellation) != null) {
 				throw new WireException("exchange %d was opened twice".formatted(exchange));
 			}
-			Promise<SendOutcome> outcome = HopServer.this.gate.run(ask, heldUpNanos, cancellation);
-			outcome.whenResult((end) -> {
+			Promise<SendOutcome> outcome = HopServer.this.gate.run(request, delayNanos, cancellation);
+			outcome.whenResult((result) -> {
 				this.running.remove(exchange);
-				send(new HopMessage.ForwardedResponse(exchange, end));
-				tellKnown();
+				send(new HopMessage.ForwardedResponse(exchange, result));
+				sendVersionsIfDue();
 			});
 		}
 
-		private void tellKnown() {
+		private void sendVersionsIfDue() {
 			long now = System.nanoTime();
-			if (now - this.toldNanos >= TELL_EVERY_NANOS) {
-				this.toldNanos = now;
+			if (now - this.noticeSentNanos >= VERSIONS_NOTICE_INTERVAL_NANOS) {
+				this.noticeSentNanos = now;
 				send(new HopMessage.VersionsNotice(HopServer.this.rows.knownVersions()));
 			}
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/LagTimer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/LagTimer.java
@@ -6,12 +6,12 @@
 import org.brasspier.core.mesh.LoopLag;
 
 /**
- * The timer behind {@link LoopLag}. It runs only while requests come, so that an idle
- * daemon rests. Belongs to the thread of requests.
+ * Timer that feeds {@link LoopLag}. It runs only while requests arrive, so that an idle
+ * daemon uses no processor time. Not thread-safe: confined to the request thread.
  */
 final class LagTimer {
 
-	private static final long KEEP_ON_NANOS = Duration.ofMillis(300).toNanos();
+	private static final long IDLE_TIMEOUT_NANOS = Duration.ofMillis(300).toNanos();
 
 	private final NioReactor reactor;
 
@@ -19,35 +19,35 @@
 
 	private boolean running;
 
-	private long requestNanos;
+	private long lastRequestNanos;
 
 	LagTimer(NioReactor reactor) {
 		this.reactor = reactor;
 	}
 
 	LoopLag onRequest(long now) {
-		this.requestNanos = now;
+		this.lastRequestNanos = now;
 		if (!this.running) {
 			this.running = true;
 			this.lag.onTick(now, now);
-			tickLater(now);
+			scheduleTick(now);
 		}
 		return this.lag;
 	}
 
-	// How far the loop is behind; 0 while no requests come.
+	// Returns the lag of the event loop; 0 while no requests arrive.
 	long lagMillis() {
 		return this.running ? Duration.ofNanos(this.lag.lagNanos(System.nanoTime())).toMillis() : 0;
 	}
 
-	private void tickLater(long now) {
+	private void scheduleTick(long now) {
 		long due = now + LoopLag.TICK_INTERVAL.toNanos();
 		this.reactor.delay(LoopLag.TICK_INTERVAL, () -> {
-			long came = System.nanoTime();
-			this.lag.onTick(due, came);
-			this.running = came - this.requestNanos < KEEP_ON_NANOS;
+			long tickNanos = System.nanoTime();
+			this.lag.onTick(due, tickNanos);
+			this.running = tickNanos - this.lastRequestNanos < IDLE_TIMEOUT_NANOS;
 			if (this.running) {
-				tickLater(came);
+				scheduleTick(tickNanos);
 			}
 		});
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshEntry.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshEntry.java
@@ -22,7 +22,8 @@
 import org.brasspier.daemon.mesh.RawRequest;
 
 /**
- * Serves the requests that begin on this instance. Belongs to the thread of requests.
+ * Serves the requests of callers on this instance, for which this daemon is the entry
+ * daemon. Not thread-safe: confined to the request thread.
  */
 final class MeshEntry implements CallerServer.Handler {
 
@@ -52,54 +53,57 @@
 		this.metrics = metrics;
 	}
 
-	// How many requests are not answered yet.
+	// Returns the number of requests that are not answered yet.
 	int openRequests() {
 		return this.open;
 	}
 
 	@Override
 	public Promise<Answer> serve(RawRequest raw, Cancellation cancellation) {
-		long begun = System.nanoTime();
-		Either<Failure, MeshRequest> read = this.protocol.request(raw);
-		if (read.isLeft()) {
-			malformed(read.getLeft().detail());
-			return Promise.of(failed(raw, read.getLeft()));
+		long startNanos = System.nanoTime();
+		Either<Failure, MeshRequest> parsed = this.protocol.request(raw);
+		if (parsed.isLeft()) {
+			malformed(parsed.getLeft().detail());
+			return Promise.of(failed(raw, parsed.getLeft()));
 		}
-		LoopLag lag = this.lag.onRequest(begun);
-		MeshRequest request = read.get().withRemainingMillis(lag.remainingMillis(read.get().remainingMillis(), begun));
+		LoopLag lag = this.lag.onRequest(startNanos);
+		MeshRequest request = parsed.get()
+			.withRemainingMillis(lag.remainingMillis(parsed.get().remainingMillis(), startNanos));
 		RoutingConfig inForce = this.config.get();
 		if (!inForce.isKnown()) {
-			return Promise
-				.of(refused(raw, request, Failure.of(ErrorKind.NO_CONFIGURATION, "no configuration is known yet")));
+			return Promise.of(reject(raw, request,
+					Failure.of(ErrorKind.NO_CONFIGURATION, "no configuration has been received yet")));
 		}
 		Optional<RouteRule> route = inForce.route(request.host(), request.path());
 		if (route.isEmpty()) {
-			return Promise.of(refused(raw, request, Failure.of(ErrorKind.NO_ROUTE,
+			return Promise.of(reject(raw, request, Failure.of(ErrorKind.NO_ROUTE,
 					"no route of configuration %d takes it".formatted(inForce.version()))));
 		}
-		if (lag.shouldShed(begun)) {
-			return Promise.of(refused(raw, request, new Failure(ErrorKind.OVERLOADED,
-					"this daemon is behind with its work", Duration.ofNanos(lag.lagNanos(begun)))));
+		if (lag.shouldShed(startNanos)) {
+			return Promise.of(reject(raw, request,
+					new Failure(ErrorKind.OVERLOADED, "this daemon is overloaded: its event loop lags behind",
+							Duration.ofNanos(lag.lagNanos(startNanos)))));
 		}
 		this.open++;
 		return this.dispatcher.dispatch(request, route.get(), cancellation).map((outcome) -> {
 			this.open--;
-			return answer(raw, request, route.get(), outcome, begun);
+			return answer(raw, request, route.get(), outcome, startNanos);
 		});
 	}
 
-	private Answer refused(RawRequest raw, MeshRequest request, Failure failure) {
+	private Answer reject(RawRequest raw, MeshRequest request, Failure failure) {
 		this.log.record(MeshEvent.REQUEST_REFUSED, "request", request.id(), "reason", failure.kind(), "detail",
 				failure.detail(), "config", this.config.get().version());
 		this.metrics.counter("requests.failed.not_run." + failure.kind()).inc();
-		boolean later = failure.kind() != ErrorKind.NO_ROUTE;
-		return this.protocol.failureAnswer(raw, later ? withPause(failure, request.remainingMillis()) : failure);
+		boolean retryable = failure.kind() != ErrorKind.NO_ROUTE;
+		return this.protocol.failureAnswer(raw,
+				retryable ? withRetryAfter(failure, request.remainingMillis()) : failure);
 	}
 
-	private Answer answer(RawRequest raw, MeshRequest request, RouteRule route, SendOutcome outcome, long begun) {
-		long tookMillis = (System.nanoTime() - begun) / NANOS_PER_MILLI;
+	private Answer answer(RawRequest raw, MeshRequest request, RouteRule route, SendOutcome outcome, long startNanos) {
+		long tookMillis = (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
 		this.metrics.histogram("request.millis").update(tookMillis);
-		this.metrics.counter(outcomeName(outcome)).inc();
+		this.metrics.counter(outcomeCounter(outcome)).inc();
 		return switch (outcome) {
 			case SendOutcome.Answered(Answer answer) -> {
 				log(MeshEvent.REQUEST_ANSWERED, request, route, "status " + answer.status(), tookMillis);
@@ -108,7 +112,7 @@
 			case SendOutcome.NotRun(Failure failure, boolean reached) -> {
 				log(MeshEvent.REQUEST_REFUSED, request, route, Dispatcher.describe(outcome), tookMillis);
 				yield this.protocol.failureAnswer(raw,
-						withPause(failure, request.remainingMillis() - (int) tookMillis));
+						withRetryAfter(failure, request.remainingMillis() - (int) tookMillis));
 			}
 			case SendOutcome.Unknown(Failure failure) -> {
 				log(MeshEvent.REQUEST_FAILED, request, route, Dispatcher.describe(outcome), tookMillis);
@@ -117,8 +121,9 @@
 		};
 	}
 
-	// One counter for each kind of error, of which there is a closed list.
-	private static String outcomeName(SendOutcome outcome) {
+	// One counter for each kind of error. The kinds are a closed list, so the number of
+	// counters is bounded.
+	private static String outcomeCounter(SendOutcome outcome) {
 		return switch (outcome) {
 			case SendOutcome.Answered ignored -> "requests.answered";
 			case SendOutcome.NotRun(Failure failure, boolean reached) -> "requests.failed.not_run." + failure.kind();
@@ -132,7 +137,7 @@
 				this.config.get().version());
 	}
 
-	private static Failure withPause(Failure failure, int remainingMillis) {
+	private static Failure withRetryAfter(Failure failure, int remainingMillis) {
 		Duration pause = RetryAfter.of(failure.retryAfter(), Duration.ofMillis(Math.max(1, remainingMillis)));
 		return new Failure(failure.kind(), failure.detail(), pause);
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshEvent.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshEvent.java
@@ -1,54 +1,62 @@
 package org.brasspier.daemon.internal.mesh;
 
 /**
- * What a daemon of a mesh logs; docs/OPERATIONS.md lists the same numbers with their
- * fields, and a test holds the two equal.
+ * Events that a daemon of the mesh logs. docs/OPERATIONS.md lists the same numbers with
+ * their fields; MeshEventCatalogTests checks that both agree.
  */
 enum MeshEvent {
 
-	/** The daemon takes work. */
+	/** The daemon has started and accepts requests. */
 	STARTED(1001),
-	/** It was told to end. */
+	/** A graceful stop has begun. */
 	STOPPING(1002),
-	/** It has ended; nothing is in flight any more. */
+	/** The daemon has stopped; no request is in flight, or the grace period is over. */
 	STOPPED(1003),
-	/** Its settings were read again. */
+	/** The settings were reloaded. */
 	RELOADED(1004),
-	/** Processor time of the process so far, by what its threads are for. */
+	/** Processor time of the process since its start, by the purpose of its threads. */
 	PROCESSOR_TIMES(1005),
 	/** The platform's store answers again. */
 	STORE_REGAINED(1101),
-	/** The platform's store does not answer, or turns this instance away. */
+	/** The platform's store does not answer, or refuses this instance's calls. */
 	STORE_LOST(1102),
-	/** A feed may have gone silent; the store is asked anew. */
+	/** A feed may have stopped delivering changes; the store is queried again. */
 	FEED_DOUBTED(1103),
-	/** From now on the store is followed by this daemon, or through others. */
+	/** This daemon has started to follow the store itself, or through other daemons. */
 	STORE_FOLLOWED(1104),
-	/** A configuration is in force. */
+	/** A configuration has taken effect. */
 	CONFIG_IN_FORCE(1201),
-	/** A configuration can't be read; what was in force stays. */
+	/** A configuration can't be read; the previous one remains in force. */
 	CONFIG_UNREADABLE(1202),
-	/** Another daemon told what this one had not heard from the store. */
+	/** Another daemon sent newer rows than this one had received from the store. */
 	ROWS_TOLD(1203),
-	/** Another instance is there, or is there otherwise than before. */
+	/** An instance was added, or its row has changed. */
 	MEMBER_CHANGED(1301),
-	/** The backend server beside this daemon has begun a life, leaves, or is gone. */
+	/**
+	 * The local backend server has started, changed its slots, is draining, or is gone.
+	 */
 	BACKEND_CHANGED(1401),
-	/** A heartbeat or farewell was not believed. */
+	/** A heartbeat or departure message was ignored. */
 	BACKEND_MESSAGE_IGNORED(1402),
-	/** The backend server beside this daemon crashed while it ran requests. */
+	/** The local backend server crashed while it was running requests. */
 	BACKEND_CRASHED(1403),
-	/** Another instance told of crashes, or of requests that ended well after one. */
+	/**
+	 * Another instance reported crashes, or suspect requests that have succeeded since.
+	 */
 	CRASHES_TOLD(1404),
-	/** Keys changed hands. */
+	/** The assignment of keys to instances has changed, or a change failed. */
 	KEYS_MOVED(1501),
-	/** This instance's lease was renewed after it had lapsed, or for the first time. */
+	/**
+	 * This instance holds its lease again after it had expired, or for the first time.
+	 */
 	LEASE_HELD(1502),
-	/** This instance's lease was taken away or has lapsed. */
+	/** This instance's lease was taken over or has expired. */
 	LEASE_LOST(1503),
-	/** Another instance, or nobody, may take this one's keys early from now on. */
+	/**
+	 * This instance's deputy, which may take over its keys early, was changed or removed.
+	 */
 	LEASE_DEPUTY(1504),
-	/** The backend server did not carry out a grant or a release. */
+	/** A grant to the backend server, or a release, failed. */
 	GRANT_FAILED(1505),
 	/** A request was answered by a backend server. */
 	REQUEST_ANSWERED(2001),
@@ -56,19 +64,19 @@
 	REQUEST_REFUSED(2002),
 	/** A request failed and may have run. */
 	REQUEST_FAILED(2003),
-	/** A request is sent once more. */
+	/** A request is retried. */
 	REQUEST_RESENT(2004),
-	/** A request is sent to the daemon beside a backend server. */
+	/** A request is sent to the daemon of a backend server's instance. */
 	REQUEST_SENT(2005),
-	/** The gate to the backend server turned a request away. */
+	/** Admission control for the local backend server rejected a request. */
 	GATE_TURNED_AWAY(2101),
-	/** The backend server failed an order. */
+	/** A request to the local backend server failed. */
 	ORDER_FAILED(2102),
-	/** A caller sent what is no request. */
+	/** A caller sent a malformed request. */
 	BAD_CALLER_INPUT(3001),
-	/** Another daemon sent what makes no sense. */
+	/** Another daemon sent an invalid message. */
 	BAD_PEER_INPUT(3002),
-	/** Lines were left out, since too many of one kind came. */
+	/** Log lines were dropped because the rate limit of an event was exceeded. */
 	LINES_DROPPED(3003);
 
 	private final int number;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshGauges.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshGauges.java
@@ -6,9 +6,8 @@
 import com.codahale.metrics.MetricRegistry;
 
 /**
- * What a daemon of the mesh shows of its state beside the counters: each gauge reads a
- * number that its part keeps anyway. Belongs to the thread of requests, on which metrics
- * are read too.
+ * Gauges of a daemon of the mesh. Each reads a number that its part maintains anyway. Not
+ * thread-safe: confined to the request thread, on which metrics are read as well.
  */
 final class MeshGauges {
 
@@ -19,35 +18,35 @@
 	}
 
 	MeshGauges gate(BackendGate gate, BackendRegistration registration) {
-		show("gate_running", () -> gate.load().get(0));
-		show("gate_waiting", () -> gate.load().get(1));
-		show("backend_slots", registration::slots);
-		show("backend_ready", () -> registration.ready() ? 1 : 0);
+		register("gate_running", () -> gate.load().get(0));
+		register("gate_waiting", () -> gate.load().get(1));
+		register("backend_slots", registration::slots);
+		register("backend_ready", () -> registration.ready() ? 1 : 0);
 		return this;
 	}
 
 	MeshGauges keys(KeyOwnership keys) {
-		show("mesh_lease_millis_left", keys::leaseMillisLeft);
-		show("mesh_spans_held", keys::spansHeld);
+		register("mesh_lease_millis_left", keys::leaseMillisLeft);
+		register("mesh_spans_held", keys::spansHeld);
 		return this;
 	}
 
-	MeshGauges known(ConfigHolder config, Directory directory) {
-		show("config_version", () -> config.get().version());
-		show("config_millis_in_force", config::millisInForce);
-		show("mesh_instances_known", directory::size);
-		show("mesh_rows_version", directory::newestVersion);
+	MeshGauges configAndDirectory(ConfigHolder config, Directory directory) {
+		register("config_version", () -> config.get().version());
+		register("config_millis_in_force", config::millisInForce);
+		register("mesh_instances_known", directory::size);
+		register("mesh_rows_version", directory::newestVersion);
 		return this;
 	}
 
 	MeshGauges process(LagTimer lag) {
 		long started = System.currentTimeMillis();
-		show("start_time_millis", () -> started);
-		show("loop_lag_millis", lag::lagMillis);
+		register("start_time_millis", () -> started);
+		register("loop_lag_millis", lag::lagMillis);
 		return this;
 	}
 
-	private void show(String name, LongSupplier value) {
+	private void register(String name, LongSupplier value) {
 		this.metrics.register(name, (Gauge<Long>) value::getAsLong);
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshLog.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshLog.java
@@ -14,19 +14,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes one JSON line for each decision. The appender behind it never blocks and drops
- * what it can't take; before that, each kind of event has a bound of its own, so that a
- * flood of one kind leaves the others readable. Belongs to the thread of requests.
+ * Writes one JSON line for each event. The appender never blocks and drops lines when its
+ * queue is full. In addition each event has its own rate limit, so that a flood of one
+ * event does not displace the others. Not thread-safe: confined to the request thread.
  */
 final class MeshLog {
 
 	private static final Logger logger = LoggerFactory.getLogger("brasspier.mesh");
 
 	/**
-	 * Lines of one kind in a second. A line costs some 20 microseconds, so three busy
-	 * kinds at the bound take under 3 % of a processor.
+	 * Maximum number of lines of one event per second. A line costs some 20 microseconds,
+	 * so three events at this limit take under 3 % of a processor.
 	 */
-	private static final int MOST_IN_A_SECOND = 300;
+	private static final int MAX_LINES_PER_SECOND = 300;
 
 	private static final long SECOND_NANOS = Duration.ofSeconds(1).toNanos();
 
@@ -36,7 +36,7 @@
 
 	private final Map<MeshEvent, Integer> counts = new EnumMap<>(MeshEvent.class);
 
-	private long secondBegunNanos = System.nanoTime();
+	private long secondStartNanos = System.nanoTime();
 
 	private int dropped;
 
@@ -48,30 +48,30 @@
 	/**
 	 * Writes a line.
 	 * @param event what happened
-	 * @param fields names and values in turn: the inputs that decided, and the outcome
+	 * @param fields names and values in turn: the inputs of the decision, and its outcome
 	 */
 	void record(MeshEvent event, Object... fields) {
-		nextSecond();
+		startNextSecond();
 		this.metrics.counter("events." + event).inc();
-		if (this.counts.merge(event, 1, Integer::sum) > MOST_IN_A_SECOND) {
+		if (this.counts.merge(event, 1, Integer::sum) > MAX_LINES_PER_SECOND) {
 			this.dropped++;
 			return;
 		}
 		logger.info(line(event, fields));
 	}
 
-	private void nextSecond() {
+	private void startNextSecond() {
 		long now = System.nanoTime();
-		if (now - this.secondBegunNanos < SECOND_NANOS) {
+		if (now - this.secondStartNanos < SECOND_NANOS) {
 			return;
 		}
-		this.secondBegunNanos = now;
+		this.secondStartNanos = now;
 		this.counts.clear();
-		int left = this.dropped;
+		int count = this.dropped;
 		this.dropped = 0;
-		if (left > 0) {
-			this.metrics.counter("log.dropped").inc(left);
-			logger.info(line(MeshEvent.LINES_DROPPED, "count", left));
+		if (count > 0) {
+			this.metrics.counter("log.dropped").inc(count);
+			logger.info(line(MeshEvent.LINES_DROPPED, "count", count));
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshNode.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshNode.java
@@ -15,26 +15,27 @@
 import org.brasspier.daemon.mesh.MeshSettings;
 
 /**
- * The parts of a daemon of a mesh, joined. Belongs to the thread of requests.
+ * Wires together the parts of a daemon of the mesh. Not thread-safe: confined to the
+ * request thread.
  */
 public final class MeshNode {
 
 	/**
-	 * How long a leaving daemon takes new connections. The platform asks once a second
-	 * whether it takes work and believes the second no, so callers come for up to two
-	 * seconds more.
+	 * How long a stopping daemon accepts new connections. The platform checks readiness
+	 * once a second and stops sending callers after the second negative answer, so new
+	 * callers arrive for up to two seconds.
 	 */
-	private static final Duration OPEN_ON = Duration.ofMillis(2500);
+	private static final Duration ACCEPT_WHILE_STOPPING = Duration.ofMillis(2500);
 
 	/**
-	 * Other daemons know by then that nothing new is taken, and what they had sent before
-	 * has been answered: many round trips between failure domains.
+	 * After this time the other daemons know that new requests are rejected, and requests
+	 * sent before have been answered: many round trips between failure domains.
 	 */
-	private static final Duration TOLD_AFTER = Duration.ofMillis(250);
+	private static final Duration NOTICE_DELAY = Duration.ofMillis(250);
 
-	private static final Duration LOOK_AGAIN = Duration.ofMillis(20);
+	private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(20);
 
-	private static final Duration PROCESSOR_TIMES_EVERY = Duration.ofSeconds(10);
+	private static final Duration PROCESSOR_TIMES_INTERVAL = Duration.ofSeconds(10);
 
 	private static final int MAX_ANSWER_BYTES = 64 << 20;
 
@@ -74,15 +75,15 @@
 
 	private final ProcessorTimes processorTimes = new ProcessorTimes();
 
-	private boolean leaving;
+	private boolean stopping;
 
-	private long leavingSinceNanos;
+	private long stoppingSinceNanos;
 
 	/**
-	 * Joins the parts; nothing listens yet.
-	 * @param reactor the reactor of the thread of requests
-	 * @param settings what the daemon knows before it starts
-	 * @param adapter how the platform speaks
+	 * Creates the parts; no port is opened yet.
+	 * @param reactor the reactor of the request thread
+	 * @param settings the settings of the daemon
+	 * @param adapter the protocols of the platform
 	 */
 	public MeshNode(NioReactor reactor, MeshSettings settings, MeshAdapter adapter) {
 		this.reactor = reactor;
@@ -98,7 +99,7 @@
 		HopClient hopClient = new HopClient(reactor, shared);
 		this.keys = new KeyOwnership(reactor, settings, this.registration, this.directory, adapter.store(),
 				adapter.grants(), hopClient, this.config, clock::nanos, health, this.log);
-		this.registration.setGrantSource((beat, now) -> this.keys.grantAnswer(beat));
+		this.registration.setGrantSource((heartbeat, now) -> this.keys.grantAnswer(heartbeat));
 		LagTimer lag = new LagTimer(reactor);
 		BackendPool pool = new BackendPool(reactor, settings.backend().address(), MAX_ANSWER_BYTES);
 		this.crashes = new BackendCrashes(reactor, settings.instance(), this.registration, pool, this.directory,
@@ -118,22 +119,23 @@
 				this.following.followers(), this.crashes, this.log);
 		new MeshGauges(this.metrics).gate(this.gate, this.registration)
 			.keys(this.keys)
-			.known(this.config, this.directory)
+			.configAndDirectory(this.config, this.directory)
 			.process(lag);
 		this.ports = new ControlPorts(reactor, this.log);
-		this.directory.addRowsListener(this::takeOwnRow);
+		this.directory.addRowsListener(this::applyOwnRow);
 	}
 
-	// What an earlier process of this instance acknowledged binds this one as well.
-	private void takeOwnRow() {
+	// A departure that an earlier process of this instance acknowledged is binding for
+	// this one as well.
+	private void applyOwnRow() {
 		this.directory.member(this.settings.instance())
-			.filter((own) -> !own.ready())
+			.filter((member) -> !member.ready())
 			.flatMap(Member::incarnation)
 			.ifPresent(this.registration::restoreDeparture);
 	}
 
 	/**
-	 * Opens all ports and begins to follow the store.
+	 * Opens all ports and starts to follow the store.
 	 * @throws IOException if a port can't be opened
 	 */
 	public void start() throws IOException {
@@ -148,13 +150,13 @@
 		this.keys.start();
 		this.log.record(MeshEvent.STARTED, "service", this.settings.backend().service(), "failure_domain",
 				this.settings.failureDomain());
-		recordProcessorTimesLater();
+		scheduleProcessorTimes();
 	}
 
-	private void recordProcessorTimesLater() {
-		this.reactor.delay(PROCESSOR_TIMES_EVERY, () -> {
+	private void scheduleProcessorTimes() {
+		this.reactor.delay(PROCESSOR_TIMES_INTERVAL, () -> {
 			recordProcessorTimes();
-			recordProcessorTimesLater();
+			scheduleProcessorTimes();
 		});
 	}
 
@@ -170,51 +172,55 @@
 
 	private boolean ready() {
 		RoutingConfig inForce = this.config.get();
-		return !this.leaving && inForce.isKnown() && this.directory.isLoaded();
+		return !this.stopping && inForce.isKnown() && this.directory.isLoaded();
 	}
 
 	/**
-	 * Logs that the settings were read again.
-	 * @param outcome what came of it
+	 * Logs that the settings were reloaded.
+	 * @param outcome the result
 	 */
 	public void onSettingsReloaded(String outcome) {
 		this.log.record(MeshEvent.RELOADED, "outcome", outcome);
 	}
 
 	/**
-	 * Sends callers and other daemons elsewhere, answers what is asked for until nothing
-	 * is left, and then says so.
-	 * @param ended called once nothing is in flight any more
+	 * Stops gracefully: sends callers and other daemons elsewhere, serves the requests
+	 * that still arrive or are in flight, at most for the grace period, and closes all
+	 * ports.
+	 * @param onStopped called once no request is in flight, or the grace period is over,
+	 * and all ports are closed
 	 */
-	public void stop(Runnable ended) {
-		this.leaving = true;
-		this.leavingSinceNanos = System.nanoTime();
+	public void stop(Runnable onStopped) {
+		this.stopping = true;
+		this.stoppingSinceNanos = System.nanoTime();
 		this.log.record(MeshEvent.STOPPING, "open", this.entry.openRequests(), "gate", this.gate.load());
 		this.callers.leave();
 		this.hops.leave();
-		this.reactor.delay(OPEN_ON, () -> {
+		this.reactor.delay(ACCEPT_WHILE_STOPPING, () -> {
 			this.callers.refuseNew();
 			this.gate.stop();
 			this.hops.stop();
-			whenIdle(ended);
+			finishWhenIdle(onStopped);
 		});
 	}
 
-	private void whenIdle(Runnable ended) {
+	private void finishWhenIdle(Runnable onStopped) {
 		boolean closed = this.callers.closeIdle();
-		boolean told = System.nanoTime() - this.leavingSinceNanos >= OPEN_ON.plus(TOLD_AFTER).toNanos();
-		long left = this.settings.bounds().gracePeriod().toNanos() - (System.nanoTime() - this.leavingSinceNanos);
-		if (closed && told && this.gate.idle() || left <= 0) {
+		boolean othersKnow = System.nanoTime() - this.stoppingSinceNanos >= ACCEPT_WHILE_STOPPING.plus(NOTICE_DELAY)
+			.toNanos();
+		long leftNanos = this.settings.bounds().gracePeriod().toNanos() - (System.nanoTime() - this.stoppingSinceNanos);
+		if (closed && othersKnow && this.gate.idle() || leftNanos <= 0) {
 			recordProcessorTimes();
 			this.log.record(MeshEvent.STOPPED, "open", this.entry.openRequests(), "gate", this.gate.load());
 			this.ports.close();
 			this.hops.close();
-			// A listening port stays open until the loop has looked for events once more;
-			// told sooner, a daemon that starts in this one's place finds it in use.
-			this.reactor.delay(LOOK_AGAIN, ended::run);
+			// A listening port stays open until the event loop has polled once more. If
+			// the callback ran sooner, a daemon started in place of this one would find
+			// the port in use.
+			this.reactor.delay(IDLE_CHECK_INTERVAL, onStopped::run);
 			return;
 		}
-		this.reactor.delay(LOOK_AGAIN, () -> whenIdle(ended));
+		this.reactor.delay(IDLE_CHECK_INTERVAL, () -> finishWhenIdle(onStopped));
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/ProcessorTimes.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/ProcessorTimes.java
@@ -11,87 +11,88 @@
 import java.util.stream.Stream;
 
 /**
- * The processor time of this process since its start, by what its threads are for, as the
- * Linux kernel counts it. The virtual machine's own threads are among them, which its
- * management interface does not show. Stateless.
+ * Processor time of this process since its start, by the purpose of its threads, as
+ * counted by the Linux kernel. This includes the virtual machine's own threads, which its
+ * management interface does not show. Stateless and thread-safe.
  */
 final class ProcessorTimes {
 
-	private static final Path THREADS = Path.of("/proc/self/task");
+	private static final Path TASK_DIRECTORY = Path.of("/proc/self/task");
 
 	private final Path threads;
 
 	ProcessorTimes() {
-		this(THREADS);
+		this(TASK_DIRECTORY);
 	}
 
 	/**
-	 * Reads threads from elsewhere.
-	 * @param threads a folder laid out like {@code /proc/self/task}
+	 * Creates an instance that reads another directory.
+	 * @param threads a directory laid out like {@code /proc/self/task}
 	 */
 	ProcessorTimes(Path threads) {
 		this.threads = threads;
 	}
 
 	/**
-	 * Reads the times.
-	 * @return the time by purpose; zero where the kernel shows none
+	 * Reads the processor times.
+	 * @return the time for each purpose; zero where the kernel provides none
 	 */
 	Map<Purpose, Duration> read() {
 		Map<Purpose, Duration> times = new EnumMap<>(Purpose.class);
 		Arrays.stream(Purpose.values()).forEach((purpose) -> times.put(purpose, Duration.ZERO));
-		folders().forEach((thread) -> times.merge(purpose(thread), time(thread), Duration::plus));
+		threadDirectories().forEach((thread) -> times.merge(purpose(thread), time(thread), Duration::plus));
 		return times;
 	}
 
-	private List<Path> folders() {
+	private List<Path> threadDirectories() {
 		try (Stream<Path> found = Files.list(this.threads)) {
 			return found.toList();
 		}
 		catch (IOException ex) {
-			// Other systems than Linux show no threads.
+			// Only Linux has this directory.
 			return List.of();
 		}
 	}
 
 	private static Purpose purpose(Path thread) {
-		String name = text(thread.resolve("comm"));
+		String name = readFile(thread.resolve("comm"));
 		return Arrays.stream(Purpose.values())
 			.filter((purpose) -> purpose.prefixes.stream().anyMatch(name::startsWith))
 			.findFirst()
 			.orElse(Purpose.OTHER);
 	}
 
-	// The first of the numbers is the time on a processor in nanoseconds.
+	// The first number is the time spent on a processor, nanoseconds.
 	private static Duration time(Path thread) {
-		String times = text(thread.resolve("schedstat"));
+		String times = readFile(thread.resolve("schedstat"));
 		return times.isEmpty() ? Duration.ZERO : Duration.ofNanos(Long.parseLong(times.split(" ")[0]));
 	}
 
-	private static String text(Path file) {
+	private static String readFile(Path file) {
 		try {
 			return Files.readString(file).strip();
 		}
 		catch (IOException ex) {
-			// The thread has ended since the folder was listed.
+			// The thread has ended since the directory was listed.
 			return "";
 		}
 	}
 
 	/**
-	 * What a thread is for. The kernel keeps the first 15 characters of a thread's name.
+	 * Purpose of a thread, identified by a prefix of its name. The kernel keeps the first
+	 * 15 characters of a thread's name.
 	 */
 	enum Purpose {
 
-		/** The loop that handles requests, heartbeats and everything between daemons. */
+		/** Event loop that handles requests, heartbeats and messages between daemons. */
 		REQUESTS("requests"),
-		/** Compiles bytecode. */
+		/** Just-in-time compilation. */
 		COMPILER("C1 ", "C2 "),
-		/** Collects garbage, among other operations of the virtual machine. */
+		/** Garbage collection and other operations of the virtual machine. */
 		COLLECTOR("VM ", "GC "),
-		/** Writes log lines. */
+		/** Log appender. */
 		LOGGING("AsyncAppender"),
-		/** The start of the process, and what has no kind of its own. */
+		/** All other threads, and the start of the process. */
 		OTHER;
 
 		private final List<String> prefixes;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/package-info.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A daemon of a mesh: entry for the callers on its instance, gate to the backend server
- * beside it, and keeper of the keys which that holds.
+ * A daemon of the mesh: accepts requests of the callers on its instance, controls
+ * admission to the local backend server, and manages the keys which that server holds.
  */
 @NullMarked
 package org.brasspier.daemon.internal.mesh;
