--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopClientTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopClientTests.java
@@ -62,37 +62,40 @@
 	}
 
 	/**
-	 * An instance is lost while requests are on their way to it: its connections stay
-	 * open and nothing comes. Each request that came in the next 400 ms was sent after
-	 * them and held as long, though two pings had gone unanswered by half that time.
+	 * Guards against requests sent to a lost instance. Its connections stay open but
+	 * nothing is received on them; requests were sent there, and held up, for the full
+	 * 400 ms until the connection was closed, although two pings were unanswered after
+	 * half that time.
 	 */
 	@Test
-	void anInstanceThatIsNotHeardIsAvoidedBeforeItsConnectionIsGivenUp() throws Exception {
+	void aSilentInstanceIsAvoidedBeforeItsConnectionIsClosed() throws Exception {
 		try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			HopClient client = client();
 			Member member = new Member(OTHER, (InetSocketAddress) silent.getLocalSocketAddress(),
 					new FailureDomain("z"), new ServiceName("keyed"), Optional.empty(), 1, true);
 			CompletableFuture<Boolean> avoidedWhileOpen = new CompletableFuture<>();
 			this.loop.keepAlive(true);
-			// Open connections keep the loop running; its thread ends with the tests.
+			// Open connections keep the event loop running; its daemon thread ends with
+			// the JVM.
 			Thread.ofPlatform().daemon().start(this.loop);
 			this.loop.execute(() -> {
 				Predicate<InstanceId> avoided = (instance) -> client.shouldAvoid(instance, System.nanoTime());
 				client.requestPromise(member, new InstanceId("self"), 1)
 					.whenResult(() -> avoidedWhileOpen.complete(false));
-				look(avoided, avoidedWhileOpen);
+				pollUntil(avoided, avoidedWhileOpen);
 			});
 			assertThat(avoidedWhileOpen.get(30, TimeUnit.SECONDS)).isTrue();
 		}
 	}
 
 	/**
-	 * A daemon is stopped as planned and started again. It had told the others that it
-	 * leaves, and they took it for leaving for as long as they ran: its backend server
-	 * rested while the others of its service refused a third of the lookups.
+	 * Guards against a daemon that gets no requests after a planned restart. It had
+	 * announced that it was leaving, and the others remembered that for as long as they
+	 * ran: its backend server stayed idle while the others of its service rejected a
+	 * third of the lookups.
 	 */
 	@Test
-	void aDaemonThatLeftAndIsBackIsNoLongerAvoided() throws Exception {
+	void aRestartedDaemonIsNoLongerAvoided() throws Exception {
 		try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			CompletableFuture.runAsync(() -> sayLeavingAndClose(server));
 			HopClient client = client();
@@ -101,11 +104,12 @@
 			CompletableFuture<Boolean> avoidedAtFirst = new CompletableFuture<>();
 			CompletableFuture<Boolean> noLonger = new CompletableFuture<>();
 			this.loop.keepAlive(true);
-			// Open connections keep the loop running; its thread ends with the tests.
+			// Open connections keep the event loop running; its daemon thread ends with
+			// the JVM.
 			Thread.ofPlatform().daemon().start(this.loop);
 			this.loop.execute(() -> client.requestPromise(member, new InstanceId("self"), 1).whenResult(() -> {
 				avoidedAtFirst.complete(client.shouldAvoid(OTHER, System.nanoTime()));
-				look((instance) -> !client.shouldAvoid(instance, System.nanoTime()), noLonger);
+				pollUntil((instance) -> !client.shouldAvoid(instance, System.nanoTime()), noLonger);
 			}));
 			assertThat(avoidedAtFirst.get(30, TimeUnit.SECONDS)).isTrue();
 			assertThat(noLonger.get(30, TimeUnit.SECONDS)).isTrue();
@@ -113,34 +117,34 @@
 	}
 
 	/**
-	 * A machine stands still for twelve seconds. It takes connections and never answers,
-	 * and each half second some fifty requests were sent on a new one and lost. Its
-	 * daemon gets nothing until it has answered a connection without a request.
+	 * Guards against requests lost on a frozen machine. It accepts connections for twelve
+	 * seconds and never answers; every half second some fifty requests were sent on a new
+	 * connection and lost. Its daemon must get no requests until it has answered a probe.
 	 */
 	@Test
-	void aLostDaemonGetsNothingUntilItHasAnswered() throws Exception {
+	void aLostDaemonIsAvoidedUntilItAnswersAProbe() throws Exception {
 		try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
 			AtomicInteger silent = new AtomicInteger();
-			CompletableFuture.runAsync(() -> standStillFor(server, 3, silent));
+			CompletableFuture.runAsync(() -> staySilentFor(server, 3, silent));
 			HopClient client = client();
 			Member member = new Member(OTHER, (InetSocketAddress) server.getLocalSocketAddress(),
 					new FailureDomain("z"), new ServiceName("keyed"), Optional.empty(), 1, true);
 			CompletableFuture<Integer> silentBefore = new CompletableFuture<>();
-			CompletableFuture<Boolean> back = new CompletableFuture<>();
+			CompletableFuture<Boolean> available = new CompletableFuture<>();
 			this.loop.keepAlive(true);
-			// Open connections keep the loop running; its thread ends with the tests.
+			// Open connections keep the event loop running; its daemon thread ends with
+			// the JVM.
 			Thread.ofPlatform().daemon().start(this.loop);
 			this.loop.execute(() -> client.requestPromise(member, new InstanceId("self"), 1).whenResult(() -> {
-				back.thenRun(() -> silentBefore.complete(silent.get()));
-				look((instance) -> !client.shouldAvoid(instance, System.nanoTime()), back);
+				available.thenRun(() -> silentBefore.complete(silent.get()));
+				pollUntil((instance) -> !client.shouldAvoid(instance, System.nanoTime()), available);
 			}));
 			assertThat(silentBefore.get(30, TimeUnit.SECONDS)).isEqualTo(3);
 		}
 	}
 
-	// Guards against a request that is sent after its deadline: the time that passed
-	// while
-	// its connection opened was not taken off what it had left.
+	// Guards against a request that is sent after its deadline: the time spent opening
+	// the connection was not subtracted from its remaining time.
 	@Test
 	void aRequestWhoseConnectionOpensAfterItsDeadlineIsNotSent() throws Exception {
 		try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -149,15 +153,15 @@
 					new FailureDomain("z"), new ServiceName("keyed"), Optional.empty(), 1, true);
 			MeshRequest request = new MeshRequest("r-1", "host", "GET", "/", List.of(), new byte[0], 1,
 					OptionalInt.empty());
-			HopRequest ask = new HopRequest(member.service(), member.service(), RequestClass.LOOKUP, true, false, true,
-					request);
+			HopRequest hopRequest = new HopRequest(member.service(), member.service(), RequestClass.LOOKUP, true, false,
+					true, request);
 			CompletableFuture<SendOutcome> outcome = new CompletableFuture<>();
 			this.loop.keepAlive(true);
 			Thread.ofPlatform().daemon().start(this.loop);
 			this.loop.execute(() -> {
-				long asked = System.nanoTime();
-				client.send(member, ask, new Cancellation()).whenResult(outcome::complete);
-				while (System.nanoTime() - asked < TimeUnit.MILLISECONDS.toNanos(5)) {
+				long startNanos = System.nanoTime();
+				client.send(member, hopRequest, new Cancellation()).whenResult(outcome::complete);
+				while (System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(5)) {
 					Thread.onSpinWait();
 				}
 			});
@@ -165,8 +169,8 @@
 		}
 	}
 
-	// Takes some connections without a word until they are closed, then answers one.
-	private static void standStillFor(ServerSocket server, int connections, AtomicInteger silent) {
+	// Accepts some connections and sends nothing until they are closed, then answers one.
+	private static void staySilentFor(ServerSocket server, int connections, AtomicInteger silent) {
 		try {
 			while (silent.get() < connections) {
 				try (Socket socket = server.accept()) {
@@ -196,12 +200,12 @@
 		}
 	}
 
-	private void look(Predicate<InstanceId> avoided, CompletableFuture<Boolean> found) {
-		if (avoided.test(OTHER)) {
-			found.complete(true);
+	private void pollUntil(Predicate<InstanceId> condition, CompletableFuture<Boolean> result) {
+		if (condition.test(OTHER)) {
+			result.complete(true);
 		}
-		else if (!found.isDone()) {
-			this.loop.delay(5L, () -> look(avoided, found));
+		else if (!result.isDone()) {
+			this.loop.delay(5L, () -> pollUntil(condition, result));
 		}
 	}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopCodecTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopCodecTests.java
@@ -24,60 +24,60 @@
 
 	private static final int LENGTH_BYTES = 4;
 
-	private static byte[] asked(boolean mayWait) {
+	private static byte[] encodedRequest(boolean mayQueue) {
 		MeshRequest request = new MeshRequest("r-1", "host", "GET", "/", List.of(), new byte[] { 1 }, 500,
 				OptionalInt.empty());
-		HopRequest ask = new HopRequest(new ServiceName("s"), new ServiceName("t"), RequestClass.LOOKUP, true, false,
-				mayWait, request);
-		return HopCodec.encode(new HopMessage.ForwardedRequest(1, 2, ask));
+		HopRequest hopRequest = new HopRequest(new ServiceName("s"), new ServiceName("t"), RequestClass.LOOKUP, true,
+				false, mayQueue, request);
+		return HopCodec.encode(new HopMessage.ForwardedRequest(1, 2, hopRequest));
 	}
 
-	private static boolean mayWait(byte[] frame) throws WireException {
+	private static boolean decodedMayQueue(byte[] frame) throws WireException {
 		HopMessage message = HopCodec.decode(new FrameDecoder(1000).accept(frame).getFirst());
 		return ((HopMessage.ForwardedRequest) message).request().mayQueue();
 	}
 
 	@Test
-	void aRequestSaysWhetherItMayWait() throws WireException {
-		assertThat(mayWait(asked(true))).isTrue();
-		assertThat(mayWait(asked(false))).isFalse();
+	void mayQueueIsEncodedAndDecoded() throws WireException {
+		assertThat(decodedMayQueue(encodedRequest(true))).isTrue();
+		assertThat(decodedMayQueue(encodedRequest(false))).isFalse();
 	}
 
-	// Guards against requests of daemons of an earlier build that can't be read, or are
-	// turned away where they would have waited.
+	// Guards against requests of daemons of an earlier build that can't be decoded, or
+	// are rejected instead of queued.
 	@Test
-	void aRequestThatDoesNotSayMayWait() throws WireException {
-		byte[] frame = asked(false);
+	void aRequestOfAnEarlierBuildMayBeQueued() throws WireException {
+		byte[] frame = encodedRequest(false);
 		byte[] earlier = Arrays.copyOf(frame, frame.length - 1);
 		earlier[LENGTH_BYTES - 1]--;
-		assertThat(mayWait(earlier)).isTrue();
+		assertThat(decodedMayQueue(earlier)).isTrue();
 	}
 
-	private static HopMessage read(byte[] frame) throws WireException {
+	private static HopMessage decode(byte[] frame) throws WireException {
 		return HopCodec.decode(new FrameDecoder(100_000).accept(frame).getFirst());
 	}
 
 	@Test
-	void whatIsKnownOfCrashesIsReadAsItWasWritten() throws WireException {
+	void aCrashUpdateIsDecodedAsItWasEncoded() throws WireException {
 		CrashReport report = new CrashReport(new BackendIncarnation("server", 7), Set.of(1L, -2L));
-		HopMessage told = new HopMessage.CrashUpdate(new InstanceId("a"),
+		HopMessage update = new HopMessage.CrashUpdate(new InstanceId("a"),
 				new CrashState(List.of(report), Set.of(Long.MIN_VALUE)));
-		assertThat(read(HopCodec.encode(told))).isEqualTo(told);
+		assertThat(decode(HopCodec.encode(update))).isEqualTo(update);
 	}
 
 	@Test
-	void aCompressedMessageIsReadAsItWasWritten() throws WireException {
-		HopMessage known = new HopMessage.VersionsNotice(new KnownRows(3, 4));
-		assertThat(read(HopCodec.encodeCompressed(known))).isEqualTo(known);
+	void aCompressedMessageIsDecodedAsItWasEncoded() throws WireException {
+		HopMessage notice = new HopMessage.VersionsNotice(new KnownRows(3, 4));
+		assertThat(decode(HopCodec.encodeCompressed(notice))).isEqualTo(notice);
 	}
 
-	// Guards against large messages in pieces to daemons of an earlier build, which take
-	// them for damaged ones and close the connection.
+	// Guards against sending large messages in pieces to daemons of an earlier build,
+	// which treat the pieces as corrupt and close the connection.
 	@Test
-	void aPingThatSaysNothingOfPiecesIsOfADaemonThatTakesNone() throws WireException {
+	void aPingOfAnEarlierBuildMeansThatPiecesAreNotAccepted() throws WireException {
 		byte[] earlier = new FrameWriter().number(6).frame();
-		assertThat(read(earlier)).isEqualTo(new HopMessage.Ping(false));
-		assertThat(read(HopCodec.encode(new HopMessage.Ping()))).isEqualTo(new HopMessage.Ping(true));
+		assertThat(decode(earlier)).isEqualTo(new HopMessage.Ping(false));
+		assertThat(decode(HopCodec.encode(new HopMessage.Ping()))).isEqualTo(new HopMessage.Ping(true));
 	}
 
 }
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopServerStandIn.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopServerStandIn.java
@@ -17,12 +17,12 @@
 import org.brasspier.wire.WireException;
 
 /**
- * The side of a daemon that takes requests of others, with answers of the test, on a
- * thread of its own.
+ * Server side of a daemon for tests: answers the messages of other daemons with those
+ * that a test supplies. Runs its own event loop on a thread of its own.
  */
 final class HopServerStandIn implements AutoCloseable {
 
-	private static final SocketSettings FEW_BYTES_UNSENT = SocketSettings.builder()
+	private static final SocketSettings SMALL_SEND_BUFFER = SocketSettings.builder()
 		.withTcpNoDelay(true)
 		.withSendBufferSize(MemSize.kilobytes(32))
 		.build();
@@ -37,7 +37,7 @@
 		this.answers = answers;
 		this.server = SimpleServer.builder(this.loop, this::accept)
 			.withListenAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
-			.withSocketSettings(FEW_BYTES_UNSENT)
+			.withSocketSettings(SMALL_SEND_BUFFER)
 			.build();
 		this.server.listen();
 		this.loop.keepAlive(true);
@@ -56,11 +56,11 @@
 	}
 
 	private void answer(HopSender sender, FrameReader frame) throws WireException {
-		HopMessage asked = HopCodec.decode(frame);
-		if (asked instanceof HopMessage.Ping(boolean takesPieces)) {
-			sender.peerAcceptsPieces(takesPieces);
+		HopMessage received = HopCodec.decode(frame);
+		if (received instanceof HopMessage.Ping(boolean acceptsPieces)) {
+			sender.peerAcceptsPieces(acceptsPieces);
 		}
-		this.answers.apply(asked).forEach(sender::send);
+		this.answers.apply(received).forEach(sender::send);
 	}
 
 	@Override
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/LowBandwidthLinkTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/LowBandwidthLinkTests.java
@@ -32,13 +32,13 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Large messages between two daemons whose network carries ten megabits a second.
+ * Tests of large messages between two daemons over a network of 10 Mbit/s.
  */
 class LowBandwidthLinkTests {
 
 	private static final int MEGABITS = 10;
 
-	/** Takes three times as long as a link may be silent. */
+	/** Takes three times as long to send as a connection may be silent. */
 	private static final int LARGE_BYTES = 1_500_000;
 
 	private static final InstanceId SELF = new InstanceId("self");
@@ -75,62 +75,63 @@
 				new HopMessage.RowsResponse(List.of(row), List.of()));
 	}
 
-	// Answers each request at once, and whoever follows with the large row.
+	// Answers each request at once, and each follow request with the large row.
 	private static List<HopMessage> answers(HopMessage message) {
 		return switch (message) {
 			case HopMessage.FollowRequest ignored -> List.of(largeRow());
-			case HopMessage.ForwardedRequest asked -> List.of(new HopMessage.ForwardedResponse(asked.exchange(),
-					new SendOutcome.NotRun(Failure.of(ErrorKind.OVERLOADED, "none runs here"), false)));
+			case HopMessage.ForwardedRequest sent -> List.of(new HopMessage.ForwardedResponse(sent.exchange(),
+					new SendOutcome.NotRun(Failure.of(ErrorKind.OVERLOADED, "no backend server in this test"), false)));
 			case HopMessage.Ping ignored -> List.of(new HopMessage.Pong());
 			default -> List.of();
 		};
 	}
 
-	private void keepAsking(HopClient client, Member member, CompletableFuture<?> until, List<Integer> asked) {
+	private void keepSendingRequests(HopClient client, Member member, CompletableFuture<?> until, List<Integer> sent) {
 		if (until.isDone()) {
 			return;
 		}
-		asked.add(asked.size());
-		client.send(member, request(member, "r-" + asked.size(), new byte[0]), new Cancellation())
+		sent.add(sent.size());
+		client.send(member, request(member, "r-" + sent.size(), new byte[0]), new Cancellation())
 			.whenResult(this.outcomes::add);
-		this.loop.delay(20L, () -> keepAsking(client, member, until, asked));
+		this.loop.delay(20L, () -> keepSendingRequests(client, member, until, sent));
 	}
 
 	/**
-	 * Guards against a connection that is closed as silent in the middle of a large row:
-	 * all requests on it failed, and the row was sent from its beginning again.
+	 * Guards against a connection that is closed as silent while a large row is being
+	 * received: all requests on it failed, and the row was sent from its beginning again.
 	 */
 	@Test
-	void requestsAreAnsweredWhileALargeRowIsOnItsWay() throws Exception {
+	void requestsAreAnsweredWhileALargeRowIsReceived() throws Exception {
 		try (HopServerStandIn server = new HopServerStandIn(LowBandwidthLinkTests::answers);
 				LowBandwidthNetwork network = new LowBandwidthNetwork(server.address(), MEGABITS)) {
 			HopClient client = client(this.loop);
 			Member member = member(network.address());
-			CompletableFuture<Boolean> came = new CompletableFuture<>();
+			CompletableFuture<Boolean> rowReceived = new CompletableFuture<>();
 			CompletableFuture<Integer> answeredBefore = new CompletableFuture<>();
-			List<Integer> asked = new ArrayList<>();
+			List<Integer> sent = new ArrayList<>();
 			this.loop.keepAlive(true);
 			Thread.ofPlatform().daemon().start(this.loop);
 			this.loop.execute(() -> {
 				client.follow(member, new HopMessage.FollowRequest(new KnownRows(0, 0), false), (passed) -> {
 				}).whenResult((answer) -> {
 					answeredBefore.complete(this.outcomes.size());
-					came.complete(answer.isPresent());
+					rowReceived.complete(answer.isPresent());
 				});
-				keepAsking(client, member, came, asked);
+				keepSendingRequests(client, member, rowReceived, sent);
 			});
-			assertThat(came.get(60, TimeUnit.SECONDS)).isTrue();
+			assertThat(rowReceived.get(60, TimeUnit.SECONDS)).isTrue();
 			assertThat(answeredBefore.get()).isGreaterThan(0);
 			assertThat(this.outcomes.stream().filter(SendOutcome.Unknown.class::isInstance).toList()).isEmpty();
 		}
 	}
 
 	/**
-	 * Guards against a request whose body takes longer to send than a link may be silent:
-	 * nothing comes back before it is whole, and all requests on the link failed.
+	 * Guards against a request whose body takes longer to send than a connection may be
+	 * silent: no answer comes before the request is complete, and all requests on the
+	 * connection failed.
 	 */
 	@Test
-	void aRequestWithALargeBodyIsAnsweredOnANarrowLink() throws Exception {
+	void aRequestWithALargeBodyIsAnsweredAtLowBandwidth() throws Exception {
 		try (HopServerStandIn server = new HopServerStandIn(LowBandwidthLinkTests::answers);
 				LowBandwidthNetwork network = new LowBandwidthNetwork(server.address(), MEGABITS)) {
 			HopClient client = client(this.loop);
@@ -141,7 +142,7 @@
 			this.loop.execute(() -> {
 				client.send(member, request(member, "large", large()), new Cancellation())
 					.whenResult(outcome::complete);
-				keepAsking(client, member, outcome, new ArrayList<>());
+				keepSendingRequests(client, member, outcome, new ArrayList<>());
 			});
 			assertThat(outcome.get(60, TimeUnit.SECONDS)).isInstanceOf(SendOutcome.NotRun.class);
 			assertThat(this.outcomes.stream().filter(SendOutcome.Unknown.class::isInstance).toList()).isEmpty();
@@ -150,22 +151,23 @@
 	}
 
 	/**
-	 * Guards against a link that takes a message in the middle for a sign of life for
-	 * good: the other side stops in it and nothing comes any more.
+	 * Guards against a connection that is never closed because part of a message was
+	 * received: the other side stops in the middle of a message, and nothing more
+	 * arrives.
 	 */
 	@Test
-	void aLinkThatFallsSilentInTheMiddleOfAMessageIsClosed() throws Exception {
+	void aConnectionThatGoesSilentInTheMiddleOfAMessageIsClosed() throws Exception {
 		try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
 			CompletableFuture.runAsync(() -> sendHalf(server));
 			HopClient client = client(this.loop);
 			Member member = member((InetSocketAddress) server.getLocalSocketAddress());
-			CompletableFuture<Boolean> came = new CompletableFuture<>();
+			CompletableFuture<Boolean> rowReceived = new CompletableFuture<>();
 			this.loop.keepAlive(true);
 			Thread.ofPlatform().daemon().start(this.loop);
 			this.loop.execute(
 					() -> client.follow(member, new HopMessage.FollowRequest(new KnownRows(0, 0), false), (passed) -> {
-					}).whenResult((answer) -> came.complete(answer.isPresent())));
-			assertThat(came.get(30, TimeUnit.SECONDS)).isFalse();
+					}).whenResult((answer) -> rowReceived.complete(answer.isPresent())));
+			assertThat(rowReceived.get(30, TimeUnit.SECONDS)).isFalse();
 		}
 	}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/LowBandwidthNetwork.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/LowBandwidthNetwork.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A network on loopback that carries few bytes a second in each direction and keeps few
- * of them on the way, so that a sender soon waits for its receiver.
+ * A proxy on the loopback interface that limits the bandwidth of each direction and
+ * buffers little, so that a sender soon waits for its receiver.
  */
 public final class LowBandwidthNetwork implements AutoCloseable {
 
@@ -23,17 +23,17 @@
 
 	private final InetSocketAddress target;
 
-	private final int bytesInStep;
+	private final int bytesPerStep;
 
 	/**
-	 * Begins to carry connections.
-	 * @param target where they lead
-	 * @param megabits what each direction of one carries, in megabits a second
-	 * @throws IOException if it can't listen
+	 * Starts to accept connections.
+	 * @param target the address to which connections are forwarded
+	 * @param megabits bandwidth of each direction of a connection, Mbit/s
+	 * @throws IOException if no port can be opened
 	 */
 	public LowBandwidthNetwork(InetSocketAddress target, int megabits) throws IOException {
 		this.target = target;
-		this.bytesInStep = megabits * 1_000 / 8 * STEP_MILLIS;
+		this.bytesPerStep = megabits * 1_000 / 8 * STEP_MILLIS;
 		this.listening = new ServerSocket();
 		this.listening.setReceiveBufferSize(BUFFER_BYTES);
 		this.listening.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 8);
@@ -41,7 +41,7 @@
 	}
 
 	/**
-	 * Where it takes connections.
+	 * Returns the address at which connections are accepted.
 	 * @return the address
 	 */
 	public InetSocketAddress address() {
@@ -55,27 +55,27 @@
 				Socket far = new Socket();
 				far.setReceiveBufferSize(BUFFER_BYTES);
 				far.connect(this.target);
-				Thread.ofPlatform().daemon().start(() -> carry(near, far));
-				Thread.ofPlatform().daemon().start(() -> carry(far, near));
+				Thread.ofPlatform().daemon().start(() -> copy(near, far));
+				Thread.ofPlatform().daemon().start(() -> copy(far, near));
 			}
 		}
 		catch (IOException ex) {
-			// It was closed.
+			// The proxy was closed.
 		}
 	}
 
-	private void carry(Socket from, Socket to) {
+	private void copy(Socket from, Socket to) {
 		try (from; to) {
 			InputStream in = from.getInputStream();
 			OutputStream out = to.getOutputStream();
-			byte[] step = new byte[this.bytesInStep];
+			byte[] step = new byte[this.bytesPerStep];
 			for (int read = in.read(step); read >= 0; read = in.read(step)) {
 				out.write(step, 0, read);
-				TimeUnit.MICROSECONDS.sleep(STEP_MILLIS * 1000L * read / this.bytesInStep);
+				TimeUnit.MICROSECONDS.sleep(STEP_MILLIS * 1000L * read / this.bytesPerStep);
 			}
 		}
 		catch (IOException | InterruptedException ex) {
-			// One side is gone.
+			// One side has closed the connection.
 		}
 	}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/MeshEventCatalogTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/MeshEventCatalogTests.java
@@ -16,7 +16,7 @@
 	private static final Pattern ROW = Pattern.compile("\\| ([0-9]{4}) \\| ([A-Z_]+) \\|.*");
 
 	@Test
-	void thePageListsTheEventsOfTheCode() throws IOException {
+	void operationsPageListsAllEvents() throws IOException {
 		List<String> documented = Files.readAllLines(Path.of("../docs/OPERATIONS.md"))
 			.stream()
 			.map(ROW::matcher)
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/ProcessorTimesTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/ProcessorTimesTests.java
@@ -23,7 +23,7 @@
 	}
 
 	@Test
-	void timesOfThreadsOfOnePurposeAreAdded() throws IOException {
+	void timesOfThreadsOfOnePurposeAreSummed() throws IOException {
 		thread("10", "requests", "3000000 5 7");
 		thread("11", "C1 CompilerThre", "2000000 5 7");
 		thread("12", "C2 CompilerThre", "1000000 5 7");
@@ -36,14 +36,14 @@
 	}
 
 	@Test
-	void aThreadThatEndsWhileItIsReadCountsNothing() throws IOException {
+	void aThreadThatEndsWhileItIsReadIsNotCounted() throws IOException {
 		Files.createDirectory(this.threads.resolve("10"));
 		assertThat(new ProcessorTimes(this.threads).read().values()).containsExactly(Duration.ZERO, Duration.ZERO,
 				Duration.ZERO, Duration.ZERO, Duration.ZERO);
 	}
 
 	@Test
-	void systemsThatShowNoThreadsCountNothing() {
+	void systemsWithoutProcCountNothing() {
 		assertThat(new ProcessorTimes(this.threads.resolve("absent")).read().values()).containsExactly(Duration.ZERO,
 				Duration.ZERO, Duration.ZERO, Duration.ZERO, Duration.ZERO);
 	}
