--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/BackendGate.java
@@ -185,7 +185,7 @@
 	/**
 	 * Rejects all new requests, because this process is about to end. Otherwise a daemon
 	 * to which others still send requests would never become idle, and the last requests
-	 * that it accepted would be cut off at the end of the grace period while the server
+	 * that it accepted would be cut off at the end of the stop timeout while the server
 	 * was running them.
 	 */
 	void stop() {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshEvent.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshEvent.java
@@ -10,7 +10,7 @@
 	STARTED(1001),
 	/** A graceful stop has begun. */
 	STOPPING(1002),
-	/** The daemon has stopped; no request is in flight, or the grace period is over. */
+	/** The daemon has stopped; no request is in flight, or the stop timeout is over. */
 	STOPPED(1003),
 	/** The settings were reloaded. */
 	RELOADED(1004),
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshNode.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/MeshNode.java
@@ -185,9 +185,9 @@
 
 	/**
 	 * Stops gracefully: sends callers and other daemons elsewhere, serves the requests
-	 * that still arrive or are in flight, at most for the grace period, and closes all
+	 * that still arrive or are in flight, at most for the stop timeout, and closes all
 	 * ports.
-	 * @param onStopped called once no request is in flight, or the grace period is over,
+	 * @param onStopped called once no request is in flight, or the stop timeout is over,
 	 * and all ports are closed
 	 */
 	public void stop(Runnable onStopped) {
@@ -208,7 +208,7 @@
 		boolean closed = this.callers.closeIdle();
 		boolean othersKnow = System.nanoTime() - this.stoppingSinceNanos >= ACCEPT_WHILE_STOPPING.plus(NOTICE_DELAY)
 			.toNanos();
-		long leftNanos = this.settings.bounds().gracePeriod().toNanos() - (System.nanoTime() - this.stoppingSinceNanos);
+		long leftNanos = this.settings.bounds().stopTimeout().toNanos() - (System.nanoTime() - this.stoppingSinceNanos);
 		if (closed && othersKnow && this.gate.idle() || leftNanos <= 0) {
 			recordProcessorTimes();
 			this.log.record(MeshEvent.STOPPED, "open", this.entry.openRequests(), "gate", this.gate.load());
