--- a/core/src/main/java/org/brasspier/core/ownership/Guards.java
+++ b/core/src/main/java/org/brasspier/core/ownership/EnabledGuards.java
@@ -8,11 +8,11 @@
  *
  * @param off those that are off
  */
-record Guards(Set<Guard> off) {
+record EnabledGuards(Set<Guard> off) {
 
-	static final Guards ALL_ON = new Guards(Set.of());
+	static final EnabledGuards ALL_ON = new EnabledGuards(Set.of());
 
-	Guards {
+	EnabledGuards {
 		off = Set.copyOf(off);
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/OldPairs.java
+++ b/core/src/main/java/org/brasspier/core/ownership/FormerPairs.java
@@ -11,7 +11,7 @@
  * confirm each other. One sign that either has stopped is enough: the other's authority
  * ends with its last confirmation. Not thread-safe.
  */
-final class OldPairs {
+final class FormerPairs {
 
 	private final MemberKey self;
 
@@ -19,12 +19,12 @@
 
 	private SortedMap<Long, Long> stoppedAt = TreeMap.empty();
 
-	OldPairs(MemberKey self, Timing timing) {
+	FormerPairs(MemberKey self, Timing timing) {
 		this.self = self;
 		this.timing = timing;
 	}
 
-	void take(OldPairs other) {
+	void take(FormerPairs other) {
 		this.stoppedAt = other.stoppedAt;
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
+++ b/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
@@ -25,7 +25,7 @@
 
 	private final Timing timing;
 
-	private final Guards guards;
+	private final EnabledGuards guards;
 
 	private Optional<ManagerPair> pair = Optional.empty();
 
@@ -37,7 +37,7 @@
 
 	private Optional<MemberKey> replaced = Optional.empty();
 
-	private SortedMap<InstanceId, MemberWatch> watches = TreeMap.empty();
+	private SortedMap<InstanceId, MemberRecord> watches = TreeMap.empty();
 
 	private SortedMap<MemberKey, Revocation> revoking = TreeMap.empty();
 
@@ -45,14 +45,14 @@
 
 	private final ManagerAuthority authority;
 
-	private final OldPairs oldPairs;
+	private final FormerPairs oldPairs;
 
-	LeaseManager(MemberKey self, Timing timing, Guards guards) {
+	LeaseManager(MemberKey self, Timing timing, EnabledGuards guards) {
 		this.self = self;
 		this.timing = timing;
 		this.guards = guards;
 		this.authority = new ManagerAuthority(timing, guards);
-		this.oldPairs = new OldPairs(self, timing);
+		this.oldPairs = new FormerPairs(self, timing);
 	}
 
 	LeaseManager copy() {
@@ -111,7 +111,7 @@
 			.forEach((member) -> this.watches = this.watches.put(member.instance(),
 					this.watches.get(member.instance())
 						.filter((watch) -> watch.incarnation() == member.key().incarnation())
-						.getOrElse(() -> MemberWatch.unheard(member.key().incarnation(), now))));
+						.getOrElse(() -> MemberRecord.unheard(member.key().incarnation(), now))));
 	}
 
 	boolean active() {
@@ -138,7 +138,7 @@
 		return this.authority;
 	}
 
-	Optional<MemberWatch> watch(MemberKey key) {
+	Optional<MemberRecord> watch(MemberKey key) {
 		return this.watches.get(key.instance())
 			.filter((watch) -> watch.incarnation() == key.incarnation())
 			.toJavaOptional();
@@ -178,7 +178,7 @@
 	}
 
 	private void hear(MemberKey key, ControlMessage.Heartbeat heartbeat, CellRow row, boolean writing, long now) {
-		MemberWatch watch = watch(key).orElse(MemberWatch.unheard(key.incarnation(), now));
+		MemberRecord watch = watch(key).orElse(MemberRecord.unheard(key.incarnation(), now));
 		if (watch(key).isPresent() || row.has(key)) {
 			long bound = now + drift(heartbeat.leaseLeft());
 			this.watches = this.watches.put(key.instance(), watch.heard(now, heartbeat.epoch(), bound));
@@ -222,7 +222,7 @@
 	// Negative once it has run out: a guard counts from then, and if each answer said
 	// "just now", it would never be over.
 	private long leaseLeft(MemberKey member, long now) {
-		return Math.max(watch(member).map(MemberWatch::leaseBound).orElse(this.since), this.since) - now;
+		return Math.max(watch(member).map(MemberRecord::leaseBound).orElse(this.since), this.since) - now;
 	}
 
 	private boolean neverHeard(MemberKey member) {
@@ -230,7 +230,7 @@
 	}
 
 	boolean silent(MemberKey member, long now) {
-		return watch(member).filter((watch) -> now - watch.heardAt() <= this.timing.memberSilence()).isEmpty();
+		return watch(member).filter((watch) -> now - watch.lastHeartbeatAt() <= this.timing.memberSilence()).isEmpty();
 	}
 
 	/**
@@ -317,7 +317,7 @@
 
 	// Whether no lease manager of an earlier epoch can still be renewing a member.
 	private boolean noOldRenewals(MemberKey member, CellRow row, long now) {
-		long acked = watch(member).map(MemberWatch::ackedEpoch).orElse(0L);
+		long acked = watch(member).map(MemberRecord::ackedEpoch).orElse(0L);
 		if (acked >= epoch() || !this.guards.on(Guard.OLD_AUTHORITY_ENDS)) {
 			return true;
 		}
@@ -328,7 +328,7 @@
 		return pairsClosed && now >= this.since + drift(this.timing.authority());
 	}
 
-	OldPairs oldPairs() {
+	FormerPairs oldPairs() {
 		return this.oldPairs;
 	}
 
@@ -343,7 +343,7 @@
 	}
 
 	Map<InstanceId, Long> heardAt() {
-		return (active()) ? this.watches.mapValues(MemberWatch::heardAt).toJavaMap() : Map.of();
+		return (active()) ? this.watches.mapValues(MemberRecord::lastHeartbeatAt).toJavaMap() : Map.of();
 	}
 
 	SortedMap<MemberKey, Revocation> revoking() {
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerAuthority.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerAuthority.java
@@ -15,7 +15,7 @@
 
 	private final Timing timing;
 
-	private final Guards guards;
+	private final EnabledGuards guards;
 
 	private long until = Long.MIN_VALUE;
 
@@ -27,7 +27,7 @@
 
 	private long peerHeardAt;
 
-	ManagerAuthority(Timing timing, Guards guards) {
+	ManagerAuthority(Timing timing, EnabledGuards guards) {
 		this.timing = timing;
 		this.guards = guards;
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/MemberLease.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberLease.java
@@ -19,7 +19,7 @@
 
 	private final MemberKey self;
 
-	private final Guards guards;
+	private final EnabledGuards guards;
 
 	private VersionedRow known = VersionedRow.NONE;
 
@@ -29,7 +29,7 @@
 
 	private SortedMap<HeldRange, List<CrashMark>> released = TreeMap.empty();
 
-	MemberLease(MemberKey self, Guards guards) {
+	MemberLease(MemberKey self, EnabledGuards guards) {
 		this.self = self;
 		this.guards = guards;
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/OperatorOrders.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OperatorOrders.java
@@ -18,7 +18,7 @@
  * @param memory what the primary remembers
  * @param access the way to the row
  */
-record OperatorOrders(VersionedRow known, LeaseManager manager, PrimaryMemory memory, RowAccess access) {
+record OperatorOrders(VersionedRow known, LeaseManager manager, PrimaryState memory, RowAccess access) {
 
 	Answer take(ControlMessage.Order order, long now) {
 		if (!this.manager.primary()) {
--- a/core/src/main/java/org/brasspier/core/ownership/OwnershipMachine.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OwnershipMachine.java
@@ -38,11 +38,11 @@
 	 * @param now the time
 	 */
 	public OwnershipMachine(MemberInfo me, Timing timing, PlacementPolicy placement, long now) {
-		this(me, timing, new PrimaryMemory.Placement(placement, PlacementWeights.EQUAL, INITIAL_RANGES), Guards.ALL_ON,
-				now);
+		this(me, timing, new PrimaryState.Placement(placement, PlacementWeights.EQUAL, INITIAL_RANGES),
+				EnabledGuards.ALL_ON, now);
 	}
 
-	OwnershipMachine(MemberInfo me, Timing timing, PrimaryMemory.Placement placement, Guards guards, long now) {
+	OwnershipMachine(MemberInfo me, Timing timing, PrimaryState.Placement placement, EnabledGuards guards, long now) {
 		this(new ProcessParts(me, timing, placement, guards, now));
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/PlanFacts.java
+++ b/core/src/main/java/org/brasspier/core/ownership/PlanFacts.java
@@ -30,8 +30,8 @@
  */
 record PlanFacts(VersionedRow known, long now, Set<MemberKey> lost, Set<MemberKey> suspects, List<MemberInfo> announced,
 		Map<HeldRange, List<CrashMark>> released, List<PlannedMove> moves, List<ManagerPair> closed,
-		Set<InstanceId> drained, boolean balance, PrimaryMemory.Placement placement,
-		Function<HeldRange, RangeLoad> load, Function<MemberInfo, Double> warmShare, Function<HeldRange, Long> movedAt,
+		Set<InstanceId> drained, boolean balance, PrimaryState.Placement placement, Function<HeldRange, RangeLoad> load,
+		Function<MemberInfo, Double> warmShare, Function<HeldRange, Long> movedAt,
 		Predicate<MemberInfo> awaitsSuccessor) {
 
 }
--- a/core/src/main/java/org/brasspier/core/ownership/PrimaryMemory.java
+++ b/core/src/main/java/org/brasspier/core/ownership/PrimaryState.java
@@ -18,7 +18,7 @@
  * What a primary learns between two writes of the row. All of it may be forgotten with
  * the process: members repeat it until the row shows it. Not thread-safe; copied cheaply.
  */
-final class PrimaryMemory {
+final class PrimaryState {
 
 	/**
 	 * An announcement is repeated five times in this time, so an older one is of a gone
@@ -51,8 +51,8 @@
 
 	private long since;
 
-	PrimaryMemory copy() {
-		PrimaryMemory copy = new PrimaryMemory();
+	PrimaryState copy() {
+		PrimaryState copy = new PrimaryState();
 		copy.announced = this.announced;
 		copy.released = this.released;
 		copy.moves = this.moves;
--- a/core/src/main/java/org/brasspier/core/ownership/ProcessParts.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ProcessParts.java
@@ -11,7 +11,7 @@
 
 	final Timing timing;
 
-	final Guards guards;
+	final EnabledGuards guards;
 
 	final MemberLease lease;
 
@@ -19,7 +19,7 @@
 
 	final RowAccess access;
 
-	final PrimaryMemory memory;
+	final PrimaryState memory;
 
 	final Takeover takeover;
 
@@ -27,7 +27,7 @@
 
 	final Outbox out = new Outbox();
 
-	PrimaryMemory.Placement placement;
+	PrimaryState.Placement placement;
 
 	MemberInfo me;
 
@@ -45,7 +45,7 @@
 
 	boolean left;
 
-	ProcessParts(MemberInfo me, Timing timing, PrimaryMemory.Placement placement, Guards guards, long now) {
+	ProcessParts(MemberInfo me, Timing timing, PrimaryState.Placement placement, EnabledGuards guards, long now) {
 		this.me = me;
 		this.timing = timing;
 		this.guards = guards;
@@ -53,7 +53,7 @@
 		this.lease = new MemberLease(me.key(), guards);
 		this.manager = new LeaseManager(me.key(), timing, guards);
 		this.access = new RowAccess();
-		this.memory = new PrimaryMemory();
+		this.memory = new PrimaryState();
 		this.takeover = new Takeover(me.key(), timing);
 		this.timers = new Timers();
 		this.managerHeardAt = now;
--- a/core/src/main/java/org/brasspier/core/placement/BalancingPlacement.java
+++ b/core/src/main/java/org/brasspier/core/placement/BalancingPlacement.java
@@ -18,46 +18,46 @@
 
 	@Override
 	public List<PlacementStep> plan(PlacementInput input) {
-		Board board = new Board(input);
-		if (board.seats().isEmpty()) {
+		PlanBuilder board = new PlanBuilder(input);
+		if (board.members().isEmpty()) {
 			return List.of();
 		}
 		spreadUnowned(board);
-		fillNewcomers(board, input);
-		new LoadShift(board, input).plan();
-		new RangeMerge(board, input).plan();
+		fillNewMembers(board, input);
+		new LoadRebalancer(board, input).plan();
+		new RangeMerger(board, input).plan();
 		return board.steps();
 	}
 
 	// Loss of a member, or its leaving. Harm: all its ranges on one survivor fill that
 	// one's queue. Only what it owned moves, so churn is the lost share and no more.
-	private static void spreadUnowned(Board board) {
-		double largest = board.meanSeatLoad() * PlacementRules.PIECE_SHARE;
-		while (cutLargestUnowned(board, largest)) {
+	private static void spreadUnowned(PlanBuilder board) {
+		double largest = board.meanMemberLoad() * PlacementRules.MAX_RANGE_LOAD_SHARE;
+		while (splitLargestUnowned(board, largest)) {
 			// Each cut halves a piece; the number of pieces is bounded.
 		}
-		board.pieces()
+		board.ranges()
 			.filter((piece) -> unownedCause(board, piece).isPresent())
 			.sorted(Comparator.comparingDouble(board::weight).reversed())
-			.forEach((piece) -> board.seats()
+			.forEach((piece) -> board.members()
 				.stream()
-				.min(board.emptiestWith(board.weight(piece)))
+				.min(board.leastUtilizedWith(board.weight(piece)))
 				.ifPresent((seat) -> board.move(piece, seat, unownedCause(board, piece).orElse(MoveCause.LOSS))));
 	}
 
-	private static boolean cutLargestUnowned(Board board, double largest) {
-		if (board.pieceCount() >= PlacementRules.MOST_PIECES * board.seats().size()) {
+	private static boolean splitLargestUnowned(PlanBuilder board, double largest) {
+		if (board.rangeCount() >= PlacementRules.MAX_RANGES_PER_MEMBER * board.members().size()) {
 			return false;
 		}
-		Optional<Piece> tooLarge = board.pieces()
+		Optional<PlannedRange> tooLarge = board.ranges()
 			.filter((piece) -> unownedCause(board, piece).isPresent())
 			.filter((piece) -> !piece.single() && board.weight(piece) > largest)
 			.max(Comparator.comparingDouble(board::weight));
-		tooLarge.ifPresent((piece) -> cut(board, piece, largest));
+		tooLarge.ifPresent((piece) -> split(board, piece, largest));
 		return tooLarge.isPresent();
 	}
 
-	static void cut(Board board, Piece piece, double hotFrom) {
+	static void split(PlanBuilder board, PlannedRange piece, double hotFrom) {
 		Optional<HotPoint> hot = piece.hottest().filter((point) -> point.busySlots() >= hotFrom);
 		if (hot.isPresent()) {
 			board.isolate(piece, hot.get());
@@ -67,7 +67,7 @@
 		}
 	}
 
-	private static Optional<MoveCause> unownedCause(Board board, Piece piece) {
+	private static Optional<MoveCause> unownedCause(PlanBuilder board, PlannedRange piece) {
 		if (piece.owner().isEmpty()) {
 			return Optional.of(MoveCause.LOSS);
 		}
@@ -78,45 +78,45 @@
 	// steps would move some ranges twice. It gets no more than its cold server can take,
 	// and ranges of usual load: the hottest ones alone would fill its share of the load
 	// and leave it a sliver of the space, which shows when other keys get hot.
-	private static void fillNewcomers(Board board, PlacementInput input) {
-		board.seats()
+	private static void fillNewMembers(PlanBuilder board, PlacementInput input) {
+		board.members()
 			.stream()
 			.filter((seat) -> seat.member().phase() == Phase.COLD || seat.pieces() == 0)
 			.forEach((seat) -> fill(board, input, seat));
 	}
 
-	private static void fill(Board board, PlacementInput input, Seat newcomer) {
+	private static void fill(PlanBuilder board, PlacementInput input, MemberLoad newcomer) {
 		double share = board.meanUtilization() * newcomer.capacity();
 		// A tenth short is near enough; less would move ranges for noise.
 		if (newcomer.load() > 0.9 * share) {
 			return;
 		}
-		for (int moves = 0; moves < PlacementRules.MOST_PIECES; moves++) {
+		for (int moves = 0; moves < PlacementRules.MAX_RANGES_PER_MEMBER; moves++) {
 			double missing = share - newcomer.load();
-			Optional<Seat> donor = board.seats()
+			Optional<MemberLoad> donor = board.members()
 				.stream()
 				.filter((seat) -> seat != newcomer && seat.utilization() > board.meanUtilization())
-				.max(Comparator.comparingDouble(Seat::utilization));
-			Optional<Piece> piece = donor.flatMap((seat) -> board.piecesOf(seat)
+				.max(Comparator.comparingDouble(MemberLoad::utilization));
+			Optional<PlannedRange> piece = donor.flatMap((seat) -> board.rangesOf(seat)
 				.filter((each) -> !each.touched() && board.weight(each) <= missing)
-				.min(Comparator.comparingDouble(board::oddity)));
+				.min(Comparator.comparingDouble(board::densityDeviation)));
 			if (piece.isPresent()) {
 				board.move(piece.get(), newcomer, MoveCause.JOIN);
 			}
-			else if (donor.isEmpty() || missing < 0.1 * share || !cutLargest(board, donor.get())) {
+			else if (donor.isEmpty() || missing < 0.1 * share || !splitLargest(board, donor.get())) {
 				return;
 			}
 		}
 	}
 
-	private static boolean cutLargest(Board board, Seat donor) {
-		if (board.pieceCount() >= PlacementRules.MOST_PIECES * board.seats().size()) {
+	private static boolean splitLargest(PlanBuilder board, MemberLoad donor) {
+		if (board.rangeCount() >= PlacementRules.MAX_RANGES_PER_MEMBER * board.members().size()) {
 			return false;
 		}
-		Optional<Piece> largest = board.piecesOf(donor)
+		Optional<PlannedRange> largest = board.rangesOf(donor)
 			.filter((piece) -> !piece.touched() && !piece.single())
 			.max(Comparator.comparingDouble(board::weight));
-		largest.ifPresent((piece) -> cut(board, piece, board.meanSeatLoad() * PlacementRules.PIECE_SHARE));
+		largest.ifPresent((piece) -> split(board, piece, board.meanMemberLoad() * PlacementRules.MAX_RANGE_LOAD_SHARE));
 		return largest.isPresent();
 	}
 
--- a/core/src/main/java/org/brasspier/core/placement/LoadMeter.java
+++ b/core/src/main/java/org/brasspier/core/placement/LoadMeter.java
@@ -17,8 +17,9 @@
  * <p>
  * Looks back as far as chance demands: a few long reads over ten seconds look like uneven
  * load, and moving ranges for them costs warm state and evens out nothing. So the window
- * grows until what was seen is certain to within {@link #NOISE}, and shrinks again when
- * requests are many, so that hot keys are followed as fast as they can be told.
+ * grows until what was seen is certain to within {@link #MAX_RELATIVE_ERROR}, and shrinks
+ * again when requests are many, so that hot keys are followed as fast as they can be
+ * told.
  */
 public final class LoadMeter {
 
@@ -41,32 +42,32 @@
 	 * The least part of its window that a meter is taken to have seen of a range. Without
 	 * it, the first request of a service would look like thousands of busy slots.
 	 */
-	private static final double LEAST_SEEN = 0.2;
+	private static final double MIN_OBSERVED_SHARE = 0.2;
 
 	/**
 	 * The error that chance may leave in the sum, as a share of it. A fifth of the least
 	 * excess that placement moves anything for: within an hour of steady load a third is
 	 * passed now and then, and moves back and forth begin.
 	 */
-	private static final double NOISE = 0.025;
+	private static final double MAX_RELATIVE_ERROR = 0.025;
 
 	/**
 	 * The longest window, in least ones: a minute for today's ten seconds. Hot keys
 	 * change within minutes, and a longer one would pin what was true of others.
 	 */
-	private static final double LONGEST_WINDOW = 6;
+	private static final double MAX_WINDOW_FACTOR = 6;
 
 	/** The window follows changes of the load's make-up, not each request. */
-	private static final long ADAPT_NANOS = 1_000_000_000;
+	private static final long ADAPT_INTERVAL_NANOS = 1_000_000_000;
 
 	/** Beyond this exponent the fading weights are brought back to one. */
-	private static final double LARGEST_EXPONENT = 50;
+	private static final double MAX_EXPONENT = 50;
 
-	private final double leastWindowNanos;
+	private final double minWindowNanos;
 
 	private double windowNanos;
 
-	private double seenNanos;
+	private double observedNanosAtOrigin;
 
 	private double sum;
 
@@ -85,7 +86,7 @@
 	 * @param now the time, in nanoseconds
 	 */
 	public LoadMeter(long leastWindowNanos, long now) {
-		this.leastWindowNanos = leastWindowNanos;
+		this.minWindowNanos = leastWindowNanos;
 		this.windowNanos = leastWindowNanos;
 		this.originNanos = now;
 	}
@@ -103,7 +104,7 @@
 		this.sumOfSquares += mass * mass;
 		Counter counter = this.hot.get(hash.point());
 		if (counter != null) {
-			counter.own += mass;
+			counter.mass += mass;
 			return;
 		}
 		if (this.hot.size() < HOT_POINTS) {
@@ -150,7 +151,7 @@
 		mass += this.hot.entrySet()
 			.stream()
 			.filter((entry) -> range.contains(new KeyHash(entry.getKey())))
-			.mapToDouble((entry) -> entry.getValue().own)
+			.mapToDouble((entry) -> entry.getValue().mass)
 			.sum();
 		return slots(mass, sinceNanos, now);
 	}
@@ -166,22 +167,22 @@
 		return this.hot.entrySet()
 			.stream()
 			.filter((entry) -> range.contains(new KeyHash(entry.getKey())))
-			.max(Comparator.comparingDouble((entry) -> entry.getValue().own))
-			.map((entry) -> new HotPoint(entry.getKey(), slots(entry.getValue().own, sinceNanos, now)));
+			.max(Comparator.comparingDouble((entry) -> entry.getValue().mass))
+			.map((entry) -> new HotPoint(entry.getKey(), slots(entry.getValue().mass, sinceNanos, now)));
 	}
 
 	private double slots(double mass, long sinceNanos, long now) {
-		double all = seen(now);
+		double all = observedNanos(now);
 		// After the window has shrunk, more than it was seen.
 		double window = Math.max(this.windowNanos, all);
 		double seen = Math.min(all, window * (1 - Math.exp(-(now - sinceNanos) / window)));
-		return mass / weight(now) / Math.max(LEAST_SEEN * this.leastWindowNanos, seen);
+		return mass / weight(now) / Math.max(MIN_OBSERVED_SHARE * this.minWindowNanos, seen);
 	}
 
 	// The part of the window that this meter was there for, faded as what it recorded.
-	private double seen(long now) {
+	private double observedNanos(long now) {
 		double kept = 1 / weight(now);
-		return this.seenNanos * kept + this.windowNanos * (1 - kept);
+		return this.observedNanosAtOrigin * kept + this.windowNanos * (1 - kept);
 	}
 
 	private double weight(long now) {
@@ -189,27 +190,27 @@
 	}
 
 	private void adapt(long now) {
-		boolean due = now - this.originNanos >= ADAPT_NANOS && this.sum > 0;
-		if (due || (now - this.originNanos) / this.windowNanos >= LARGEST_EXPONENT) {
+		boolean due = now - this.originNanos >= ADAPT_INTERVAL_NANOS && this.sum > 0;
+		if (due || (now - this.originNanos) / this.windowNanos >= MAX_EXPONENT) {
 			rebase(now);
-			this.windowNanos = wantedWindow();
+			this.windowNanos = requiredWindow();
 		}
 	}
 
 	// The variance of a sum of requests that come by chance is the sum of their squares,
 	// and its share of the sum's square falls as the window grows.
-	private double wantedWindow() {
+	private double requiredWindow() {
 		if (this.sum <= 0) {
-			return this.leastWindowNanos;
+			return this.minWindowNanos;
 		}
 		double variance = this.sumOfSquares / (this.sum * this.sum);
-		double wanted = this.seenNanos * variance / (NOISE * NOISE);
-		return Math.clamp(wanted, this.leastWindowNanos, LONGEST_WINDOW * this.leastWindowNanos);
+		double wanted = this.observedNanosAtOrigin * variance / (MAX_RELATIVE_ERROR * MAX_RELATIVE_ERROR);
+		return Math.clamp(wanted, this.minWindowNanos, MAX_WINDOW_FACTOR * this.minWindowNanos);
 	}
 
 	private void rebase(long now) {
 		double factor = 1 / weight(now);
-		this.seenNanos = seen(now);
+		this.observedNanosAtOrigin = observedNanos(now);
 		for (int i = 0; i < CELLS; i++) {
 			this.cells[i] *= factor;
 		}
@@ -227,28 +228,28 @@
 			.min(Comparator.comparingDouble((entry) -> entry.getValue().rank()))
 			.orElseThrow();
 		this.hot.remove(smallest.getKey());
-		this.cells[(int) (smallest.getKey() / CELL_POINTS)] += smallest.getValue().own;
+		this.cells[(int) (smallest.getKey() / CELL_POINTS)] += smallest.getValue().mass;
 		this.hot.put(point, new Counter(mass, smallest.getValue().rank()));
 	}
 
 	private static final class Counter {
 
-		private double own;
+		private double mass;
 
-		private double inherited;
+		private double inheritedMass;
 
 		Counter(double own, double inherited) {
-			this.own = own;
-			this.inherited = inherited;
+			this.mass = own;
+			this.inheritedMass = inherited;
 		}
 
 		double rank() {
-			return this.own + this.inherited;
+			return this.mass + this.inheritedMass;
 		}
 
 		void scale(double factor) {
-			this.own *= factor;
-			this.inherited *= factor;
+			this.mass *= factor;
+			this.inheritedMass *= factor;
 		}
 
 	}
--- a/core/src/main/java/org/brasspier/core/placement/Seat.java
+++ b/core/src/main/java/org/brasspier/core/placement/MemberLoad.java
@@ -5,7 +5,7 @@
 /**
  * A member that may own ranges, with the load that the plan gives it. Not thread-safe.
  */
-final class Seat {
+final class MemberLoad {
 
 	private final Member member;
 
@@ -13,7 +13,7 @@
 
 	private int pieces;
 
-	Seat(Member member) {
+	MemberLoad(Member member) {
 		this.member = member;
 	}
 
--- a/core/src/main/java/org/brasspier/core/placement/PlacementRules.java
+++ b/core/src/main/java/org/brasspier/core/placement/PlacementRules.java
@@ -17,10 +17,10 @@
 	 * state each time. Hot keys change each minute on a summer Saturday, so a longer rest
 	 * would pin yesterday's answer.
 	 */
-	static final long DWELL_MILLIS = Duration.ofMinutes(1).toMillis();
+	static final long MIN_DWELL_MILLIS = Duration.ofMinutes(1).toMillis();
 
 	/** How far back moves count against further ones. */
-	static final long MEMORY_MILLIS = Duration.ofMinutes(10).toMillis();
+	static final long MOVE_HISTORY_MILLIS = Duration.ofMinutes(10).toMillis();
 
 	/**
 	 * The share of the key space that may have moved lately before the trigger doubles. A
@@ -32,50 +32,50 @@
 	 * More than this counts as this much: when all ranges have just been placed for the
 	 * first time, a member with twice its share must still be relieved.
 	 */
-	static final double MOST_MOVED_SHARE = 0.2;
+	static final double MAX_MOVED_SHARE = 0.2;
 
 	/**
 	 * The largest piece, as a share of one member's fair load, that is handed out whole:
 	 * eight pieces a member let a lost member's load spread to within an eighth.
 	 */
-	static final double PIECE_SHARE = 1.0 / 8;
+	static final double MAX_RANGE_LOAD_SHARE = 1.0 / 8;
 
 	/** More pieces a member than this are merged. */
-	static final int USUAL_PIECES = 12;
+	static final int TARGET_RANGES_PER_MEMBER = 12;
 
 	/** More pieces a member than this are never made: the cell's row must stay small. */
-	static final int MOST_PIECES = 32;
+	static final int MAX_RANGES_PER_MEMBER = 32;
 
 	/** Load shifts in one plan; the next window shows what they did. */
-	static final int MOST_SHIFTS = 8;
+	static final int MAX_SHIFTS = 8;
 
 	/** A piece of less than this share of the space costs next to no warm state. */
-	static final double SMALL_SHARE = 0.001;
+	static final double SMALL_SPACE_SHARE = 0.001;
 
 	/**
 	 * A member that is busier than this takes nothing over: when all are full, a move
 	 * only takes the queue elsewhere and costs warm state when there is least time for
 	 * it.
 	 */
-	static final double FULL = 0.85;
+	static final double MAX_RECEIVER_UTILIZATION = 0.85;
 
 	private static final double BASE_TRIGGER = 0.10;
 
-	private static final double LOWEST_TRIGGER = 0.06;
+	private static final double MIN_TRIGGER = 0.06;
 
-	private static final double HIGHEST_TRIGGER = 0.14;
+	private static final double MAX_TRIGGER = 0.14;
 
 	/**
 	 * A mean of n busy slots over the window is uncertain by about 0.1 / sqrt(n); steady
 	 * load must not look like a reason to move.
 	 */
-	private static final double NOISE = 0.12;
+	private static final double MEASUREMENT_ERROR = 0.12;
 
 	static PlacementRules of(PlacementWeights weights, double meanSeatLoad) {
 		double others = (weights.churn() + weights.unavailable()) / 2;
 		double ratio = (weights.imbalance() > 0) ? others / weights.imbalance() : Double.MAX_VALUE;
-		double base = Math.clamp(BASE_TRIGGER * ratio, LOWEST_TRIGGER, HIGHEST_TRIGGER);
-		return new PlacementRules(base + NOISE / Math.sqrt(Math.max(1.0 / 16, meanSeatLoad)), base / 2);
+		double base = Math.clamp(BASE_TRIGGER * ratio, MIN_TRIGGER, MAX_TRIGGER);
+		return new PlacementRules(base + MEASUREMENT_ERROR / Math.sqrt(Math.max(1.0 / 16, meanSeatLoad)), base / 2);
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/placement/Piece.java
+++ b/core/src/main/java/org/brasspier/core/placement/PlannedRange.java
@@ -17,15 +17,16 @@
  * @param movedAtMillis when it last changed its owner
  * @param touched whether this plan has moved or cut it
  */
-record Piece(KeyRange range, Optional<InstanceId> owner, double busySlots, Optional<HotPoint> hottest,
+record PlannedRange(KeyRange range, Optional<InstanceId> owner, double busySlots, Optional<HotPoint> hottest,
 		long movedAtMillis, boolean touched) {
 
-	static Piece of(PlacementInput.Range range, Optional<InstanceId> owner) {
-		return new Piece(range.range(), owner, range.busySlots(), range.hottest(), range.movedAtMillis(), false);
+	static PlannedRange of(PlacementInput.Range range, Optional<InstanceId> owner) {
+		return new PlannedRange(range.range(), owner, range.busySlots(), range.hottest(), range.movedAtMillis(), false);
 	}
 
-	Piece ownedBy(InstanceId instance) {
-		return new Piece(this.range, Optional.of(instance), this.busySlots, this.hottest, this.movedAtMillis, true);
+	PlannedRange ownedBy(InstanceId instance) {
+		return new PlannedRange(this.range, Optional.of(instance), this.busySlots, this.hottest, this.movedAtMillis,
+				true);
 	}
 
 	/**
@@ -35,13 +36,13 @@
 	 * @param high the point after the last
 	 * @return the part
 	 */
-	Piece part(long low, long high) {
+	PlannedRange part(long low, long high) {
 		KeyRange part = new KeyRange(low, high);
 		Optional<HotPoint> kept = this.hottest.filter((hot) -> part.contains(new KeyHash(hot.point())));
 		double hot = this.hottest.map(HotPoint::busySlots).orElse(0.0);
 		double rest = Math.max(0, this.busySlots - hot) * part.size() / this.range.size();
-		return new Piece(part, this.owner, rest + kept.map(HotPoint::busySlots).orElse(0.0), kept, this.movedAtMillis,
-				this.touched);
+		return new PlannedRange(part, this.owner, rest + kept.map(HotPoint::busySlots).orElse(0.0), kept,
+				this.movedAtMillis, this.touched);
 	}
 
 	boolean single() {
--- a/core/src/main/java/org/brasspier/core/placement/RangeMerge.java
+++ b/core/src/main/java/org/brasspier/core/placement/RangeMerger.java
@@ -10,23 +10,23 @@
  * bounded while hot keys come and go. A point that has cooled first goes back to a
  * neighbour's owner. Not thread-safe.
  */
-final class RangeMerge {
+final class RangeMerger {
 
 	/** Merges in one plan, so that the row changes by little at a time. */
-	private static final int MOST_MERGES = 8;
+	private static final int MAX_MERGES = 8;
 
-	private final Board board;
+	private final PlanBuilder board;
 
 	private final PlacementInput input;
 
-	RangeMerge(Board board, PlacementInput input) {
+	RangeMerger(PlanBuilder board, PlacementInput input) {
 		this.board = board;
 		this.input = input;
 	}
 
 	void plan() {
-		int surplus = this.board.pieceCount() - PlacementRules.USUAL_PIECES * this.board.seats().size();
-		for (int merges = Math.min(surplus, MOST_MERGES); merges > 0; merges--) {
+		int surplus = this.board.rangeCount() - PlacementRules.TARGET_RANGES_PER_MEMBER * this.board.members().size();
+		for (int merges = Math.min(surplus, MAX_MERGES); merges > 0; merges--) {
 			if (!mergeOne()) {
 				return;
 			}
@@ -34,11 +34,11 @@
 	}
 
 	private boolean mergeOne() {
-		List<Piece> pieces = this.board.pieces().toList();
+		List<PlannedRange> pieces = this.board.ranges().toList();
 		for (int i = 0; i + 1 < pieces.size(); i++) {
-			Piece first = pieces.get(i);
-			Piece second = pieces.get(i + 1);
-			if (small(first, second) && first.owner().equals(second.owner())) {
+			PlannedRange first = pieces.get(i);
+			PlannedRange second = pieces.get(i + 1);
+			if (canMerge(first, second) && first.owner().equals(second.owner())) {
 				this.board.merge(first, second);
 				return true;
 			}
@@ -46,12 +46,12 @@
 		return returnCooledPoint(pieces);
 	}
 
-	private boolean returnCooledPoint(List<Piece> pieces) {
+	private boolean returnCooledPoint(List<PlannedRange> pieces) {
 		for (int i = 0; i + 1 < pieces.size(); i++) {
-			Piece first = pieces.get(i);
-			Piece second = pieces.get(i + 1);
-			Optional<Seat> home = this.board.seatOf(second);
-			if (first.single() && small(first, second) && home.isPresent()) {
+			PlannedRange first = pieces.get(i);
+			PlannedRange second = pieces.get(i + 1);
+			Optional<MemberLoad> home = this.board.ownerOf(second);
+			if (first.single() && canMerge(first, second) && home.isPresent()) {
 				this.board.move(first, home.get(), MoveCause.BALANCE);
 				return true;
 			}
@@ -59,14 +59,15 @@
 		return false;
 	}
 
-	private boolean small(Piece first, Piece second) {
+	private boolean canMerge(PlannedRange first, PlannedRange second) {
 		double together = this.board.weight(first) + this.board.weight(second);
-		return rested(first) && rested(second) && together < this.board.meanSeatLoad() * PlacementRules.PIECE_SHARE / 2;
+		return rested(first) && rested(second)
+				&& together < this.board.meanMemberLoad() * PlacementRules.MAX_RANGE_LOAD_SHARE / 2;
 	}
 
-	private boolean rested(Piece piece) {
+	private boolean rested(PlannedRange piece) {
 		return !piece.touched() && piece.owner().isPresent()
-				&& this.input.nowMillis() - piece.movedAtMillis() >= PlacementRules.DWELL_MILLIS;
+				&& this.input.nowMillis() - piece.movedAtMillis() >= PlacementRules.MIN_DWELL_MILLIS;
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/placement/SpreadUnowned.java
+++ b/core/src/main/java/org/brasspier/core/placement/SpreadUnowned.java
@@ -28,7 +28,7 @@
 		List<PlacementStep> steps = new ArrayList<>();
 		for (Range range : input.ranges()) {
 			Optional<PlacementStep.MoveCause> cause = cause(range, input.members());
-			Optional<Member> target = emptiest(input.members(), points);
+			Optional<Member> target = leastLoaded(input.members(), points);
 			if (cause.isPresent() && target.isPresent()) {
 				points.merge(target.get().instance(), range.range().size(), Long::sum);
 				steps.add(new PlacementStep.Move(range.range(), target.get().instance(), cause.get()));
@@ -49,7 +49,7 @@
 		};
 	}
 
-	private static Optional<Member> emptiest(List<Member> members, Map<InstanceId, Long> points) {
+	private static Optional<Member> leastLoaded(List<Member> members, Map<InstanceId, Long> points) {
 		return members.stream()
 			.filter((member) -> member.phase() == Phase.ACTIVE || member.phase() == Phase.COLD)
 			.min(Comparator
--- a/core/src/test/java/org/brasspier/core/ownership/CellModel.java
+++ b/core/src/test/java/org/brasspier/core/ownership/CellModel.java
@@ -375,10 +375,10 @@
 	 * @param guards which guards are on
 	 * @param ranges how many ranges the one service has
 	 */
-	record Setup(Timing timing, Guards guards, int ranges) {
+	record Setup(Timing timing, EnabledGuards guards, int ranges) {
 
 		static Setup standard(int ranges) {
-			return new Setup(Timing.STANDARD, Guards.ALL_ON, ranges);
+			return new Setup(Timing.STANDARD, EnabledGuards.ALL_ON, ranges);
 		}
 
 	}
--- a/core/src/test/java/org/brasspier/core/ownership/ExplorationTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/ExplorationTests.java
@@ -48,7 +48,7 @@
 	@ParameterizedTest
 	@EnumSource(names = { "RENEWALS_RUN_OUT", "PROMISE_OF_PEER", "OLD_AUTHORITY_ENDS" })
 	void withoutTheGuardAStateWithTwoOwnersIsReached(Guard guard) {
-		Exploration exploration = new Exploration(SmallCell.settled(new Guards(Set.of(guard))));
+		Exploration exploration = new Exploration(SmallCell.settled(new EnabledGuards(Set.of(guard))));
 		assertWithMessage("violation without %s", guard).that(exploration.violation()).isPresent();
 	}
 
--- a/core/src/test/java/org/brasspier/core/ownership/GuardTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/GuardTests.java
@@ -47,13 +47,14 @@
 	@ParameterizedTest
 	@MethodSource("guards")
 	void withoutThisGuardThereAreTwo(Guard guard) {
-		assertWithMessage("violations without %s", guard).that(STORIES.get(guard).violations(new Guards(Set.of(guard))))
+		assertWithMessage("violations without %s", guard)
+			.that(STORIES.get(guard).violations(new EnabledGuards(Set.of(guard))))
 			.isNotEmpty();
 	}
 
 	// Half a minute of faults of every kind, with clocks that run as differently as
 	// allowed.
-	private static List<String> randomFaults(Guards guards) {
+	private static List<String> randomFaults(EnabledGuards guards) {
 		Timing t = Timing.STANDARD;
 		Timing timing = new Timing(t.heartbeat(), t.lease(), t.memberSilence(), t.beat(), t.peerSilence(),
 				t.authority(), t.withoutTable(), t.challenge(), 100);
@@ -68,7 +69,7 @@
 		return violations;
 	}
 
-	private static CellModel sixMembers(Guards guards, int run) {
+	private static CellModel sixMembers(EnabledGuards guards, int run) {
 		CellModel cell = new CellModel(new CellModel.Setup(Timing.STANDARD, guards, RANGES), run);
 		List.of("a", "b", "c", "d", "e", "f").forEach((name) -> cell.start(name, "domain-" + name, 1000));
 		cell.run(3000);
@@ -88,7 +89,7 @@
 	// A switch fails: the primary and one member see only each other. The primary goes on
 	// renewing the member for as long as it may, the others replace it meanwhile and give
 	// the member's ranges away.
-	private static List<String> primaryAndOneMemberCutOff(Guards guards) {
+	private static List<String> primaryAndOneMemberCutOff(EnabledGuards guards) {
 		List<String> violations = new ArrayList<>();
 		for (int run = 1; run <= 10 && violations.isEmpty(); run++) {
 			CellModel cell = sixMembers(guards, run);
@@ -104,7 +105,7 @@
 	// Both managers and one member are cut off together and can't tell it from an outage
 	// of
 	// the table, so they go on. The others take over.
-	private static List<String> bothManagersAndOneMemberCutOff(Guards guards) {
+	private static List<String> bothManagersAndOneMemberCutOff(EnabledGuards guards) {
 		CellModel cell = sixMembers(guards, 1);
 		List<ModelProcess> cutOff = List.of(cell.primary(), cell.secondary(), plain(cell).getLast());
 		cell.partition(cutOff, without(cell, cutOff));
@@ -118,7 +119,7 @@
 	// the
 	// answer is lost and the two hear each other again. The member that the write made a
 	// manager finds its primary silent, replaces it in turn, and waits for the old ones.
-	private static List<String> cutOffAfterReplacingThePeer(Guards guards) {
+	private static List<String> cutOffAfterReplacingThePeer(EnabledGuards guards) {
 		CellModel cell = sixMembers(guards, 1);
 		ModelProcess primary = cell.primary();
 		ModelProcess secondary = cell.secondary();
@@ -138,7 +139,7 @@
 	// The primary and the secondary no longer hear each other, nor does the primary reach
 	// the table. The secondary replaces it, and gives its ranges away as soon as what it
 	// renewed itself has run out.
-	private static List<String> primaryHeardByNoManager(Guards guards) {
+	private static List<String> primaryHeardByNoManager(EnabledGuards guards) {
 		List<String> violations = new ArrayList<>();
 		for (int run = 1; run <= 20 && violations.isEmpty(); run++) {
 			CellModel cell = sixMembers(guards, run);
@@ -153,7 +154,7 @@
 
 	private interface Story {
 
-		List<String> violations(Guards guards);
+		List<String> violations(EnabledGuards guards);
 
 	}
 
--- a/core/src/test/java/org/brasspier/core/ownership/ModelProcess.java
+++ b/core/src/test/java/org/brasspier/core/ownership/ModelProcess.java
@@ -42,8 +42,8 @@
 				new PeerAddress("127.0.0.1", 1, 2, 3, 4), MemberPhase.ACTIVE,
 				Optional.of(new MemberInfo.Backend(SERVICE, 1, true, 0, 0)));
 		this.machine = new OwnershipMachine(me, setup.timing(),
-				new PrimaryMemory.Placement(new SpreadUnowned(), PlacementWeights.EQUAL, setup.ranges()),
-				setup.guards(), 0);
+				new PrimaryState.Placement(new SpreadUnowned(), PlacementWeights.EQUAL, setup.ranges()), setup.guards(),
+				0);
 	}
 
 	private ModelProcess(ModelProcess other) {
--- a/core/src/test/java/org/brasspier/core/ownership/SmallCell.java
+++ b/core/src/test/java/org/brasspier/core/ownership/SmallCell.java
@@ -31,7 +31,7 @@
 
 	private long now;
 
-	static SmallCell settled(Guards guards) {
+	static SmallCell settled(EnabledGuards guards) {
 		SmallCell cell = new SmallCell();
 		CellModel.Setup setup = new CellModel.Setup(TIMING, guards, 3);
 		for (String name : List.of("a", "b", "c")) {
--- a/core/src/test/java/org/brasspier/core/ownership/TestGuards.java
+++ b/core/src/test/java/org/brasspier/core/ownership/TestGuards.java
@@ -13,13 +13,13 @@
 	private TestGuards() {
 	}
 
-	static Guards without(Guard... off) {
+	static EnabledGuards without(Guard... off) {
 		Set<Guard> all = new TreeSet<>(List.of(off));
 		String named = System.getProperty("guard.off", "");
 		if (!named.isEmpty()) {
 			all.add(Guard.valueOf(named));
 		}
-		return new Guards(all);
+		return new EnabledGuards(all);
 	}
 
 }
