--- a/core/src/main/java/org/brasspier/core/placement/LoadMeter.java
+++ b/core/src/main/java/org/brasspier/core/placement/LoadMeter.java
@@ -10,57 +10,62 @@
 import org.brasspier.core.placement.PlacementInput.HotPoint;
 
 /**
- * How many slots the points of the hash space keep busy, as placement needs it: fading
- * sums over cells of the space, and single hot points counted apart. Takes what was
- * refused as well, since demand is what must be spread, and a full server serves no more
- * than its slots whatever is asked of it. Some 35 kB a service. Not thread-safe.
+ * Measures how many slots the requests for each part of the hash space keep busy, as
+ * input to placement. Keeps exponentially decaying sums for fixed cells of the space, and
+ * counts single hot points separately. Rejected requests are included, since demand is
+ * what must be balanced, and a full server never runs more requests than it has slots.
+ * Uses about 35 kB for each service. Not thread-safe.
  * <p>
- * Looks back as far as chance demands: a few long reads over ten seconds look like uneven
- * load, and moving ranges for them costs warm state and evens out nothing. So the window
- * grows until what was seen is certain to within {@link #MAX_RELATIVE_ERROR}, and shrinks
- * again when requests are many, so that hot keys are followed as fast as they can be
- * told.
+ * The length of the window depends on the statistical error. A few long reads in ten
+ * seconds look like uneven load, and moving ranges because of them costs warm state
+ * without balancing anything. So the window grows until the relative error is at most
+ * {@link #MAX_RELATIVE_ERROR}, and shrinks again when there are many requests, so that
+ * changes of hot keys are detected as quickly as possible.
  */
 public final class LoadMeter {
 
 	/**
-	 * Cells of the space: fine enough that sixteen ranges a member of a cell of twenty
-	 * members each still span a dozen.
+	 * Number of cells of the hash space. With sixteen ranges a member and twenty members,
+	 * a range still spans a dozen cells.
 	 */
 	private static final int CELLS = 4096;
 
 	private static final long CELL_POINTS = KeyHash.SPACE / CELLS;
 
 	/**
-	 * Points counted apart. A point matters from about an eighth of one member's load;
-	 * twenty members have at most 160 such points among them, and one daemon holds only
-	 * its own few.
+	 * Number of points that are counted separately. A point matters from about an eighth
+	 * of one member's load; twenty members have at most 160 such points together, and
+	 * each daemon meters only the points that it owns.
 	 */
 	private static final int HOT_POINTS = 64;
 
 	/**
-	 * The least part of its window that a meter is taken to have seen of a range. Without
-	 * it, the first request of a service would look like thousands of busy slots.
+	 * Minimum part of the window for which a range is assumed to have been observed.
+	 * Without it, the first request of a service would look like thousands of busy slots.
 	 */
 	private static final double MIN_OBSERVED_SHARE = 0.2;
 
 	/**
-	 * The error that chance may leave in the sum, as a share of it. A fifth of the least
-	 * excess that placement moves anything for: within an hour of steady load a third is
-	 * passed now and then, and moves back and forth begin.
+	 * Acceptable relative standard error of the sum. It is a fifth of the smallest excess
+	 * at which placement moves anything; within an hour of steady load a third of that
+	 * excess is exceeded now and then, which would move ranges back and forth.
 	 */
 	private static final double MAX_RELATIVE_ERROR = 0.025;
 
 	/**
-	 * The longest window, in least ones: a minute for today's ten seconds. Hot keys
-	 * change within minutes, and a longer one would pin what was true of others.
+	 * Maximum window, as a multiple of the minimum one: one minute for a minimum of ten
+	 * seconds. Hot keys change within minutes, and a longer window would still reflect
+	 * earlier ones.
 	 */
 	private static final double MAX_WINDOW_FACTOR = 6;
 
-	/** The window follows changes of the load's make-up, not each request. */
+	/**
+	 * Interval of window changes. The window follows changes in the kind of load, not
+	 * single requests.
+	 */
 	private static final long ADAPT_INTERVAL_NANOS = 1_000_000_000;
 
-	/** Beyond this exponent the fading weights are brought back to one. */
+	/** Exponent of the decay weights at which the sums are rescaled to weight one. */
 	private static final double MAX_EXPONENT = 50;
 
 	private final double minWindowNanos;
@@ -80,22 +85,22 @@
 	private long originNanos;
 
 	/**
-	 * Creates a meter that has seen nothing.
-	 * @param leastWindowNanos the least time after which an observation counts for a
-	 * third, in nanoseconds
-	 * @param now the time, in nanoseconds
+	 * Creates a meter without observations.
+	 * @param minWindowNanos minimum time constant of the decay (after it an observation
+	 * counts for about a third), in nanoseconds
+	 * @param now current time, in nanoseconds
 	 */
-	public LoadMeter(long leastWindowNanos, long now) {
-		this.minWindowNanos = leastWindowNanos;
-		this.windowNanos = leastWindowNanos;
+	public LoadMeter(long minWindowNanos, long now) {
+		this.minWindowNanos = minWindowNanos;
+		this.windowNanos = minWindowNanos;
 		this.originNanos = now;
 	}
 
 	/**
-	 * Adds slot time that was used, or would have been by a refused request.
+	 * Adds the slot time that a request used, or would have used if it was rejected.
 	 * @param hash the request's point
 	 * @param busyNanos the slot time, in nanoseconds
-	 * @param now the time, in nanoseconds
+	 * @param now current time, in nanoseconds
 	 */
 	public void record(KeyHash hash, long busyNanos, long now) {
 		adapt(now);
@@ -115,9 +120,10 @@
 	}
 
 	/**
-	 * Forgets what was recorded of a range, as when it has come, or come back: counted
-	 * over the little time since then, what it did before would look like many times its
-	 * load, and half the service would be moved away from here.
+	 * Discards what was recorded for a range. Called when the range has moved here,
+	 * possibly for a second time: earlier observations, divided by the short time since
+	 * the move, would look like many times the actual load, and half of the service would
+	 * be moved away.
 	 * @param range the range
 	 */
 	public void forget(KeyRange range) {
@@ -133,13 +139,14 @@
 	}
 
 	/**
-	 * The slots that the requests of a range kept busy. Made for ranges that have just
-	 * moved: their new owner has seen only part of its window of them, and taken for the
-	 * whole one they look nearly empty, so that still more is moved there.
+	 * Returns how many slots the requests of a range keep busy. For a range that has
+	 * moved recently, the sum is divided by the time since the move and not by the whole
+	 * window; otherwise the range would look nearly empty and still more would be moved
+	 * to its new owner.
 	 * @param range the range
-	 * @param sinceNanos since when its requests come here, in nanoseconds
-	 * @param now the time, in nanoseconds
-	 * @return the fading average, at least 0
+	 * @param sinceNanos time from which its requests arrive here, in nanoseconds
+	 * @param now current time, in nanoseconds
+	 * @return the decaying average, at least 0
 	 */
 	public double busySlots(KeyRange range, long sinceNanos, long now) {
 		double mass = 0;
@@ -157,11 +164,12 @@
 	}
 
 	/**
-	 * The hottest single point of a range.
+	 * Returns the hottest single point of a range.
 	 * @param range the range
-	 * @param sinceNanos since when its requests come here, in nanoseconds
-	 * @param now the time, in nanoseconds
-	 * @return empty if no point was counted apart; what it kept busy is a lower bound
+	 * @param sinceNanos time from which its requests arrive here, in nanoseconds
+	 * @param now current time, in nanoseconds
+	 * @return empty if no point of the range is counted separately; its busy slots are a
+	 * lower bound
 	 */
 	public Optional<HotPoint> hottest(KeyRange range, long sinceNanos, long now) {
 		return this.hot.entrySet()
@@ -173,13 +181,13 @@
 
 	private double slots(double mass, long sinceNanos, long now) {
 		double all = observedNanos(now);
-		// After the window has shrunk, more than it was seen.
+		// After the window has shrunk, the observed time may exceed it.
 		double window = Math.max(this.windowNanos, all);
 		double seen = Math.min(all, window * (1 - Math.exp(-(now - sinceNanos) / window)));
 		return mass / weight(now) / Math.max(MIN_OBSERVED_SHARE * this.minWindowNanos, seen);
 	}
 
-	// The part of the window that this meter was there for, faded as what it recorded.
+	// Observed part of the window, with the same decay as the sums.
 	private double observedNanos(long now) {
 		double kept = 1 / weight(now);
 		return this.observedNanosAtOrigin * kept + this.windowNanos * (1 - kept);
@@ -197,8 +205,8 @@
 		}
 	}
 
-	// The variance of a sum of requests that come by chance is the sum of their squares,
-	// and its share of the sum's square falls as the window grows.
+	// For requests that arrive at random, the variance of the sum is the sum of their
+	// squares. Its ratio to the square of the sum falls as the window grows.
 	private double requiredWindow() {
 		if (this.sum <= 0) {
 			return this.minWindowNanos;
@@ -220,8 +228,9 @@
 		this.originNanos = now;
 	}
 
-	// Space-saving: the newcomer inherits the rank of the smallest, not its load, so a
-	// point that gets hot rises within a few requests while the sum stays right.
+	// Space-saving algorithm: the new point inherits the rank of the smallest counter but
+	// not its load. A point that gets hot rises within a few requests, and the sum stays
+	// correct.
 	private void replaceSmallest(long point, double mass) {
 		Map.Entry<Long, Counter> smallest = this.hot.entrySet()
 			.stream()
--- a/core/src/main/java/org/brasspier/core/placement/LoadRebalancer.java
+++ b/core/src/main/java/org/brasspier/core/placement/LoadRebalancer.java
@@ -8,23 +8,24 @@
 import org.brasspier.core.placement.PlacementStep.MoveCause;
 
 /**
- * Shifts load from members that have more than their share. Made for hot keys that come
- * and go: the busiest member's queue grows while others rest. Limits: nothing below the
- * trigger, which grows with what was moved lately; nothing that has not rested; at most
- * eight shifts a plan, then the next window is awaited. Not thread-safe.
+ * Moves load away from members that exceed their share, as when hot keys come and go and
+ * the busiest member's queue grows while others are idle. Limits: no moves below the
+ * trigger, which grows with the share of the space that moved recently; no range before
+ * its minimum dwell time has passed; at most eight moves in one plan, after which the
+ * next window is awaited. Not thread-safe.
  */
 final class LoadRebalancer {
 
-	private final PlanBuilder board;
+	private final PlanBuilder plan;
 
 	private final PlacementInput input;
 
 	private final PlacementRules rules;
 
-	LoadRebalancer(PlanBuilder board, PlacementInput input) {
-		this.board = board;
+	LoadRebalancer(PlanBuilder plan, PlacementInput input) {
+		this.plan = plan;
 		this.input = input;
-		this.rules = PlacementRules.of(input.weights(), board.meanMemberLoad());
+		this.rules = PlacementRules.of(input.weights(), plan.meanMemberLoad());
 	}
 
 	void plan() {
@@ -42,73 +43,76 @@
 	}
 
 	private double excess() {
-		double busiest = this.board.members().stream().mapToDouble(MemberLoad::utilization).max().orElse(0);
-		return busiest / this.board.meanUtilization() - 1;
+		double busiest = this.plan.members().stream().mapToDouble(MemberLoad::utilization).max().orElse(0);
+		return busiest / this.plan.meanUtilization() - 1;
 	}
 
-	// The share of the space that moved, each move counting less as it ages.
+	// Share of the space that moved recently; each move counts less as it ages.
 	private double recentlyMovedShare() {
-		return this.board.ranges().mapToDouble((piece) -> {
-			double age = this.input.nowMillis() - piece.movedAtMillis();
-			double freshness = piece.touched() ? 1 : Math.clamp(1 - age / PlacementRules.MOVE_HISTORY_MILLIS, 0, 1);
-			return piece.spaceShare() * freshness;
+		return this.plan.ranges().mapToDouble((planned) -> {
+			double age = this.input.nowMillis() - planned.movedAtMillis();
+			double recency = planned.touched() ? 1 : Math.clamp(1 - age / PlacementRules.MOVE_HISTORY_MILLIS, 0, 1);
+			return planned.spaceShare() * recency;
 		}).sum();
 	}
 
 	private boolean shift(boolean large) {
-		MemberLoad donor = this.board.members()
+		MemberLoad donor = this.plan.members()
 			.stream()
 			.max(Comparator.comparingDouble(MemberLoad::utilization))
 			.orElseThrow();
-		MemberLoad receiver = this.board.members().stream().min(this.board.leastUtilizedWith(0)).orElseThrow();
+		MemberLoad receiver = this.plan.members().stream().min(this.plan.leastUtilizedWith(0)).orElseThrow();
 		if (receiver.utilization() > PlacementRules.MAX_RECEIVER_UTILIZATION) {
 			return false;
 		}
-		double mean = this.board.meanUtilization();
+		double mean = this.plan.meanUtilization();
 		double surplus = donor.load() - mean * donor.capacity();
 		double room = mean * receiver.capacity() - receiver.load();
-		double wanted = Math.min(surplus, room);
-		Optional<PlannedRange> piece = choose(donor, wanted, large);
-		piece.ifPresent((chosen) -> this.board.move(chosen, receiver, MoveCause.BALANCE));
-		return piece.isPresent() || splitForMove(donor, wanted, large);
+		double amount = Math.min(surplus, room);
+		Optional<PlannedRange> planned = choose(donor, amount, large);
+		planned.ifPresent((chosen) -> this.plan.move(chosen, receiver, MoveCause.BALANCE));
+		return planned.isPresent() || splitForMove(donor, amount, large);
 	}
 
-	// Of the pieces that fit, the one with the least price for each slot that it moves;
-	// none that would take more than ten moves to make up the surplus.
-	private Optional<PlannedRange> choose(MemberLoad donor, double wanted, boolean large) {
+	// Returns the fitting range with the lowest cost for each busy slot that it moves.
+	// Ranges so small that it would take more than ten moves to remove the surplus are
+	// excluded.
+	private Optional<PlannedRange> choose(MemberLoad donor, double amount, boolean large) {
 		return movable(donor, large)
-			.filter((piece) -> this.board.weight(piece) <= wanted * 1.1 && this.board.weight(piece) >= wanted * 0.1)
+			.filter((planned) -> this.plan.weight(planned) <= amount * 1.1 && this.plan.weight(planned) >= amount * 0.1)
 			.min(Comparator.comparingDouble(this::costPerSlot));
 	}
 
 	private Stream<PlannedRange> movable(MemberLoad donor, boolean large) {
-		Predicate<PlannedRange> rested = (piece) -> !piece.touched()
-				&& this.input.nowMillis() - piece.movedAtMillis() >= PlacementRules.MIN_DWELL_MILLIS;
-		return this.board.rangesOf(donor)
-			.filter(rested)
-			.filter((piece) -> large || piece.spaceShare() < PlacementRules.SMALL_SPACE_SHARE);
+		Predicate<PlannedRange> hasDwelt = (planned) -> !planned.touched()
+				&& this.input.nowMillis() - planned.movedAtMillis() >= PlacementRules.MIN_DWELL_MILLIS;
+		return this.plan.rangesOf(donor)
+			.filter(hasDwelt)
+			.filter((planned) -> large || planned.spaceShare() < PlacementRules.SMALL_SPACE_SHARE);
 	}
 
-	private double costPerSlot(PlannedRange piece) {
+	private double costPerSlot(PlannedRange planned) {
 		PlacementWeights weights = this.input.weights();
-		double total = Math.max(Double.MIN_NORMAL, this.board.meanMemberLoad() * this.board.members().size());
-		double warmState = weights.churn() * piece.spaceShare();
-		// While it moves, its requests wait; a cold neighbour's wait hurts fewer callers.
-		double unserved = weights.unavailable() * piece.busySlots() / total;
-		return (warmState + unserved) / this.board.weight(piece);
+		double total = Math.max(Double.MIN_NORMAL, this.plan.meanMemberLoad() * this.plan.members().size());
+		double warmState = weights.churn() * planned.spaceShare();
+		// The requests of a range wait while it moves, so moving a less busy range
+		// affects
+		// fewer callers.
+		double unserved = weights.unavailable() * planned.busySlots() / total;
+		return (warmState + unserved) / this.plan.weight(planned);
 	}
 
-	private boolean splitForMove(MemberLoad donor, double wanted, boolean large) {
-		if (this.board.rangeCount() >= PlacementRules.MAX_RANGES_PER_MEMBER * this.board.members().size()) {
+	private boolean splitForMove(MemberLoad donor, double amount, boolean large) {
+		if (this.plan.rangeCount() >= PlacementRules.MAX_RANGES_PER_MEMBER * this.plan.members().size()) {
 			return false;
 		}
-		double hotFrom = this.board.meanMemberLoad() * PlacementRules.MAX_RANGE_LOAD_SHARE;
-		Optional<PlannedRange> candidate = this.board.rangesOf(donor)
-			.filter((piece) -> !piece.touched() && !piece.single())
-			.filter((piece) -> this.board.weight(piece) > wanted * 1.1)
-			.filter((piece) -> large || piece.hottest().filter((hot) -> hot.busySlots() >= hotFrom).isPresent())
-			.max(Comparator.comparingDouble(this.board::weight));
-		candidate.ifPresent((piece) -> BalancingPlacement.split(this.board, piece, hotFrom));
+		double minHotSlots = this.plan.meanMemberLoad() * PlacementRules.MAX_RANGE_LOAD_SHARE;
+		Optional<PlannedRange> candidate = this.plan.rangesOf(donor)
+			.filter((planned) -> !planned.touched() && !planned.single())
+			.filter((planned) -> this.plan.weight(planned) > amount * 1.1)
+			.filter((planned) -> large || planned.hottest().filter((hot) -> hot.busySlots() >= minHotSlots).isPresent())
+			.max(Comparator.comparingDouble(this.plan::weight));
+		candidate.ifPresent((planned) -> BalancingPlacement.split(this.plan, planned, minHotSlots));
 		return candidate.isPresent();
 	}
 
--- a/core/src/main/java/org/brasspier/core/placement/MemberLoad.java
+++ b/core/src/main/java/org/brasspier/core/placement/MemberLoad.java
@@ -3,7 +3,7 @@
 import org.brasspier.core.placement.PlacementInput.Member;
 
 /**
- * A member that may own ranges, with the load that the plan gives it. Not thread-safe.
+ * A member that may own ranges, with its load under the plan. Not thread-safe.
  */
 final class MemberLoad {
 
@@ -11,7 +11,7 @@
 
 	private double load;
 
-	private int pieces;
+	private int rangeCount;
 
 	MemberLoad(Member member) {
 		this.member = member;
@@ -25,8 +25,8 @@
 		return this.load;
 	}
 
-	int pieces() {
-		return this.pieces;
+	int rangeCount() {
+		return this.rangeCount;
 	}
 
 	double capacity() {
@@ -43,12 +43,12 @@
 
 	void add(double weight) {
 		this.load += weight;
-		this.pieces++;
+		this.rangeCount++;
 	}
 
 	void remove(double weight) {
 		this.load -= weight;
-		this.pieces--;
+		this.rangeCount--;
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/placement/PlacementInput.java
+++ b/core/src/main/java/org/brasspier/core/placement/PlacementInput.java
@@ -9,13 +9,13 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * What a placement decision is made from. Immutable and thread-safe.
+ * Input of a placement decision. Immutable and thread-safe.
  *
- * @param nowMillis the time on the lease manager's monotonic clock, in milliseconds
+ * @param nowMillis current time on the lease manager's monotonic clock, in milliseconds
  * @param service the service
  * @param members the instances whose backend server belongs to the service
  * @param ranges all ranges of the service, in order and without gaps
- * @param weights how the operators weigh the three measures
+ * @param weights the operators' weights of the three measures
  */
 public record PlacementInput(long nowMillis, ServiceName service, List<Member> members, List<Range> ranges,
 		PlacementWeights weights) {
@@ -29,20 +29,20 @@
 	}
 
 	/**
-	 * What an instance may be given.
+	 * Which ranges an instance may own.
 	 */
 	public enum Phase {
 
-		/** It may own its full share. */
+		/** May own its full share. */
 		ACTIVE,
 
-		/** It has just come and gets its share step by step. */
+		/** Has joined recently; its share grows step by step. */
 		COLD,
 
-		/** It is leaving: what it owns must go, nothing may come. */
+		/** Is leaving: its ranges must move away and it gets no others. */
 		LEAVING,
 
-		/** It is gone: what it owned has no owner. */
+		/** Is lost: its ranges have no owner. */
 		LOST
 
 	}
@@ -52,9 +52,10 @@
 	 *
 	 * @param instance its identity
 	 * @param domain its failure domain
-	 * @param slots how many requests its backend server runs at once
-	 * @param phase what it may be given
-	 * @param warmShare the share of its capacity it may be given now, above 0 to 1
+	 * @param slots how many requests its backend server runs concurrently
+	 * @param phase which ranges it may own
+	 * @param warmShare the share of its capacity that it may be given now, more than 0
+	 * and at most 1
 	 */
 	public record Member(InstanceId instance, FailureDomain domain, int slots, Phase phase, double warmShare) {
 
@@ -64,11 +65,11 @@
 	 * A range as placement sees it.
 	 *
 	 * @param range the points
-	 * @param owner who owns it, if anybody does
+	 * @param owner its owner, if it has one
 	 * @param busySlots how many slots its requests kept busy on average over the last
 	 * window, measured by the owner's daemon
-	 * @param hottest the hottest single point in it, if one stands out
-	 * @param movedAtMillis when it last changed its owner, on the clock of nowMillis
+	 * @param hottest its hottest single point, if one stands out
+	 * @param movedAtMillis when its owner last changed, on the clock of nowMillis
 	 */
 	public record Range(KeyRange range, Optional<InstanceId> owner, double busySlots, Optional<HotPoint> hottest,
 			long movedAtMillis) {
@@ -76,7 +77,7 @@
 	}
 
 	/**
-	 * A single point that carries much load.
+	 * A single point with high load.
 	 *
 	 * @param point the point of the hash space
 	 * @param busySlots how many slots its requests kept busy on average
--- a/core/src/main/java/org/brasspier/core/placement/PlacementRules.java
+++ b/core/src/main/java/org/brasspier/core/placement/PlacementRules.java
@@ -3,59 +3,59 @@
 import java.time.Duration;
 
 /**
- * The numbers that placement works with, worked out from how operators weigh the
- * measures. Immutable and thread-safe.
+ * Thresholds of placement, derived from the operators' weights. Immutable and
+ * thread-safe.
  *
- * @param trigger the excess of the busiest member over the mean from which load is
- * shifted
- * @param target the excess at which shifting stops
+ * @param trigger the excess of the busiest member over the mean above which load is moved
+ * @param target the excess at which moving stops
  */
 record PlacementRules(double trigger, double target) {
 
 	/**
-	 * A range rests this long where it has come: moves back and forth would cost warm
-	 * state each time. Hot keys change each minute on a summer Saturday, so a longer rest
-	 * would pin yesterday's answer.
+	 * Minimum time between two moves of a range. Moving it back and forth would lose warm
+	 * state each time. Hot keys can change every minute under peak load, so a longer time
+	 * would keep a placement that is already outdated.
 	 */
 	static final long MIN_DWELL_MILLIS = Duration.ofMinutes(1).toMillis();
 
-	/** How far back moves count against further ones. */
+	/** Period in which earlier moves raise the trigger for further ones. */
 	static final long MOVE_HISTORY_MILLIS = Duration.ofMinutes(10).toMillis();
 
 	/**
-	 * The share of the key space that may have moved lately before the trigger doubles. A
-	 * tenth in ten minutes: about what one join in a deployment of ten moves.
+	 * Share of the key space that may have moved recently before the trigger doubles. A
+	 * tenth in ten minutes is about what one join moves in a deployment of ten members.
 	 */
 	static final double MOVED_SHARE = 0.1;
 
 	/**
-	 * More than this counts as this much: when all ranges have just been placed for the
-	 * first time, a member with twice its share must still be relieved.
+	 * Upper limit of the recently moved share that is taken into account. When all ranges
+	 * have just been assigned for the first time, a member with twice its share must
+	 * still be relieved.
 	 */
 	static final double MAX_MOVED_SHARE = 0.2;
 
 	/**
-	 * The largest piece, as a share of one member's fair load, that is handed out whole:
-	 * eight pieces a member let a lost member's load spread to within an eighth.
+	 * Largest load of a range that is assigned without splitting it, as a share of one
+	 * member's fair load. With eight ranges a member, the load of a lost member spreads
+	 * evenly to within an eighth.
 	 */
 	static final double MAX_RANGE_LOAD_SHARE = 1.0 / 8;
 
-	/** More pieces a member than this are merged. */
+	/** Ranges are merged while there are more than this number for each member. */
 	static final int TARGET_RANGES_PER_MEMBER = 12;
 
-	/** More pieces a member than this are never made: the cell's row must stay small. */
+	/** Maximum number of ranges for each member, since the cell's row must stay small. */
 	static final int MAX_RANGES_PER_MEMBER = 32;
 
-	/** Load shifts in one plan; the next window shows what they did. */
+	/** Maximum number of load moves in one plan; the next window shows their effect. */
 	static final int MAX_SHIFTS = 8;
 
-	/** A piece of less than this share of the space costs next to no warm state. */
+	/** Moving a range of less than this share of the space costs almost no warm state. */
 	static final double SMALL_SPACE_SHARE = 0.001;
 
 	/**
-	 * A member that is busier than this takes nothing over: when all are full, a move
-	 * only takes the queue elsewhere and costs warm state when there is least time for
-	 * it.
+	 * Members above this utilization receive no ranges. When all members are full, a move
+	 * only moves the queue, and costs warm state at the worst time.
 	 */
 	static final double MAX_RECEIVER_UTILIZATION = 0.85;
 
@@ -66,16 +66,16 @@
 	private static final double MAX_TRIGGER = 0.14;
 
 	/**
-	 * A mean of n busy slots over the window is uncertain by about 0.1 / sqrt(n); steady
-	 * load must not look like a reason to move.
+	 * A mean of n busy slots over the window has an error of about 0.1 / sqrt(n); under
+	 * steady load this must not cause moves.
 	 */
 	private static final double MEASUREMENT_ERROR = 0.12;
 
-	static PlacementRules of(PlacementWeights weights, double meanSeatLoad) {
+	static PlacementRules of(PlacementWeights weights, double meanMemberLoad) {
 		double others = (weights.churn() + weights.unavailable()) / 2;
 		double ratio = (weights.imbalance() > 0) ? others / weights.imbalance() : Double.MAX_VALUE;
 		double base = Math.clamp(BASE_TRIGGER * ratio, MIN_TRIGGER, MAX_TRIGGER);
-		return new PlacementRules(base + MEASUREMENT_ERROR / Math.sqrt(Math.max(1.0 / 16, meanSeatLoad)), base / 2);
+		return new PlacementRules(base + MEASUREMENT_ERROR / Math.sqrt(Math.max(1.0 / 16, meanMemberLoad)), base / 2);
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/placement/PlacementStep.java
+++ b/core/src/main/java/org/brasspier/core/placement/PlacementStep.java
@@ -9,20 +9,20 @@
 public sealed interface PlacementStep {
 
 	/**
-	 * Gives a range to another instance.
+	 * Moves a range to another instance.
 	 *
-	 * @param range the range as it stands after the splits of the same plan
-	 * @param to who gets it
-	 * @param cause why, for churn's account
+	 * @param range the range as it is after the splits of the same plan
+	 * @param to the new owner
+	 * @param cause the reason, for the churn measure
 	 */
 	record Move(KeyRange range, InstanceId to, MoveCause cause) implements PlacementStep {
 
 	}
 
 	/**
-	 * Cuts a range in two with the same owner and fence, so that a part can move.
+	 * Splits a range into two with the same owner and fence, so that one part can move.
 	 *
-	 * @param range the range as it stands
+	 * @param range the range before the split
 	 * @param at the first point of the second part
 	 */
 	record Split(KeyRange range, long at) implements PlacementStep {
@@ -30,8 +30,7 @@
 	}
 
 	/**
-	 * Joins two neighbouring ranges of one owner, so that the number of ranges stays
-	 * bounded.
+	 * Merges two adjacent ranges of one owner, to bound the number of ranges.
 	 *
 	 * @param first the lower range
 	 * @param second the range right after it
@@ -45,19 +44,19 @@
 	 */
 	enum MoveCause {
 
-		/** It had no owner. */
+		/** It has no owner. */
 		LOSS,
 
 		/** Its owner is leaving. */
 		LEAVING,
 
-		/** An instance has joined and takes its share. */
+		/** An instance has joined and gets its share. */
 		JOIN,
 
-		/** Load was uneven. */
+		/** Load is uneven. */
 		BALANCE,
 
-		/** An operator ordered it. */
+		/** An operator requested it. */
 		ORDER
 
 	}
--- a/core/src/main/java/org/brasspier/core/placement/PlacementWeights.java
+++ b/core/src/main/java/org/brasspier/core/placement/PlacementWeights.java
@@ -1,16 +1,16 @@
 package org.brasspier.core.placement;
 
 /**
- * How operators weigh the three measures against each other, from the configuration
- * document. Only their ratios count. Immutable and thread-safe.
+ * The operators' weights of the three measures, from the configuration document. Only
+ * their ratios matter. Immutable and thread-safe.
  *
- * @param imbalance the price of load that is spread unevenly
- * @param churn the price of moving warm state
- * @param unavailable the price of the time in which a moving range is not served
+ * @param imbalance cost of unevenly distributed load
+ * @param churn cost of moving warm state
+ * @param unavailable cost of the time in which a moving range is not served
  */
 public record PlacementWeights(double imbalance, double churn, double unavailable) {
 
-	/** All three count the same. */
+	/** Equal weights. */
 	public static final PlacementWeights EQUAL = new PlacementWeights(1, 1, 1);
 
 	/**
--- a/core/src/main/java/org/brasspier/core/placement/PlanBuilder.java
+++ b/core/src/main/java/org/brasspier/core/placement/PlanBuilder.java
@@ -18,21 +18,20 @@
 import org.brasspier.core.placement.PlacementStep.MoveCause;
 
 /**
- * The ranges and members of one service while a plan is made: every step that is taken
- * here is recorded. Not thread-safe.
+ * Ranges and members of one service during planning. Applies each step to this state and
+ * records it. Not thread-safe.
  */
 final class PlanBuilder {
 
 	/**
-	 * The load that a range is taken to have for its size alone, as a share of what the
-	 * service carries: ranges that rest now will have requests one day, so they are
-	 * spread as well.
+	 * Load attributed to ranges for their size alone, as a share of the service's load.
+	 * Idle ranges may get requests later, so they are spread as well.
 	 */
 	private static final double IDLE_LOAD_SHARE = 0.05;
 
 	/**
-	 * The least load to reckon with, as a share of all slots. Made for a service that has
-	 * just started: a handful of requests must not decide who owns how much of the space.
+	 * Minimum load to assume, as a share of all slots. Without it, a few requests would
+	 * decide how the space of a service that has just started is divided.
 	 */
 	private static final double MIN_LOAD_SHARE = 0.01;
 
@@ -57,17 +56,17 @@
 			.filter((member) -> member.phase() == Phase.ACTIVE || member.phase() == Phase.COLD)
 			.collect(Collectors.toMap(Member::instance, MemberLoad::new, (first, second) -> first, TreeMap::new));
 		double busy = input.ranges().stream().mapToDouble(PlacementInput.Range::busySlots).sum();
-		int slots = this.members.values().stream().mapToInt((seat) -> seat.member().slots()).sum();
+		int slots = this.members.values().stream().mapToInt((member) -> member.member().slots()).sum();
 		this.idleLoad = Math.max(MIN_LOAD_SHARE * Math.max(1, slots), busy * IDLE_LOAD_SHARE);
 		input.ranges().forEach(this::addRange);
 	}
 
 	private void addRange(PlacementInput.Range range) {
-		// An owner that nobody lists any more is as good as lost.
+		// An owner that is not among the members counts as lost.
 		Optional<InstanceId> owner = range.owner().filter((instance) -> phase(instance) != Phase.LOST);
-		PlannedRange piece = PlannedRange.of(range, owner);
-		this.ranges.put(range.range().low(), piece);
-		ownerOf(piece).ifPresent((seat) -> seat.add(weight(piece)));
+		PlannedRange planned = PlannedRange.of(range, owner);
+		this.ranges.put(range.range().low(), planned);
+		ownerOf(planned).ifPresent((member) -> member.add(weight(planned)));
 	}
 
 	Collection<MemberLoad> members() {
@@ -78,16 +77,16 @@
 		return List.copyOf(this.ranges.values()).stream();
 	}
 
-	Stream<PlannedRange> rangesOf(MemberLoad seat) {
-		return ranges().filter((piece) -> piece.owner().filter(seat.member().instance()::equals).isPresent());
+	Stream<PlannedRange> rangesOf(MemberLoad member) {
+		return ranges().filter((planned) -> planned.owner().filter(member.member().instance()::equals).isPresent());
 	}
 
 	int rangeCount() {
 		return this.ranges.size();
 	}
 
-	Optional<MemberLoad> ownerOf(PlannedRange piece) {
-		return piece.owner().map(this.members::get);
+	Optional<MemberLoad> ownerOf(PlannedRange planned) {
+		return planned.owner().map(this.members::get);
 	}
 
 	Phase phase(InstanceId instance) {
@@ -99,60 +98,61 @@
 			.orElse(Phase.LOST);
 	}
 
-	double weight(PlannedRange piece) {
-		return piece.busySlots() + piece.spaceShare() * this.idleLoad;
+	double weight(PlannedRange planned) {
+		return planned.busySlots() + planned.spaceShare() * this.idleLoad;
 	}
 
 	double capacity() {
 		return this.members.values().stream().mapToDouble(MemberLoad::capacity).sum();
 	}
 
-	// What all pieces weigh, owned or not, over what the seats can take.
+	// Weight of all ranges, owned or not, divided by the capacity of all members.
 	double meanUtilization() {
 		return this.ranges.values().stream().mapToDouble(this::weight).sum() / capacity();
 	}
 
-	// How far a piece is from carrying the usual load for its size, on a scale on which
-	// twice and half are equally far.
-	double densityDeviation(PlannedRange piece) {
+	// Distance of a range's load density from the service's mean, on a logarithmic scale:
+	// twice the mean and half the mean are equally far.
+	double densityDeviation(PlannedRange planned) {
 		double all = this.ranges.values().stream().mapToDouble(this::weight).sum();
-		return Math.abs(Math.log(weight(piece) / all / piece.spaceShare()));
+		return Math.abs(Math.log(weight(planned) / all / planned.spaceShare()));
 	}
 
 	double meanMemberLoad() {
 		return this.ranges.values().stream().mapToDouble(this::weight).sum() / Math.max(1, this.members.size());
 	}
 
-	double domainLoad(MemberLoad seat) {
+	double domainLoad(MemberLoad member) {
 		return this.members.values()
 			.stream()
-			.filter((other) -> other.member().domain().equals(seat.member().domain()))
+			.filter((other) -> other.member().domain().equals(member.member().domain()))
 			.mapToDouble(MemberLoad::utilization)
 			.sum();
 	}
 
 	Comparator<MemberLoad> leastUtilizedWith(double weight) {
-		return Comparator.comparingDouble((MemberLoad seat) -> seat.utilizationWith(weight))
+		return Comparator.comparingDouble((MemberLoad member) -> member.utilizationWith(weight))
 			.thenComparingDouble(this::domainLoad)
-			.thenComparing((seat) -> seat.member().instance());
+			.thenComparing((member) -> member.member().instance());
 	}
 
-	void move(PlannedRange piece, MemberLoad to, MoveCause cause) {
-		ownerOf(piece).ifPresent((seat) -> seat.remove(weight(piece)));
-		this.ranges.put(piece.range().low(), piece.ownedBy(to.member().instance()));
-		to.add(weight(piece));
-		this.moves.add(new PlacementStep.Move(piece.range(), to.member().instance(), cause));
+	void move(PlannedRange planned, MemberLoad to, MoveCause cause) {
+		ownerOf(planned).ifPresent((member) -> member.remove(weight(planned)));
+		this.ranges.put(planned.range().low(), planned.ownedBy(to.member().instance()));
+		to.add(weight(planned));
+		this.moves.add(new PlacementStep.Move(planned.range(), to.member().instance(), cause));
 	}
 
-	void split(PlannedRange piece, long at) {
-		replace(piece, List.of(piece.part(piece.range().low(), at), piece.part(at, piece.range().high())));
-		this.splits.add(new PlacementStep.Split(piece.range(), at));
+	void split(PlannedRange planned, long at) {
+		replace(planned, List.of(planned.part(planned.range().low(), at), planned.part(at, planned.range().high())));
+		this.splits.add(new PlacementStep.Split(planned.range(), at));
 	}
 
-	// Cuts a hot point out of its neighbours, so that either can move alone.
-	void isolate(PlannedRange piece, HotPoint hot) {
-		PlannedRange rest = piece;
-		if (hot.point() > piece.range().low()) {
+	// Splits a hot point off from both of its neighbours, so that each part can move
+	// alone.
+	void isolate(PlannedRange planned, HotPoint hot) {
+		PlannedRange rest = planned;
+		if (hot.point() > planned.range().low()) {
 			split(rest, hot.point());
 			rest = rangeStartingAt(hot.point());
 		}
@@ -162,7 +162,7 @@
 	}
 
 	void merge(PlannedRange first, PlannedRange second) {
-		ownerOf(first).ifPresent((seat) -> seat.remove(0));
+		ownerOf(first).ifPresent((member) -> member.remove(0));
 		this.ranges.remove(second.range().low());
 		KeyRange joined = new KeyRange(first.range().low(), second.range().high());
 		this.ranges.put(joined.low(), new PlannedRange(joined, first.owner(), first.busySlots() + second.busySlots(),
@@ -171,22 +171,23 @@
 	}
 
 	private PlannedRange rangeStartingAt(long low) {
-		PlannedRange piece = this.ranges.get(low);
-		if (piece == null) {
+		PlannedRange planned = this.ranges.get(low);
+		if (planned == null) {
 			throw new IllegalStateException("no range begins at %d".formatted(low));
 		}
-		return piece;
+		return planned;
 	}
 
-	private void replace(PlannedRange piece, List<PlannedRange> parts) {
-		ownerOf(piece).ifPresent((seat) -> {
-			seat.remove(weight(piece));
-			parts.forEach((part) -> seat.add(weight(part)));
+	private void replace(PlannedRange planned, List<PlannedRange> parts) {
+		ownerOf(planned).ifPresent((member) -> {
+			member.remove(weight(planned));
+			parts.forEach((part) -> member.add(weight(part)));
 		});
 		parts.forEach((part) -> this.ranges.put(part.range().low(), part));
 	}
 
-	// Splits first, since moves name the ranges that they make; merges touch neither.
+	// Splits come first, since moves refer to the ranges that they create; merges affect
+	// neither.
 	List<PlacementStep> steps() {
 		List<PlacementStep> all = new ArrayList<>(this.splits);
 		all.addAll(this.moves);
--- a/core/src/main/java/org/brasspier/core/placement/PlannedRange.java
+++ b/core/src/main/java/org/brasspier/core/placement/PlannedRange.java
@@ -8,14 +8,14 @@
 import org.brasspier.core.placement.PlacementInput.HotPoint;
 
 /**
- * A range while a plan is made. Immutable.
+ * A range during planning. Immutable.
  *
  * @param range the points
- * @param owner who owns it after the steps planned so far
- * @param busySlots what its requests kept busy
- * @param hottest the hottest point in it
- * @param movedAtMillis when it last changed its owner
- * @param touched whether this plan has moved or cut it
+ * @param owner its owner after the steps planned so far
+ * @param busySlots how many slots its requests keep busy on average
+ * @param hottest its hottest point, if one stands out
+ * @param movedAtMillis when its owner last changed
+ * @param touched whether this plan has moved or split it
  */
 record PlannedRange(KeyRange range, Optional<InstanceId> owner, double busySlots, Optional<HotPoint> hottest,
 		long movedAtMillis, boolean touched) {
@@ -30,8 +30,9 @@
 	}
 
 	/**
-	 * The part between two points, with the load that falls on it: the hot point's on the
-	 * part it lies in, the rest by the number of points, since nothing finer is known.
+	 * Returns the part between two points. The load of the hot point goes to the part
+	 * that contains it; the rest is divided by the number of points, since there is no
+	 * finer measurement.
 	 * @param low the first point
 	 * @param high the point after the last
 	 * @return the part
--- a/core/src/main/java/org/brasspier/core/placement/RangeMerger.java
+++ b/core/src/main/java/org/brasspier/core/placement/RangeMerger.java
@@ -6,26 +6,29 @@
 import org.brasspier.core.placement.PlacementStep.MoveCause;
 
 /**
- * Joins ranges that no longer need to be apart, so that the number of ranges stays
- * bounded while hot keys come and go. A point that has cooled first goes back to a
- * neighbour's owner. Not thread-safe.
+ * Merges adjacent ranges that no longer need to be separate, so that the number of ranges
+ * stays bounded while hot keys come and go. A hot point that has cooled down is first
+ * moved to the owner of the next range. Not thread-safe.
  */
 final class RangeMerger {
 
-	/** Merges in one plan, so that the row changes by little at a time. */
+	/**
+	 * Maximum number of merges in one plan, so that the row changes only a little at a
+	 * time.
+	 */
 	private static final int MAX_MERGES = 8;
 
-	private final PlanBuilder board;
+	private final PlanBuilder plan;
 
 	private final PlacementInput input;
 
-	RangeMerger(PlanBuilder board, PlacementInput input) {
-		this.board = board;
+	RangeMerger(PlanBuilder plan, PlacementInput input) {
+		this.plan = plan;
 		this.input = input;
 	}
 
 	void plan() {
-		int surplus = this.board.rangeCount() - PlacementRules.TARGET_RANGES_PER_MEMBER * this.board.members().size();
+		int surplus = this.plan.rangeCount() - PlacementRules.TARGET_RANGES_PER_MEMBER * this.plan.members().size();
 		for (int merges = Math.min(surplus, MAX_MERGES); merges > 0; merges--) {
 			if (!mergeOne()) {
 				return;
@@ -34,25 +37,25 @@
 	}
 
 	private boolean mergeOne() {
-		List<PlannedRange> pieces = this.board.ranges().toList();
-		for (int i = 0; i + 1 < pieces.size(); i++) {
-			PlannedRange first = pieces.get(i);
-			PlannedRange second = pieces.get(i + 1);
+		List<PlannedRange> plannedRanges = this.plan.ranges().toList();
+		for (int i = 0; i + 1 < plannedRanges.size(); i++) {
+			PlannedRange first = plannedRanges.get(i);
+			PlannedRange second = plannedRanges.get(i + 1);
 			if (canMerge(first, second) && first.owner().equals(second.owner())) {
-				this.board.merge(first, second);
+				this.plan.merge(first, second);
 				return true;
 			}
 		}
-		return returnCooledPoint(pieces);
+		return returnCooledPoint(plannedRanges);
 	}
 
-	private boolean returnCooledPoint(List<PlannedRange> pieces) {
-		for (int i = 0; i + 1 < pieces.size(); i++) {
-			PlannedRange first = pieces.get(i);
-			PlannedRange second = pieces.get(i + 1);
-			Optional<MemberLoad> home = this.board.ownerOf(second);
+	private boolean returnCooledPoint(List<PlannedRange> plannedRanges) {
+		for (int i = 0; i + 1 < plannedRanges.size(); i++) {
+			PlannedRange first = plannedRanges.get(i);
+			PlannedRange second = plannedRanges.get(i + 1);
+			Optional<MemberLoad> home = this.plan.ownerOf(second);
 			if (first.single() && canMerge(first, second) && home.isPresent()) {
-				this.board.move(first, home.get(), MoveCause.BALANCE);
+				this.plan.move(first, home.get(), MoveCause.BALANCE);
 				return true;
 			}
 		}
@@ -60,14 +63,14 @@
 	}
 
 	private boolean canMerge(PlannedRange first, PlannedRange second) {
-		double together = this.board.weight(first) + this.board.weight(second);
-		return rested(first) && rested(second)
-				&& together < this.board.meanMemberLoad() * PlacementRules.MAX_RANGE_LOAD_SHARE / 2;
+		double together = this.plan.weight(first) + this.plan.weight(second);
+		return hasDwelt(first) && hasDwelt(second)
+				&& together < this.plan.meanMemberLoad() * PlacementRules.MAX_RANGE_LOAD_SHARE / 2;
 	}
 
-	private boolean rested(PlannedRange piece) {
-		return !piece.touched() && piece.owner().isPresent()
-				&& this.input.nowMillis() - piece.movedAtMillis() >= PlacementRules.MIN_DWELL_MILLIS;
+	private boolean hasDwelt(PlannedRange planned) {
+		return !planned.touched() && planned.owner().isPresent()
+				&& this.input.nowMillis() - planned.movedAtMillis() >= PlacementRules.MIN_DWELL_MILLIS;
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/placement/SpreadUnowned.java
+++ b/core/src/main/java/org/brasspier/core/placement/SpreadUnowned.java
@@ -13,8 +13,8 @@
 import org.brasspier.core.placement.PlacementInput.Range;
 
 /**
- * The least that must be done: ranges without an owner, or of an owner that leaves, go
- * one by one to the instance that owns the fewest points for its slots. Stateless and
+ * The minimal policy: assigns ranges that have no owner, or whose owner is leaving, one
+ * by one to the instance that owns the fewest points for each slot. Stateless and
  * thread-safe.
  */
 public final class SpreadUnowned implements PlacementPolicy {
--- a/core/src/main/java/org/brasspier/core/placement/package-info.java
+++ b/core/src/main/java/org/brasspier/core/placement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which instance should own which range, and which moves are worth their price.
+ * Decides which instance owns which range and which moves are worth their cost.
  */
 @NullMarked
 package org.brasspier.core.placement;
--- a/core/src/test/java/org/brasspier/core/placement/BalancingPlacementTests.java
+++ b/core/src/test/java/org/brasspier/core/placement/BalancingPlacementTests.java
@@ -39,8 +39,8 @@
 	}
 
 	/**
-	 * All crews of a lost server's marinas wait on one survivor: its ranges all went to
-	 * the same member. They must spread, and nothing else may move.
+	 * Guards against overloading one survivor of a lost member because all the lost
+	 * ranges go to it. They must spread, and nothing else may move.
 	 */
 	@Test
 	void aLostMembersRangesSpreadAndNothingElseMoves() {
@@ -66,9 +66,9 @@
 	}
 
 	/**
-	 * Tellers queue at one server from the first minute on: while the service started, a
-	 * few requests had touched one range, and who joined got that range alone for its
-	 * share of the load.
+	 * Guards against unbalanced shares from the start of a service: a few requests had
+	 * touched one range while the service started, and a joining member got that range
+	 * alone as its share of the load.
 	 */
 	@Test
 	void aMemberThatJoinsAnIdleServiceGetsItsShareOfTheSpace() {
@@ -88,9 +88,9 @@
 	}
 
 	/**
-	 * Tellers of every other bank on a server wait behind one bank's month-end cheques:
-	 * one key takes most of the server. The key is cut out, and cold neighbours or the
-	 * key itself go elsewhere.
+	 * Guards against one hot key that takes most of a server and delays all other keys
+	 * there. The key is split off, and either the other ranges or the key itself move to
+	 * other servers.
 	 */
 	@Test
 	void aHotPointIsIsolatedAndItsServerRelieved() {
@@ -155,7 +155,7 @@
 			.toList();
 	}
 
-	// Load after a plan, reckoned apart from the planner's own sums.
+	// Computes the load after a plan independently of the planner's own sums.
 	private record Simulated(List<Range> before, List<PlacementStep> steps) {
 
 		static Simulated after(List<Range> before, List<PlacementStep> steps) {
--- a/core/src/test/java/org/brasspier/core/placement/LoadMeterTests.java
+++ b/core/src/test/java/org/brasspier/core/placement/LoadMeterTests.java
@@ -31,53 +31,54 @@
 	}
 
 	@Test
-	void whatEndedIsForgotten() {
+	void loadDecaysAfterRequestsStop() {
 		run(120, 0.3);
 		assertThat(this.meter.busySlots(KeyRange.ALL, 0, 300 * SECOND)).isLessThan(0.01);
 	}
 
 	/**
-	 * One server keeps nearly all keys after a start: the first request that a daemon
-	 * measured looked like thousands of busy slots and decided who got what.
+	 * Guards against one server that keeps nearly all keys after a start: the first
+	 * measured request looked like thousands of busy slots and decided the placement.
 	 */
 	@Test
-	void theFirstRequestOfAServiceIsNoGreatLoad() {
+	void theFirstRequestOfAServiceCountsAsLittleLoad() {
 		this.meter.record(new KeyHash(1), SECOND / 50, 0);
 		assertThat(this.meter.busySlots(KeyRange.ALL, 0, 1)).isLessThan(0.01);
 	}
 
 	/**
-	 * Tellers queue at the server that a busy range has just come to: its daemon took the
-	 * second that it had seen of the range for its whole window, so the server looked
-	 * nearly empty and was given more.
+	 * Guards against overloading a server to which a busy range has just moved. Its
+	 * daemon averaged one second of observations over the whole window, so the server
+	 * looked nearly empty and was given more ranges.
 	 */
 	@Test
-	void aRangeThatHasJustComeShowsItsWholeLoad() {
-		KeyRange come = new KeyRange(0, 1000);
+	void aRangeThatHasJustMovedShowsItsFullLoad() {
+		KeyRange moved = new KeyRange(0, 1000);
 		for (int i = 0; i < 500; i++) {
 			this.meter.record(new KeyHash(i % 7), SECOND / 100, 60 * SECOND + i * SECOND / 100);
 		}
-		assertThat(this.meter.busySlots(come, 60 * SECOND, 65 * SECOND)).isWithin(0.1).of(1);
+		assertThat(this.meter.busySlots(moved, 60 * SECOND, 65 * SECOND)).isWithin(0.1).of(1);
 	}
 
 	/**
-	 * Most of a service moved at once, on steady load: a range had come back to a server,
-	 * and what it did there before was counted over the two seconds since.
+	 * Guards against moving most of a service at once under steady load. A range had
+	 * moved back to a server, and its load before that was divided by the two seconds
+	 * since the move.
 	 */
 	@Test
-	void aRangeThatHasComeBackShowsNothingOfItsEarlierStay() {
+	void aRangeThatHasMovedBackShowsNoEarlierLoad() {
 		run(60, 0.3);
 		this.meter.forget(KeyRange.ALL);
 		assertThat(this.meter.busySlots(KeyRange.ALL, 60 * SECOND, 61 * SECOND)).isLessThan(0.01);
 	}
 
 	/**
-	 * Ranges move back and forth while auditors pull long histories at a steady rate: a
-	 * few reads of a second more or less in the last ten seconds looked like load that
-	 * had become uneven.
+	 * Guards against moving ranges back and forth under a steady rate of long reads: a
+	 * few reads of one second more or less in the last ten seconds looked like a change
+	 * of load.
 	 */
 	@Test
-	void aFewLongReadsByChanceAreNoChangeOfLoad() {
+	void randomLongReadsDoNotLookLikeAChangeOfLoad() {
 		LoadMeter busy = new LoadMeter(10 * SECOND, 0);
 		double worst = 0;
 		for (int i = 0; i < 3 * 900; i++) {
