--- a/core/src/main/java/org/brasspier/core/ownership/CellRow.java
+++ b/core/src/main/java/org/brasspier/core/ownership/CellRow.java
@@ -11,22 +11,23 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * What the table keeps of a cell. Whoever wrote the latest version decides; a member that
- * has a lease and knows a version holds what that version gives it. Immutable and
- * thread-safe.
+ * The state of a cell that is stored in the table. The latest version is authoritative; a
+ * member that has a lease and knows a version holds the ranges that this version assigns
+ * to it. Immutable and thread-safe.
  *
- * @param epoch grows each time the lease managers change
+ * @param epoch increases each time the lease managers change
  * @param managers the lease managers; empty once the last member has left
- * @param unclosed earlier lease managers that may still be renewing
+ * @param unclosed earlier lease managers that may still be renewing leases
  * @param members the members, by instance
  * @param drained instances that operators took out of service
  * @param ranges the ranges, by service and point
- * @param challenger who asks the lease managers to show that they reach the table
+ * @param challenger the member that asks the lease managers to show that they reach the
+ * table
  */
 public record CellRow(long epoch, Optional<ManagerPair> managers, List<ManagerPair> unclosed, List<MemberInfo> members,
 		Set<InstanceId> drained, List<RangeState> ranges, Optional<MemberKey> challenger) {
 
-	/** The row before the first member has come. */
+	/** The row before the first member has joined. */
 	public static final CellRow EMPTY = new CellRow(0, Optional.empty(), List.of(), List.of(), Set.of(), List.of(),
 			Optional.empty());
 
@@ -43,16 +44,16 @@
 	}
 
 	/**
-	 * Finds a member.
-	 * @param instance its instance
-	 * @return the member, empty if it is none
+	 * Returns the member that runs on an instance.
+	 * @param instance the instance
+	 * @return the member, empty if there is none
 	 */
 	public Optional<MemberInfo> member(InstanceId instance) {
 		return this.members.stream().filter((member) -> member.instance().equals(instance)).findFirst();
 	}
 
 	/**
-	 * Whether exactly this process is a member.
+	 * Returns whether exactly this process is a member.
 	 * @param key the process
 	 * @return true if it is
 	 */
@@ -61,18 +62,18 @@
 	}
 
 	/**
-	 * The ranges of an instance.
+	 * Returns the ranges that an instance owns.
 	 * @param instance the instance
-	 * @return what it owns
+	 * @return its ranges
 	 */
 	public List<RangeState> ownedBy(InstanceId instance) {
 		return this.ranges.stream().filter((range) -> range.owner().filter(instance::equals).isPresent()).toList();
 	}
 
 	/**
-	 * How long orders that a member gave may take effect after its lease. The owner of a
-	 * request id may pass its order to any server of the service, so the longest of them
-	 * all counts.
+	 * Returns how long a request that a member has sent to a backend server may take
+	 * effect after the member's lease has ended. The owner of a request id may send the
+	 * request to any server of the service, so this is the maximum over all of them.
 	 * @param member the member
 	 * @return the time in milliseconds
 	 */
@@ -85,7 +86,7 @@
 	}
 
 	/**
-	 * The ranges of a service.
+	 * Returns the ranges of a service.
 	 * @param service the service
 	 * @return its ranges in order
 	 */
@@ -94,10 +95,10 @@
 	}
 
 	/**
-	 * The row in the next epoch.
-	 * @param primary who writes the row from now on
+	 * Returns the row in the next epoch.
+	 * @param primary the manager that writes the row from then on
 	 * @param secondary the other manager, if there is one
-	 * @param stillOpen earlier managers that may still be renewing
+	 * @param stillOpen earlier managers that may still be renewing leases
 	 * @return the row, without a challenge
 	 */
 	public CellRow nextEpoch(MemberKey primary, Optional<MemberKey> secondary, List<ManagerPair> stillOpen) {
@@ -107,7 +108,7 @@
 	}
 
 	/**
-	 * The row in the next epoch, with nobody left to manage it.
+	 * Returns the row in the next epoch without any lease manager.
 	 * @return the row
 	 */
 	public CellRow abandoned() {
@@ -116,7 +117,7 @@
 	}
 
 	/**
-	 * The row with other members.
+	 * Returns the row with other members.
 	 * @param others the members
 	 * @return the row
 	 */
@@ -126,7 +127,7 @@
 	}
 
 	/**
-	 * The row with one member added or replaced.
+	 * Returns the row with one member added or replaced.
 	 * @param member the member
 	 * @return the row
 	 */
@@ -137,7 +138,7 @@
 	}
 
 	/**
-	 * The row without a member; its ranges stay as they are.
+	 * Returns the row without a member; its ranges are unchanged.
 	 * @param instance the member's instance
 	 * @return the row
 	 */
@@ -146,7 +147,7 @@
 	}
 
 	/**
-	 * The row with other ranges.
+	 * Returns the row with other ranges.
 	 * @param others the ranges
 	 * @return the row
 	 */
@@ -156,8 +157,8 @@
 	}
 
 	/**
-	 * The row with each range changed.
-	 * @param change what to do with a range
+	 * Returns the row with a function applied to each range.
+	 * @param change the function
 	 * @return the row
 	 */
 	public CellRow mapRanges(UnaryOperator<RangeState> change) {
@@ -165,7 +166,7 @@
 	}
 
 	/**
-	 * The row with other instances taken out of service.
+	 * Returns the row with another set of drained instances.
 	 * @param instances the instances
 	 * @return the row
 	 */
@@ -175,7 +176,8 @@
 	}
 
 	/**
-	 * The row with other pairs that may still be renewing.
+	 * Returns the row with another list of manager pairs that may still be renewing
+	 * leases.
 	 * @param pairs the pairs
 	 * @return the row
 	 */
@@ -184,8 +186,8 @@
 	}
 
 	/**
-	 * The row with or without a challenge.
-	 * @param key who asks, empty to answer
+	 * Returns the row with or without a challenge.
+	 * @param key the challenger, empty to answer a challenge
 	 * @return the row
 	 */
 	public CellRow challengedBy(Optional<MemberKey> key) {
--- a/core/src/main/java/org/brasspier/core/ownership/ControlMessage.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ControlMessage.java
@@ -7,22 +7,23 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * What daemons of a cell tell each other. Each message may be lost, late or doubled;
- * whatever must arrive is sent again until its effect shows. Times are spans or belong to
- * the clock of the process that gets them back; no two clocks are compared. Immutable and
- * thread-safe.
+ * Messages between the daemons of a cell. Any message may be lost, delayed or duplicated;
+ * what must arrive is repeated until its effect is visible. Times are spans or belong to
+ * the clock of the process that gets them back; times of different clocks are never
+ * compared. Immutable and thread-safe.
  */
 public sealed interface ControlMessage {
 
 	/**
-	 * A member tells a lease manager that it's alive.
+	 * Tells a lease manager that a member is alive.
 	 *
 	 * @param incarnation the sender's incarnation
-	 * @param sentAt when it was sent, on the sender's clock
-	 * @param epoch the epoch the sender has acknowledged
-	 * @param version the version of the row the sender knows
-	 * @param leaseLeft how long its lease runs from now, 0 if it has none
-	 * @param document the version of the configuration document it has in force
+	 * @param sentAt time of sending, on the sender's clock
+	 * @param epoch the epoch that the sender has acknowledged
+	 * @param version the version of the row that the sender knows
+	 * @param leaseLeft remaining time of its lease, 0 if it has none
+	 * @param document the version of the configuration document that is in force at the
+	 * sender
 	 */
 	record Heartbeat(int incarnation, long sentAt, long epoch, long version, long leaseLeft,
 			long document) implements ControlMessage {
@@ -32,13 +33,14 @@
 	/**
 	 * A lease manager's answer to a heartbeat.
 	 *
-	 * @param incarnation the incarnation of the member it is for
-	 * @param sentAt from the heartbeat
+	 * @param incarnation the incarnation of the receiver
+	 * @param sentAt the value from the heartbeat
 	 * @param epoch the manager's epoch
-	 * @param version a member whose lease has run out needs at least this version of the
-	 * row before it may hold anything again
-	 * @param lease how long the lease runs from sentAt, 0 if it's not renewed
-	 * @param document the version of the configuration document the manager has in force
+	 * @param version the minimum version of the row that a member whose lease has expired
+	 * must know before it may hold anything again
+	 * @param lease duration of the lease from sentAt, 0 if it is not renewed
+	 * @param document the version of the configuration document that is in force at the
+	 * manager
 	 */
 	record Renewal(int incarnation, long sentAt, long epoch, long version, long lease,
 			long document) implements ControlMessage {
@@ -46,14 +48,14 @@
 	}
 
 	/**
-	 * A lease manager asks the other one to confirm it.
+	 * A lease manager's request for confirmation by the other one.
 	 *
 	 * @param incarnation the sender's incarnation
-	 * @param sentAt when it was sent, on the sender's clock
+	 * @param sentAt time of sending, on the sender's clock
 	 * @param epoch the sender's epoch
-	 * @param version the version of the row the sender knows
-	 * @param revoking members that the primary wants nobody to renew; empty from a
-	 * secondary
+	 * @param version the version of the row that the sender knows
+	 * @param revoking members that the primary asks the receiver not to renew; empty from
+	 * a secondary
 	 */
 	record Beat(int incarnation, long sentAt, long epoch, long version,
 			List<MemberKey> revoking) implements ControlMessage {
@@ -63,11 +65,11 @@
 	/**
 	 * The other manager's answer to a beat.
 	 *
-	 * @param incarnation the incarnation of the manager it is for
-	 * @param sentAt from the beat
+	 * @param incarnation the incarnation of the receiver
+	 * @param sentAt the value from the beat
 	 * @param epoch the sender's epoch
-	 * @param confirmed whether the asking manager may go on renewing
-	 * @param tableAge how long ago the sender's epoch was last seen in the table
+	 * @param confirmed whether the receiver may continue to renew leases
+	 * @param tableAge time since the sender's epoch was last seen in the table
 	 * @param promises members that the sender will not renew
 	 */
 	record BeatAnswer(int incarnation, long sentAt, long epoch, boolean confirmed, long tableAge,
@@ -79,15 +81,15 @@
 	 * A promise not to renew a member.
 	 *
 	 * @param member the member
-	 * @param leaseLeft how long its lease may run as far as the sender knows; if
-	 * negative, how long ago it ran out
+	 * @param leaseLeft the longest remaining time of its lease that the sender knows of;
+	 * if negative, the time since it expired
 	 */
 	record Promised(MemberKey member, long leaseLeft) {
 
 	}
 
 	/**
-	 * The row, after it was certainly written.
+	 * The row, sent only after it was certainly written.
 	 *
 	 * @param row the row
 	 */
@@ -96,7 +98,7 @@
 	}
 
 	/**
-	 * What changed in the row, after the new one was certainly written.
+	 * The changes in the row, sent only after the new row was certainly written.
 	 *
 	 * @param delta the difference
 	 */
@@ -105,16 +107,16 @@
 	}
 
 	/**
-	 * Asks for the whole row: a difference came that doesn't apply to the sender's.
+	 * Requests the whole row after a difference that does not apply to the sender's row.
 	 *
-	 * @param version the version of the row the sender knows
+	 * @param version the version of the row that the sender knows
 	 */
 	record RowRequest(long version) implements ControlMessage {
 
 	}
 
 	/**
-	 * A process asks to be a member, or says that it has changed.
+	 * A request to become a member, or an announcement of changed member information.
 	 *
 	 * @param member the sender
 	 */
@@ -123,7 +125,7 @@
 	}
 
 	/**
-	 * The primary asks a member to let go of ranges.
+	 * The primary's request to a member to release ranges.
 	 *
 	 * @param ranges the ranges
 	 */
@@ -132,7 +134,8 @@
 	}
 
 	/**
-	 * A member has let go of ranges and will not hold them under this fence again.
+	 * Tells the primary that a member has released ranges and will not hold them under
+	 * this fence again.
 	 *
 	 * @param incarnation the sender's incarnation
 	 * @param ranges the ranges with their marks
@@ -142,10 +145,10 @@
 	}
 
 	/**
-	 * A range that was let go of.
+	 * A released range.
 	 *
 	 * @param held the range
-	 * @param marks the marks that go with it
+	 * @param marks the crash marks of the range
 	 */
 	record ReleasedRange(HeldRange held, List<CrashMark> marks) {
 
@@ -162,7 +165,8 @@
 	}
 
 	/**
-	 * A member that hears no lease manager asks the others whether they do.
+	 * Asks another member whether it hears a lease manager; sent by a member that hears
+	 * none.
 	 */
 	record Probe() implements ControlMessage {
 
@@ -172,17 +176,17 @@
 	 * The answer to a probe.
 	 *
 	 * @param incarnation the sender's incarnation
-	 * @param epoch the epoch the sender has acknowledged
-	 * @param heardAgo how long ago it heard of a lease manager; 0 if it is one itself
+	 * @param epoch the epoch that the sender has acknowledged
+	 * @param heardAgo time since it last heard of a lease manager; 0 if it is one itself
 	 */
 	record ProbeAnswer(int incarnation, long epoch, long heardAgo) implements ControlMessage {
 
 	}
 
 	/**
-	 * An operator's order on its way to the primary.
+	 * An operator's order, forwarded to the primary.
 	 *
-	 * @param number the number of the order at the daemon that took it
+	 * @param number the number of the order at the daemon that received it
 	 * @param order the order
 	 */
 	record OrderSent(long number, Order order) implements ControlMessage {
@@ -206,10 +210,10 @@
 	sealed interface Order {
 
 		/**
-		 * Takes all ranges from an instance, or lets it own ranges again.
+		 * Drains an instance, so that it loses all its ranges, or reverses that.
 		 *
 		 * @param instance the instance
-		 * @param out whether it is taken out of service
+		 * @param out whether the instance is drained
 		 */
 		record Drain(InstanceId instance, boolean out) implements Order {
 
@@ -220,14 +224,14 @@
 		 *
 		 * @param service the service
 		 * @param range the range
-		 * @param to who gets it
+		 * @param to the new owner
 		 */
 		record Move(ServiceName service, KeyRange range, InstanceId to) implements Order {
 
 		}
 
 		/**
-		 * States that the present process of an instance is gone for good.
+		 * States that the current process of an instance has ended for good.
 		 *
 		 * @param instance the instance
 		 */
--- a/core/src/main/java/org/brasspier/core/ownership/CrashMark.java
+++ b/core/src/main/java/org/brasspier/core/ownership/CrashMark.java
@@ -1,16 +1,16 @@
 package org.brasspier.core.ownership;
 
 /**
- * A request that was in flight when a backend server was lost. Marks travel with a range
- * to its next owner before any request does, so that the same request can't bring down
- * one backend server after the other. Immutable and thread-safe.
+ * Marks a request that was in flight when a backend server was lost. A range's marks
+ * reach its next owner before any request does, so that the same request can't crash one
+ * backend server after the other. Immutable and thread-safe.
  *
  * @param requestHash the hash of the request's id or fingerprint
- * @param crashes how many losses it was in flight at, at least 1
+ * @param crashes the number of losses during which it was in flight, at least 1
  */
 public record CrashMark(long requestHash, int crashes) {
 
-	/** How many marks travel with one range; the latest ones are kept. */
+	/** Maximum number of marks for each range; the latest ones are kept. */
 	public static final int MAX_PER_RANGE = 16;
 
 	/**
--- a/core/src/main/java/org/brasspier/core/ownership/EnabledGuards.java
+++ b/core/src/main/java/org/brasspier/core/ownership/EnabledGuards.java
@@ -3,10 +3,10 @@
 import java.util.Set;
 
 /**
- * Which guards are on: all of them, but in the tests that prove each one needed.
- * Immutable and thread-safe.
+ * The enabled guards. All are enabled, except in the tests that prove that each one is
+ * needed. Immutable and thread-safe.
  *
- * @param off those that are off
+ * @param off the disabled guards
  */
 record EnabledGuards(Set<Guard> off) {
 
--- a/core/src/main/java/org/brasspier/core/ownership/FormerPairs.java
+++ b/core/src/main/java/org/brasspier/core/ownership/FormerPairs.java
@@ -6,10 +6,11 @@
 import io.vavr.collection.TreeMap;
 
 /**
- * Which lease managers of earlier epochs are known to have ended. A pair that a third
- * member took over from may only be cut off, and goes on as long as its two managers
- * confirm each other. One sign that either has stopped is enough: the other's authority
- * ends with its last confirmation. Not thread-safe.
+ * Tracks which manager pairs of earlier epochs are known to have ended. If a third member
+ * took over from a pair, the pair may only be disconnected, and it continues as long as
+ * its two managers confirm each other. Evidence that one of them has stopped is
+ * sufficient, since the other's authority ends with its last confirmation. Not
+ * thread-safe.
  */
 final class FormerPairs {
 
@@ -36,9 +37,8 @@
 		this.stoppedAt = TreeMap.empty();
 	}
 
-	// Whoever has acknowledged a later epoch, or is another process by now, confirms
-	// nobody
-	// of an old pair any more.
+	// A member that has acknowledged a later epoch, or whose process was restarted, no
+	// longer confirms managers of a former pair.
 	void heard(MemberKey key, long epoch, CellRow row, long now) {
 		row.unclosed()
 			.stream()
--- a/core/src/main/java/org/brasspier/core/ownership/Guard.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Guard.java
@@ -1,61 +1,80 @@
 package org.brasspier.core.ownership;
 
 /**
- * The guards that sole ownership rests on. A test switches each one off and must then
- * find two owners, so none is there in vain; docs/DESIGN.md lists them with the test.
+ * The guards that ensure a single owner for each range. For each guard a test switches it
+ * off and must then find two owners, so that no guard is redundant; docs/DESIGN.md lists
+ * the guards with their tests.
  */
 enum Guard {
 
-	/** A lease counts from when the member sent the heartbeat. */
+	/**
+	 * A lease starts when the member sent the heartbeat, not when the renewal arrived.
+	 */
 	LEASE_FROM_SENDING,
 
-	/** A member whose lease has run out holds nothing before it knows a newer row. */
+	/** A member whose lease has expired holds nothing until it knows a newer row. */
 	LAPSE_DROPS_ALL,
 
-	/** A member takes no renewal of an epoch older than the one it acknowledged. */
+	/**
+	 * A member ignores renewals of an epoch older than the one that it has acknowledged.
+	 */
 	OWN_EPOCH_OR_LATER,
 
-	/** A renewal ends with the lease manager's authority. */
+	/** A renewal does not last longer than the lease manager's authority. */
 	RENEWAL_WITHIN_AUTHORITY,
 
 	/** A lease manager stops confirming its peer before it replaces it. */
 	STOP_CONFIRMING_FIRST,
 
 	/**
-	 * A lease manager that may have replaced its peer takes no confirmation from it any
-	 * more: its write may be in force, and successors it doesn't know wait for its
-	 * authority.
+	 * A lease manager that may have replaced its peer ignores further confirmations from
+	 * it: its write may be in force, and successors that it does not know may be waiting
+	 * for its authority to end.
 	 */
 	UNCONFIRMED_AFTER_REPLACING,
 
-	/** A lease manager's own lease is renewed by the other one only. */
+	/** A lease manager's own lease is renewed only by the other manager. */
 	MANAGER_RENEWED_BY_PEER,
 
-	/** Ranges of a silent member wait for the other manager's promise. */
+	/**
+	 * Ranges of a silent member are reassigned only after the other manager has promised
+	 * not to renew it.
+	 */
 	PROMISE_OF_PEER,
 
-	/** A promise counts only if it answers a beat sent since the revocation began. */
+	/**
+	 * A promise counts only if it answers a beat that was sent after the revocation
+	 * began.
+	 */
 	PROMISE_IS_FRESH,
 
-	/** Ranges of a silent member wait for the last renewal to run out. */
+	/**
+	 * Ranges of a silent member are reassigned only after its last renewal has expired.
+	 */
 	RENEWALS_RUN_OUT,
 
-	/** Who has not acknowledged the epoch waits for the authority of old managers. */
+	/**
+	 * Ranges of a member that has not acknowledged the epoch are reassigned only after
+	 * the authority of earlier managers has ended.
+	 */
 	OLD_AUTHORITY_ENDS,
 
-	/** After a third member's takeover, the old pair must be known to have ended. */
+	/**
+	 * After a takeover by a third member, ranges are reassigned only once the former
+	 * manager pair is known to have ended.
+	 */
 	OLD_PAIR_CLOSED,
 
-	/** Nobody is told of a write before it is acknowledged or read back. */
+	/** A write is announced only after it was acknowledged or read back. */
 	TOLD_AFTER_WRITTEN,
 
-	/** A range that was let go of is never held again under the same fence. */
+	/** A released range is never held again under the same fence. */
 	RELEASED_FOR_GOOD,
 
-	/** A restarted process is another member. */
+	/** A restarted process counts as a different member. */
 	INCARNATION_COUNTS,
 
-	/** Waits allow for clocks that run differently. */
+	/** Waiting times include an allowance for clock drift. */
 	DRIFT_ALLOWED
 
 }
--- a/core/src/main/java/org/brasspier/core/ownership/HeldRange.java
+++ b/core/src/main/java/org/brasspier/core/ownership/HeldRange.java
@@ -5,11 +5,11 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * A range of a service as one owner holds it. Immutable and thread-safe.
+ * A range of a service as its owner holds it. Immutable and thread-safe.
  *
  * @param service the service
  * @param range the points
- * @param fence the fence under which they are held
+ * @param fence the fence under which the owner holds it
  */
 public record HeldRange(ServiceName service, KeyRange range, Fence fence) implements Comparable<HeldRange> {
 
--- a/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
+++ b/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
@@ -13,11 +13,11 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * The lease manager's side: whom this process renews, whom it revokes or promised not to
- * renew, and how long it may do so itself. Made for the loss of any process at any
- * moment: the two managers renew every member, so the loss of one interrupts nobody, and
- * a range leaves a silent member only when nobody can be renewing it any more. Not
- * thread-safe; copied cheaply, since its fields are numbers and persistent collections.
+ * The lease manager's state: which members it renews, which it revokes or has promised
+ * not to renew, and how long it may do so itself. Any process may be lost at any moment.
+ * Both managers renew every member, so the loss of one interrupts no member, and a range
+ * leaves a silent member only when no manager can still be renewing that member. Not
+ * thread-safe; cheap to copy, since its fields are numbers and persistent collections.
  */
 final class LeaseManager {
 
@@ -76,9 +76,10 @@
 	}
 
 	/**
-	 * Takes the newest row: whether this process manages leases, and with whom.
+	 * Applies the newest row, which determines whether this process manages leases and
+	 * with which peer.
 	 * @param known the row
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 * @return whether the epoch changed
 	 */
 	boolean adopt(VersionedRow known, long now) {
@@ -96,7 +97,7 @@
 		this.revoking = TreeMap.empty();
 		this.promised = TreeSet.empty();
 		this.oldPairs.begin();
-		// The peer that this process replaced was renewed, as a member, by nobody else.
+		// Only this process renewed the replaced peer's lease as a member.
 		this.replaced = before.flatMap((old) -> old.peerOf(this.self))
 			.filter((peer) -> next
 				.filter((managers) -> !managers.includes(peer) && managers.epoch() == before.get().epoch() + 1
@@ -145,22 +146,22 @@
 	}
 
 	/**
-	 * Notes that this process's own epoch was seen in the table.
-	 * @param sentAt when the call left that showed it
+	 * Records that this process's own epoch was seen in the table.
+	 * @param sentAt when the call that showed it was sent
 	 */
 	void tableShows(long sentAt) {
 		this.authority.tableShows(sentAt, lone());
 	}
 
 	/**
-	 * Answers a heartbeat. Whoever may be moved soon is not renewed, nor is anybody
-	 * beyond the time for which this manager's own authority is confirmed.
-	 * @param key who sent it
+	 * Answers a heartbeat. Members whose ranges may move soon are not renewed, and no
+	 * renewal lasts longer than this manager's own authority is confirmed.
+	 * @param key the sender
 	 * @param heartbeat the heartbeat
 	 * @param row the newest known row
-	 * @param writing whether a write is under way that may move the sender's ranges
-	 * @param now the time
-	 * @return how long the lease runs from the sending, 0 for not at all
+	 * @param writing whether a write is in progress that may move the sender's ranges
+	 * @param now current time, milliseconds
+	 * @return duration of the lease from the sending, 0 if it is not renewed
 	 */
 	long renew(MemberKey key, ControlMessage.Heartbeat heartbeat, CellRow row, boolean writing, long now) {
 		hear(key, heartbeat, row, writing, now);
@@ -194,12 +195,12 @@
 	}
 
 	/**
-	 * Answers the peer's beat, and keeps promises: a secondary stops renewing whom the
-	 * primary wants to revoke, if it too finds it silent.
+	 * Answers the peer's beat and keeps the promises: a secondary stops renewing members
+	 * that the primary asks to revoke if it finds them silent too.
 	 * @param from the peer
 	 * @param beat the beat
-	 * @param now the time
-	 * @return the answer, empty if the sender is no peer in this epoch
+	 * @param now current time, milliseconds
+	 * @return the answer, empty if the sender is not the peer in this epoch
 	 */
 	Optional<ControlMessage.BeatAnswer> answer(MemberKey from, ControlMessage.Beat beat, long now) {
 		if (!peer().filter(from::equals).isPresent() || beat.epoch() != epoch()) {
@@ -219,8 +220,8 @@
 				this.authority.confirms(now), this.authority.tableAge(now), promises));
 	}
 
-	// Negative once it has run out: a guard counts from then, and if each answer said
-	// "just now", it would never be over.
+	// Negative after the lease has expired: the guard time counts from the expiry, and if
+	// each answer reported zero, it would never end.
 	private long leaseLeft(MemberKey member, long now) {
 		return Math.max(watch(member).map(MemberRecord::leaseBound).orElse(this.since), this.since) - now;
 	}
@@ -234,10 +235,10 @@
 	}
 
 	/**
-	 * Takes the peer's answer to a beat.
+	 * Handles the peer's answer to a beat.
 	 * @param from the peer
 	 * @param answer the answer
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 */
 	void confirmed(MemberKey from, ControlMessage.BeatAnswer answer, long now) {
 		if (!peer().filter(from::equals).isPresent() || answer.epoch() != epoch()) {
@@ -255,15 +256,17 @@
 		}
 	}
 
-	// What ran out a while ago by the peer's clock did so a little later by this one.
+	// A lease that expired some time ago by the peer's clock expired a little later by
+	// this
+	// clock.
 	private long promisedSpan(long leaseLeft) {
 		return (leaseLeft < 0) ? 2 * leaseLeft + drift(-leaseLeft) : drift(leaseLeft);
 	}
 
 	/**
-	 * The beat that is due to the peer.
-	 * @param version the version of the row this process knows
-	 * @param now the time
+	 * Returns the beat to send to the peer.
+	 * @param version the version of the row that this process knows
+	 * @param now current time, milliseconds
 	 * @return the beat
 	 */
 	ControlMessage.Beat beat(long version, long now) {
@@ -272,12 +275,13 @@
 	}
 
 	/**
-	 * Begins to revoke the members that have been silent for too long. A heartbeat lost
-	 * now and then must not cost anybody its ranges, hence the silence is more than two
-	 * of them; longer would take from the second in which ranges are served again.
+	 * Starts to revoke the members that have been silent for too long. A single lost
+	 * heartbeat must not cost a member its ranges, so the limit is more than two
+	 * intervals; a longer limit would delay the recovery, which must complete within one
+	 * second.
 	 * @param row the newest known row
-	 * @param now the time
-	 * @return those whose revocation has just begun
+	 * @param now current time, milliseconds
+	 * @return the members whose revocation has just started
 	 */
 	List<MemberKey> revokeSilent(CellRow row, long now) {
 		List<MemberKey> begun = row.members()
@@ -291,10 +295,10 @@
 	}
 
 	/**
-	 * Whose ranges may be given to others now: nobody renews it any more, and its lease
-	 * has run out by everybody's account.
+	 * Returns the members whose ranges may be reassigned now: no manager renews them any
+	 * longer, and their leases have expired by everyone's clock.
 	 * @param row the newest known row
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 * @return the members
 	 */
 	Set<MemberKey> lost(CellRow row, long now) {
@@ -333,9 +337,9 @@
 	}
 
 	/**
-	 * The pairs of the row that are known to have ended.
+	 * Returns the former pairs of the row that are known to have ended.
 	 * @param row the newest known row
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 * @return the pairs
 	 */
 	List<ManagerPair> closed(CellRow row, long now) {
@@ -351,7 +355,8 @@
 	}
 
 	/**
-	 * A version of the row that whoever gets its lease back must know at least.
+	 * Returns the minimum version of the row that a member must know to get its lease
+	 * back.
 	 * @return the version
 	 */
 	long minVersion() {
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerAuthority.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerAuthority.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * How long one lease manager may renew leases, and whether it confirms its peer. A
- * manager that is cut off must stop renewing before others give away what it renewed, so
- * its authority ends by itself unless its peer, or for a lone manager the table, goes on
- * confirming it. Not thread-safe; copied cheaply.
+ * Tracks how long a lease manager may renew leases, and whether it confirms its peer. A
+ * disconnected manager must stop renewing before the ranges that it renewed are
+ * reassigned, so its authority expires unless its peer, or for a lone manager the table,
+ * keeps confirming it. Not thread-safe; cheap to copy.
  */
 final class ManagerAuthority {
 
-	/** Longer ago than any span that counts, with room to subtract from. */
+	/** Earlier than any relevant time, with room for subtraction. */
 	private static final long NEVER = Long.MIN_VALUE / 4;
 
 	private final Timing timing;
@@ -45,9 +45,9 @@
 	}
 
 	/**
-	 * Begins another epoch.
+	 * Starts another epoch.
 	 * @param manages whether this process is a manager in it
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 */
 	void begin(boolean manages, long now) {
 		this.confirming = manages;
@@ -57,9 +57,9 @@
 	}
 
 	/**
-	 * Notes that this process's own epoch was seen in the table.
-	 * @param sentAt when the call left that showed it
-	 * @param lone whether there is no peer who could confirm
+	 * Records that this process's own epoch was seen in the table.
+	 * @param sentAt when the call that showed it was sent
+	 * @param lone whether there is no peer that could confirm this manager
 	 */
 	void tableShows(long sentAt, boolean lone) {
 		this.tableSeenAt = Math.max(this.tableSeenAt, sentAt);
@@ -69,8 +69,8 @@
 	}
 
 	/**
-	 * Notes that the peer was heard.
-	 * @param now the time
+	 * Records that the peer was heard.
+	 * @param now current time, milliseconds
 	 */
 	void peerHeard(long now) {
 		this.peerHeardAt = now;
@@ -81,15 +81,15 @@
 	}
 
 	/**
-	 * Takes the peer's answer to a beat.
+	 * Handles the peer's answer to a beat.
 	 * @param answer the answer, of this epoch
 	 */
 	void answered(ControlMessage.BeatAnswer answer) {
-		// The answer was given after the beat left, so this errs to the early side.
+		// The peer answered after the beat was sent, so this time is never too late.
 		this.tableSeenAt = Math.max(this.tableSeenAt, answer.sentAt() - this.timing.withDrift(answer.tableAge()));
-		// While a write that replaces the peer is under way, or its outcome unknown,
-		// members of the next epoch may already be counting the time until both
-		// authorities have ended.
+		// While a write that replaces the peer is in progress, or its outcome is unknown,
+		// members of the next epoch may already be waiting until the authority of both
+		// managers has ended.
 		boolean replacing = this.stopped && this.guards.on(Guard.UNCONFIRMED_AFTER_REPLACING);
 		if (answer.confirmed() && !replacing) {
 			this.until = Math.max(this.until, answer.sentAt() + this.timing.authority());
@@ -97,9 +97,9 @@
 	}
 
 	/**
-	 * How long a renewal may run.
-	 * @param now the time
-	 * @return the span in milliseconds, 0 or less for not at all
+	 * Returns the maximum duration of a renewal.
+	 * @param now current time, milliseconds
+	 * @return the span in milliseconds, 0 or less if no renewal is allowed
 	 */
 	long span(long now) {
 		long left = (this.guards.on(Guard.RENEWAL_WITHIN_AUTHORITY)) ? this.until - now : this.timing.lease();
@@ -115,8 +115,9 @@
 	}
 
 	/**
-	 * Stops confirming the peer, for good in this epoch: its authority ends soon, and
-	 * with it all that it renewed, before anything it renewed is given away.
+	 * Stops confirming the peer for the rest of this epoch. The peer's authority then
+	 * expires, and with it all its renewals, before any of the ranges that it renewed are
+	 * reassigned.
 	 */
 	void stopConfirming() {
 		this.stopped = true;
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerChoice.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerChoice.java
@@ -5,25 +5,29 @@
 import java.util.Optional;
 
 /**
- * When a lease manager replaces the other one, and by whom.
+ * Decides when a lease manager replaces the other one, and by which member.
  *
  * @param self this process
- * @param timing the times
- * @param manager what this process knows as a lease manager
+ * @param timing the time limits
+ * @param manager the lease manager of this process
  */
 record ManagerChoice(MemberKey self, Timing timing, LeaseManager manager) {
 
-	/** How much longer a manager waits that hears less than half of the members. */
+	/**
+	 * Factor, in thousandths, by which a manager that hears less than half of the members
+	 * waits longer.
+	 */
 	static final long LONELY_PERMILLE = 1500;
 
 	private static final long WHOLE = 1000;
 
 	/**
-	 * Whether the other manager has been silent for so long that it must be replaced. Who
-	 * hears less than half of the members waits longer: it's likely the one cut off.
+	 * Returns whether the other manager has been silent for so long that it must be
+	 * replaced. A manager that hears less than half of the members waits longer, since it
+	 * is probably the disconnected one.
 	 * @param row the newest known row
-	 * @param now the time
-	 * @return true if it must
+	 * @param now current time, milliseconds
+	 * @return true if it must be replaced
 	 */
 	boolean peerSilent(CellRow row, long now) {
 		long others = row.members().size() - 2L;
@@ -44,10 +48,10 @@
 	}
 
 	/**
-	 * Chooses another manager: one that is heard and stays, in another failure domain if
-	 * there is one, so that one fault doesn't take both.
+	 * Chooses another manager: a member that is heard and is not leaving, in another
+	 * failure domain if possible, so that one fault does not take both managers.
 	 * @param row the newest known row
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 * @return the member, empty if there is none
 	 */
 	Optional<MemberInfo> candidate(CellRow row, long now) {
@@ -61,8 +65,9 @@
 			.or(() -> heard.stream().findFirst());
 	}
 
-	// The other manager in the next epoch: the present one if it's heard again, or
-	// another.
+	// The other manager in the next epoch: the current one if it is heard again,
+	// otherwise
+	// another member.
 	Optional<MemberInfo> successor(CellRow row, long now) {
 		return this.manager.peer()
 			.filter((key) -> now - this.manager.authority().peerHeardAt() <= this.timing.peerSilence())
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerPair.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerPair.java
@@ -9,13 +9,14 @@
  * The lease managers of one epoch. Immutable and thread-safe.
  *
  * @param epoch the epoch
- * @param primary who writes the row
- * @param secondary who renews too and watches the primary, if there is one
+ * @param primary the manager that writes the row
+ * @param secondary the manager that also renews leases and monitors the primary, if there
+ * is one
  */
 public record ManagerPair(long epoch, MemberKey primary, Optional<MemberKey> secondary) {
 
 	/**
-	 * Both managers.
+	 * Returns the managers.
 	 * @return one or two
 	 */
 	public Stream<MemberKey> managers() {
@@ -23,7 +24,7 @@
 	}
 
 	/**
-	 * Whether a process manages leases in this epoch.
+	 * Returns whether a process manages leases in this epoch.
 	 * @param key the process
 	 * @return true if it does
 	 */
@@ -32,7 +33,7 @@
 	}
 
 	/**
-	 * The other manager.
+	 * Returns the other manager.
 	 * @param key one manager
 	 * @return the other one, empty if there is none
 	 */
@@ -41,9 +42,9 @@
 	}
 
 	/**
-	 * Finds a manager by its instance.
+	 * Returns the manager that runs on an instance.
 	 * @param instance the instance
-	 * @return the manager, empty if it isn't one
+	 * @return the manager, empty if none runs there
 	 */
 	public Optional<MemberKey> find(InstanceId instance) {
 		return managers().filter((key) -> key.instance().equals(instance)).findFirst();
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerSide.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerSide.java
@@ -7,8 +7,8 @@
 import org.brasspier.core.event.EventKind;
 
 /**
- * What a process does as a lease manager: renews, watches the other manager, and as the
- * primary writes the row. Not thread-safe.
+ * The work of a process as a lease manager: renews leases, monitors the other manager,
+ * and as the primary writes the row. Not thread-safe.
  */
 final class ManagerSide {
 
@@ -39,8 +39,9 @@
 		if (this.parts.manager.peer().isPresent() && this.parts.timers.beatDue(now, beatEvery())) {
 			beatWithHeartbeat(now);
 		}
-		// Who has stopped confirming and whose write then failed confirms nobody any more
-		// in this epoch, even if the peer is heard again: only another epoch helps.
+		// A manager that has stopped confirming, and whose write then failed, does not
+		// confirm again in this epoch, even if the peer is heard again: only a new epoch
+		// helps.
 		boolean stopped = this.parts.manager.peer().isPresent() && this.parts.manager.authority().stopped();
 		if (stopped || choice().peerSilent(row, now)) {
 			replacePeer(row, now);
@@ -55,27 +56,36 @@
 		}
 	}
 
-	// The secondary's beat goes with its answer to the primary's. Only if none comes does
-	// it
-	// beat by itself, half as often again, so that the two don't beat at the same moment
-	// and each answer in a segment of its own.
+	// The secondary sends its beat together with its answer to the primary's beat. Only
+	// if
+	// no beat arrives does it send one itself, at one and a half times the interval, so
+	// that the two managers do not send at the same moment and answer in separate TCP
+	// segments.
 	private long beatEvery() {
 		long beat = this.parts.timing.beat();
 		return (this.parts.manager.primary()) ? beat : beat + beat / 2;
 	}
 
-	// Managers are members of each other: what they'd say soon goes in the same segment,
-	// whose headers are more than a heartbeat.
+	// Managers are also members of each other. A heartbeat that would be due soon goes
+	// into
+	// the same TCP segment as the beat, since the segment's headers are larger than a
+	// heartbeat.
 	private void beatWithHeartbeat(long now) {
 		this.parts.beat(now);
 		this.member.heartbeatIfDue(this.parts.lease.known().row(), this.parts.timing.beat() / 2, now);
 	}
 
-	// Guards against a cell that stops for the rest of an outage because its managers
-	// missed each other for a moment, as on a busy machine: to stop confirming holds for
-	// the whole epoch, and without the table there is no other epoch. So the table must
-	// have answered a read sent since the peer was missed. A peer that is heard again
-	// before then is confirmed as ever; a lost one is replaced a round trip later.
+	// Prevents a cell from stopping for the rest of a table outage because its managers
+	// did
+	// not hear each other for a moment, for example on a busy machine. A manager that
+	// stops
+	// confirming does so for the whole epoch, and without the table there is no new
+	// epoch.
+	// So the table must first have answered a read that was sent after the peer was
+	// missed.
+	// A peer that is heard again before then is confirmed as before; a lost one is
+	// replaced
+	// one round trip later.
 	void replacePeer(CellRow row, long now) {
 		if (!this.parts.manager.authority().stopped()) {
 			if (this.parts.peerMissedSince.isEmpty()) {
@@ -114,14 +124,14 @@
 		askToRelease(now);
 	}
 
-	// A planned change of managers: this one leaves, the other one leaves, or there is
-	// none yet.
+	// A planned change of managers: this one leaves, the other one leaves, or there is no
+	// other one yet.
 	Optional<CellRow> epochChange(CellRow row, long now) {
 		Optional<MemberInfo> peer = this.parts.manager.peer().flatMap((key) -> row.member(key.instance()));
 		if (!this.parts.access.quick()) {
-			// A planned change costs both managers their confirmation while it's written,
-			// so
-			// it waits while the table is slow.
+			// While a planned change is being written, neither manager is confirmed, so
+			// it
+			// is postponed while the table is slow.
 			return Optional.empty();
 		}
 		boolean peerStays = peer.filter((member) -> member.phase() != MemberPhase.LEAVING).isPresent();
@@ -162,9 +172,8 @@
 	}
 
 	void askToRelease(long now) {
-		// While the table is down a range that was let go of would be served by nobody,
-		// so
-		// the table must have answered just now.
+		// While the table is down, no member could be assigned a released range, so the
+		// table must have answered a moment ago.
 		if (this.parts.memory.moves().isEmpty() || !this.parts.access.readWithin(TABLE_SEEN_MILLIS, now)
 				|| !this.parts.timers.releaseDue(now, PUSH_MILLIS)) {
 			return;
--- a/core/src/main/java/org/brasspier/core/ownership/MarkedRange.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MarkedRange.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A held range with the marks that came with it from its earlier owners. Immutable and
- * thread-safe.
+ * A held range with the crash marks of its earlier owners. Immutable and thread-safe.
  *
- * @param held the range with the fence it's held under
- * @param marks what was in flight when earlier owners lost their backend servers
+ * @param held the range and the fence under which it is held
+ * @param marks the requests that were in flight when earlier owners lost their backend
+ * servers
  */
 public record MarkedRange(HeldRange held, List<CrashMark> marks) {
 
--- a/core/src/main/java/org/brasspier/core/ownership/MemberInfo.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberInfo.java
@@ -8,19 +8,19 @@
 import org.brasspier.core.routing.PeerAddress;
 
 /**
- * What a member announces of itself and the row keeps. Immutable and thread-safe.
+ * The information that a member announces and the row stores. Immutable and thread-safe.
  *
- * @param key which process it is
+ * @param key the member's process
  * @param domain its failure domain
- * @param address its daemon's ports
- * @param phase what may be done with it
+ * @param address the address and ports of its daemon
+ * @param phase its phase
  * @param backend its backend server, if one has announced itself
  */
 public record MemberInfo(MemberKey key, FailureDomain domain, PeerAddress address, MemberPhase phase,
 		Optional<Backend> backend) {
 
 	/**
-	 * The instance.
+	 * Returns the instance.
 	 * @return its identity
 	 */
 	public InstanceId instance() {
@@ -28,15 +28,16 @@
 	}
 
 	/**
-	 * The service of its backend server.
-	 * @return empty if it has none
+	 * Returns the service of its backend server.
+	 * @return empty if it has no backend server
 	 */
 	public Optional<ServiceName> service() {
 		return this.backend.map(Backend::service);
 	}
 
 	/**
-	 * How long orders of this member's backend server may take effect after a lease.
+	 * Returns how long a request that this member has sent to a backend server may take
+	 * effect after the lease has ended.
 	 * @return the time in milliseconds, 0 if the server checks fences or there is none
 	 */
 	public long guardMillis() {
@@ -44,7 +45,7 @@
 	}
 
 	/**
-	 * The same member in another phase.
+	 * Returns the same member in another phase.
 	 * @param other the phase
 	 * @return the member
 	 */
@@ -56,11 +57,11 @@
 	 * The backend server of a member.
 	 *
 	 * @param service its service
-	 * @param slots how many requests it runs at once
-	 * @param checksFences whether it refuses orders under an old fence
-	 * @param coldStartMillis how long it takes to be warm, in milliseconds
-	 * @param guardMillis how long after a lease's end an order may still take effect on
-	 * it, in milliseconds; of no account if it checks fences
+	 * @param slots how many requests it runs concurrently
+	 * @param checksFences whether it rejects requests with an old fence
+	 * @param coldStartMillis how long it takes to warm up, in milliseconds
+	 * @param guardMillis how long after the end of a lease a request may still take
+	 * effect on it, in milliseconds; irrelevant if it checks fences
 	 */
 	public record Backend(ServiceName service, int slots, boolean checksFences, int coldStartMillis, int guardMillis) {
 
--- a/core/src/main/java/org/brasspier/core/ownership/MemberKey.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberKey.java
@@ -3,11 +3,11 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * One process of an instance. A restarted process has forgotten what it renewed, promised
- * and ran, so it is another member. Immutable and thread-safe.
+ * Identifies one process of an instance. A restarted process has lost its renewals,
+ * promises and requests, so it counts as a different member. Immutable and thread-safe.
  *
  * @param instance the instance
- * @param incarnation a random number drawn when the process started
+ * @param incarnation a random number generated when the process started
  */
 public record MemberKey(InstanceId instance, int incarnation) implements Comparable<MemberKey> {
 
--- a/core/src/main/java/org/brasspier/core/ownership/MemberLease.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberLease.java
@@ -8,12 +8,13 @@
 import io.vavr.collection.TreeSet;
 
 /**
- * The holder's side: what this process may serve and until when. It holds what the newest
- * row it knows gives it, less what it has let go of, as long as its lease runs. Made for
- * a holder that is paused or cut off without knowing it: everything is measured on its
- * own clock from its own sending, so no message, however late or often it comes, makes it
- * hold anything longer than the lease managers assume. Not thread-safe; copied cheaply,
- * since its fields are numbers and persistent collections.
+ * The lease of a member, which determines what this process may serve and until when. A
+ * member holds the ranges that the newest row it knows assigns to it, except those it has
+ * released, while its lease is valid. A holder may be paused or disconnected without
+ * noticing it, so all times are measured on its own clock from its own sending: no
+ * message, however late or often it arrives, makes it hold anything longer than the lease
+ * managers assume. Not thread-safe; cheap to copy, since its fields are numbers and
+ * persistent collections.
  */
 final class MemberLease {
 
@@ -68,7 +69,8 @@
 	}
 
 	/**
-	 * Takes a newer row. Versions only grow, so a late or doubled one changes nothing.
+	 * Applies a newer row. Versions only increase, so a late or duplicate row has no
+	 * effect.
 	 * @param row the row
 	 * @return whether it was newer
 	 */
@@ -85,9 +87,9 @@
 	}
 
 	/**
-	 * Takes a renewal.
+	 * Applies a renewal.
 	 * @param renewal the renewal
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 * @return whether the lease now ends later
 	 */
 	boolean renew(ControlMessage.Renewal renewal, long now) {
@@ -95,13 +97,15 @@
 			return false;
 		}
 		if (renewal.epoch() < epoch() && this.guards.on(Guard.OWN_EPOCH_OR_LATER)) {
-			// A manager that was replaced but doesn't know it yet: its successors don't
-			// wait for what it renews after this member has acknowledged them.
+			// The sender is a manager that was replaced and has not noticed it yet: once
+			// this member has acknowledged its successors, they do not wait for its
+			// renewals to expire.
 			return false;
 		}
 		if (!valid(now) && renewal.version() > this.known.version() && this.guards.on(Guard.LAPSE_DROPS_ALL)) {
-			// While the lease had run out, ranges may have moved; without the row that
-			// says so this member would serve what another one owns by now.
+			// Ranges may have moved while the lease was expired. Without the row that
+			// shows
+			// it, this member would serve ranges that another member owns now.
 			return false;
 		}
 		return extend((this.guards.on(Guard.LEASE_FROM_SENDING)) ? renewal.sentAt() : now, renewal.lease(), now);
@@ -109,9 +113,10 @@
 
 	/**
 	 * Extends the lease from a time of sending.
-	 * @param sentAt when the heartbeat, or the read that confirmed a lone manager, left
-	 * @param span how long the lease runs from then
-	 * @param now the time
+	 * @param sentAt time of sending of the heartbeat, or of the read that confirmed a
+	 * lone manager
+	 * @param span duration of the lease from then, milliseconds
+	 * @param now current time, milliseconds
 	 * @return whether the lease now ends later
 	 */
 	boolean extend(long sentAt, long span, long now) {
@@ -124,14 +129,15 @@
 	}
 
 	/**
-	 * Ends the lease at once, as when this process is no member any more.
+	 * Ends the lease immediately, for example when this process is no longer a member.
 	 */
 	void drop() {
 		this.leaseEnd = Long.MIN_VALUE;
 	}
 
 	/**
-	 * What the newest known row gives this process, as long as its lease runs.
+	 * Returns the ranges that the newest known row assigns to this process, while its
+	 * lease is valid.
 	 * @return the ranges
 	 */
 	List<RangeState> held() {
@@ -150,7 +156,7 @@
 	}
 
 	/**
-	 * Begins to let go of ranges.
+	 * Starts to release ranges.
 	 * @param ranges the ranges
 	 * @return those that must be drained now
 	 */
@@ -161,9 +167,9 @@
 	}
 
 	/**
-	 * Notes that nothing of a range is in flight any more.
+	 * Records that no request for a range is in flight any longer.
 	 * @param held the range
-	 * @param marks the marks that go with it
+	 * @param marks the crash marks of the range
 	 */
 	void drained(HeldRange held, List<CrashMark> marks) {
 		if (this.draining.contains(held)) {
@@ -173,7 +179,7 @@
 	}
 
 	/**
-	 * What was let go of and is still this member's in the row.
+	 * Returns the released ranges that the row still assigns to this member.
 	 * @return the ranges with their marks
 	 */
 	List<ControlMessage.ReleasedRange> released() {
--- a/core/src/main/java/org/brasspier/core/ownership/MemberPhase.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberPhase.java
@@ -1,20 +1,20 @@
 package org.brasspier.core.ownership;
 
 /**
- * What a member says of itself.
+ * The phase that a member announces.
  */
 public enum MemberPhase {
 
-	/** It has no backend server that may own ranges. */
+	/** Has no backend server that may own ranges. */
 	WAITING,
 
 	/** Its backend server may own its full share. */
 	ACTIVE,
 
-	/** Its backend server is leaving or gone: what it owns must go. */
+	/** Its backend server is leaving or gone; its ranges must move away. */
 	DRAINING,
 
-	/** The daemon itself is leaving: it must not manage leases either. */
+	/** The daemon itself is leaving; it must not manage leases either. */
 	LEAVING
 
 }
--- a/core/src/main/java/org/brasspier/core/ownership/MemberRecord.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberRecord.java
@@ -1,13 +1,13 @@
 package org.brasspier.core.ownership;
 
 /**
- * What a lease manager knows of one member's process. Immutable and thread-safe.
+ * A lease manager's record of one member's process. Immutable and thread-safe.
  *
  * @param incarnation the process
- * @param lastHeartbeatAt when its last heartbeat came
- * @param ackedEpoch the highest epoch it said it has acknowledged
- * @param leaseBound until when its lease may run, as far as this manager renewed it or
- * was told by it
+ * @param lastHeartbeatAt when its last heartbeat arrived
+ * @param ackedEpoch the highest epoch that it has acknowledged
+ * @param leaseBound the latest time at which its lease may end, from this manager's
+ * renewals and from what the member reported
  */
 record MemberRecord(int incarnation, long lastHeartbeatAt, long ackedEpoch, long leaseBound) {
 
--- a/core/src/main/java/org/brasspier/core/ownership/MemberSide.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberSide.java
@@ -7,8 +7,8 @@
 import org.brasspier.core.event.EventKind;
 
 /**
- * What a process does as a member: keeps its lease, lets go of ranges, and looks for
- * lease managers where it hears none. Not thread-safe.
+ * The work of a process as a member: maintains its lease, releases ranges, and searches
+ * for lease managers when it hears none. Not thread-safe.
  */
 final class MemberSide {
 
@@ -16,7 +16,10 @@
 
 	private static final long TAKEOVER_TRY_MILLIS = 300;
 
-	/** Some tens of ways between instances of a region, and half a heartbeat. */
+	/**
+	 * Some tens of network delays between instances of a region, and half a heartbeat
+	 * interval.
+	 */
 	private static final long UNANSWERED_MILLIS = 100;
 
 	private final ProcessParts parts;
@@ -43,9 +46,10 @@
 		}
 		boolean withBeats = this.parts.manager.peer().isPresent();
 		heartbeatIfDue(row, (withBeats) ? -this.parts.timing.beat() / 2 : 0, now);
-		// Made for a member that reaches one manager only, or one of a lost pair: every
+		// For a member that reaches only one manager, or one manager of a pair whose
 		// other
-		// heartbeat would go nowhere, and a pause of 200 ms cost it its lease.
+		// manager is lost: every second heartbeat would be lost, and a pause of 200 ms
+		// would cost the member its lease.
 		if (row.has(this.parts.me.key())
 				&& this.parts.timers.heartbeatMissed(this.parts.managerHeardAt, UNANSWERED_MILLIS, now)) {
 			heartbeat(row, now);
@@ -56,8 +60,8 @@
 		}
 	}
 
-	// A manager's heartbeat goes with a beat, a little early; by itself only if none
-	// came.
+	// A manager sends its heartbeat together with a beat, a little early, and on its own
+	// only if no beat was due.
 	void heartbeatIfDue(CellRow row, long early, long now) {
 		if (row.has(this.parts.me.key())
 				&& this.parts.timers.heartbeatDue(now, this.parts.timing.heartbeat() - early)) {
@@ -121,10 +125,12 @@
 		}
 	}
 
-	// What was let go of this member may not take back, and while the table is down
-	// nobody else can be given it. A server that is silent for a moment during an outage
-	// would cost its callers all of the outage. So a read that was answered after the
-	// loss must show that the table is there; it costs some milliseconds.
+	// A member may not take back a released range, and while the table is down no other
+	// member can get it. So a server that is silent for a moment during an outage would
+	// be
+	// unavailable for the rest of the outage. Therefore a read that was answered after
+	// the
+	// loss must first show that the table is available; this takes some milliseconds.
 	void giveUpIfTableAnswers() {
 		if (this.parts.givingUpSince.filter((since) -> this.parts.access.readSentAt() >= since).isPresent()) {
 			this.parts.givingUpSince = Optional.empty();
--- a/core/src/main/java/org/brasspier/core/ownership/OperatorOrders.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OperatorOrders.java
@@ -10,13 +10,13 @@
 import org.brasspier.core.placement.PlacementStep.MoveCause;
 
 /**
- * Takes operators' orders at the primary. An order that is accepted is on its way, not
- * done: the row shows when it is.
+ * Handles operators' orders at the primary. An accepted order has been started but is not
+ * complete; the row shows when it is.
  *
  * @param known the newest known row
- * @param manager the lease manager's side
- * @param memory what the primary remembers
- * @param access the way to the row
+ * @param manager the lease manager of this process
+ * @param memory the primary's state
+ * @param access the access to the row
  */
 record OperatorOrders(VersionedRow known, LeaseManager manager, PrimaryState memory, RowAccess access) {
 
--- a/core/src/main/java/org/brasspier/core/ownership/OwnershipAction.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OwnershipAction.java
@@ -4,12 +4,13 @@
 import org.brasspier.core.event.EventKind;
 
 /**
- * What a state machine wants done, in the order given. Immutable and thread-safe.
+ * Actions that a state machine requests, to be executed in the given order. Immutable and
+ * thread-safe.
  */
 public sealed interface OwnershipAction {
 
 	/**
-	 * Send a message; it may be lost.
+	 * Sends a message, which may be lost.
 	 *
 	 * @param to the receiver
 	 * @param message the message
@@ -18,28 +19,29 @@
 
 	}
 
-	/** Read the row and report what came of it. */
+	/** Reads the row and reports the outcome. */
 	record ReadRow() implements OwnershipAction {
 
 	}
 
 	/**
-	 * Write the row if it has the expected version and report what came of it.
+	 * Writes the row if it has the expected version, and reports the outcome.
 	 *
-	 * @param expectedVersion the version it must have, 0 if it must not exist
+	 * @param expectedVersion the version that it must have, 0 if it must not exist
 	 * @param row the new contents
 	 */
 	record WriteRow(long expectedVersion, CellRow row) implements OwnershipAction {
 
 	}
 
-	/** What this process holds or knows has changed: publish it. */
+	/** Publishes the state of this process, which has changed. */
 	record Publish() implements OwnershipAction {
 
 	}
 
 	/**
-	 * Stop admitting requests to a range and report once nothing of it is in flight.
+	 * Stops admitting requests for a range and reports when no request for it is in
+	 * flight.
 	 *
 	 * @param held the range
 	 */
@@ -48,18 +50,18 @@
 	}
 
 	/**
-	 * Add an event to the time line.
+	 * Adds an event to the time line.
 	 *
-	 * @param kind what happened
-	 * @param subject what it happened to
-	 * @param detail the rest, for a person
+	 * @param kind the kind of event
+	 * @param subject what the event is about
+	 * @param detail further details, for people
 	 */
 	record Tell(EventKind kind, String subject, String detail) implements OwnershipAction {
 
 	}
 
 	/**
-	 * An order given at this daemon was answered.
+	 * Reports the answer to an operator's order that was given at this daemon.
 	 *
 	 * @param number the number of the order
 	 * @param accepted whether it was accepted
@@ -69,7 +71,7 @@
 
 	}
 
-	/** This process owns nothing and is no member any more. */
+	/** Reports that this process owns nothing and is no longer a member. */
 	record Left() implements OwnershipAction {
 
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/OwnershipMachine.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OwnershipMachine.java
@@ -9,16 +9,17 @@
 import org.brasspier.core.placement.PlacementWeights;
 
 /**
- * Everything one process decides about ownership: it keeps its own lease, manages others'
- * where the row says so, and takes over where nobody does. Each step takes an input and
- * the time and returns what is to be done; no step waits. Times are milliseconds of one
- * monotonic clock that begins with the process. Not thread-safe; copied cheaply, so that
- * tests can follow every order of events.
+ * The ownership state machine of one process: it maintains the process's own lease,
+ * manages the leases of others if the row says so, and takes over if no manager is left.
+ * Each step takes an input and the current time and returns the actions to execute; no
+ * step blocks. Times are milliseconds of one monotonic clock that starts with the
+ * process. Not thread-safe; cheap to copy, so that tests can explore every order of
+ * events.
  */
 public final class OwnershipMachine {
 
 	/**
-	 * The number of ranges a service begins with: a few for each member of a full cell.
+	 * Initial number of ranges of a service: a few for each member of a full cell.
 	 */
 	private static final int INITIAL_RANGES = 64;
 
@@ -31,11 +32,11 @@
 	private final ManagerSide managing;
 
 	/**
-	 * Creates the machine of a process that has just started.
-	 * @param me what the process says of itself
-	 * @param timing the times
-	 * @param placement decides what goes where
-	 * @param now the time
+	 * Creates the state machine of a process that has just started.
+	 * @param me the member information that the process announces
+	 * @param timing the time limits
+	 * @param placement the placement policy
+	 * @param now current time, milliseconds
 	 */
 	public OwnershipMachine(MemberInfo me, Timing timing, PlacementPolicy placement, long now) {
 		this(me, timing, new PrimaryState.Placement(placement, PlacementWeights.EQUAL, INITIAL_RANGES),
@@ -62,7 +63,7 @@
 	}
 
 	/**
-	 * What this process may serve and until when, and what it knows.
+	 * Returns what this process may serve and until when, and what it knows.
 	 * @return a view that is valid until the next step
 	 */
 	public OwnershipState view() {
@@ -70,7 +71,7 @@
 	}
 
 	/**
-	 * The newest row that this process knows.
+	 * Returns the newest row that this process knows.
 	 * @return the row, {@link VersionedRow#NONE} before it knows any
 	 */
 	public VersionedRow known() {
@@ -78,9 +79,9 @@
 	}
 
 	/**
-	 * Does what is due. Called some ten times in each heartbeat's span.
-	 * @param now the time
-	 * @return what is to be done
+	 * Performs periodic work. Called about ten times per heartbeat interval.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> tick(long now) {
 		if (this.parts.left) {
@@ -100,11 +101,11 @@
 	}
 
 	/**
-	 * A message came.
-	 * @param from who sent it
+	 * Handles a message.
+	 * @param from the sender
 	 * @param message the message
-	 * @param now the time
-	 * @return what is to be done
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> received(InstanceId from, ControlMessage message, long now) {
 		if (!this.parts.left) {
@@ -136,11 +137,11 @@
 	}
 
 	/**
-	 * An operator gave an order at this daemon.
-	 * @param number a number to recognise the answer by
+	 * Handles an operator's order that was given at this daemon.
+	 * @param number a number that identifies the answer
 	 * @param order the order
-	 * @param now the time
-	 * @return what is to be done
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> order(long number, ControlMessage.Order order, long now) {
 		Optional<ManagerPair> pair = this.parts.lease.known().row().managers();
@@ -154,10 +155,10 @@
 	}
 
 	/**
-	 * The row was read.
+	 * Handles a completed read of the row.
 	 * @param row the row, {@link VersionedRow#NONE} if there is none
-	 * @param now the time
-	 * @return what is to be done
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> rowRead(VersionedRow row, long now) {
 		this.rows.rowRead(row, now);
@@ -166,9 +167,9 @@
 	}
 
 	/**
-	 * The row could not be read.
-	 * @param now the time
-	 * @return what is to be done
+	 * Handles a failed read of the row.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> readFailed(long now) {
 		this.parts.access.readFailed(now);
@@ -176,10 +177,10 @@
 	}
 
 	/**
-	 * The write took effect.
+	 * Handles a write that took effect.
 	 * @param version the row's new version
-	 * @param now the time
-	 * @return what is to be done
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> written(long version, long now) {
 		this.rows.written(version, now);
@@ -187,9 +188,9 @@
 	}
 
 	/**
-	 * The row had another version.
-	 * @param now the time
-	 * @return what is to be done
+	 * Handles a write that was rejected because the row had another version.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> writeConflict(long now) {
 		this.rows.writeConflict(now);
@@ -197,9 +198,9 @@
 	}
 
 	/**
-	 * The write's answer was lost.
-	 * @param now the time
-	 * @return what is to be done
+	 * Handles a write whose outcome is unknown because its answer was lost.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> writeUnknown(long now) {
 		this.rows.writeUnknown(now);
@@ -207,9 +208,9 @@
 	}
 
 	/**
-	 * The write certainly had no effect.
-	 * @param now the time
-	 * @return what is to be done
+	 * Handles a write that certainly had no effect.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> writeFailed(long now) {
 		this.parts.access.writeFailed(now);
@@ -217,11 +218,11 @@
 	}
 
 	/**
-	 * The backend server beside this daemon changed.
-	 * @param phase what may be done with it
+	 * Handles a change of the backend server that belongs to this daemon.
+	 * @param phase the new phase of this member
 	 * @param backend the server, if there is one
-	 * @param now the time
-	 * @return what is to be done
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> backend(MemberPhase phase, Optional<MemberInfo.Backend> backend, long now) {
 		this.parts.me = new MemberInfo(this.parts.me.key(), this.parts.me.domain(), this.parts.me.address(),
@@ -233,10 +234,10 @@
 	}
 
 	/**
-	 * The backend server is gone: its ranges are let go of as soon as the table answers,
-	 * instead of when the primary asks for them.
-	 * @param now the time
-	 * @return what is to be done
+	 * Handles the loss of the backend server: its ranges are released as soon as the
+	 * table answers, without waiting for the primary's request.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> backendLost(long now) {
 		if (this.parts.givingUpSince.isEmpty()) {
@@ -247,11 +248,11 @@
 	}
 
 	/**
-	 * Nothing of a range is in flight any more.
+	 * Reports that no request for a range is in flight any longer.
 	 * @param held the range
-	 * @param marks the marks that go with it
-	 * @param now the time
-	 * @return what is to be done
+	 * @param marks the crash marks of the range
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> drained(HeldRange held, List<CrashMark> marks, long now) {
 		this.parts.lease.drained(held, marks);
@@ -260,10 +261,10 @@
 	}
 
 	/**
-	 * The load of the ranges held, for the primary.
+	 * Reports the load of the held ranges to the primary.
 	 * @param loads the loads
-	 * @param now the time
-	 * @return what is to be done
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> loads(ControlMessage.Loads loads, long now) {
 		this.parts.lease.known()
@@ -274,9 +275,11 @@
 	}
 
 	/**
-	 * Begins to leave: what is owned is handed over, a manager's role first.
-	 * @param now the time
-	 * @return what is to be done, with {@link OwnershipAction.Left} at the end of it all
+	 * Starts to leave the cell: hands over the role of a manager first, then the owned
+	 * ranges.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute, ending with {@link OwnershipAction.Left} in a later
+	 * step when everything has been handed over
 	 */
 	public List<OwnershipAction> leave(long now) {
 		this.parts.leaving = true;
@@ -289,7 +292,7 @@
 	}
 
 	/**
-	 * Sets the version of the configuration document that goes with heartbeats.
+	 * Sets the version of the configuration document that heartbeats report.
 	 * @param version the version in force in this process
 	 */
 	public void document(long version) {
@@ -297,7 +300,7 @@
 	}
 
 	/**
-	 * Sets how the operators weigh the measures.
+	 * Sets the operators' weights of the measures.
 	 * @param weights the weights of the document in force
 	 */
 	public void weights(PlacementWeights weights) {
--- a/core/src/main/java/org/brasspier/core/ownership/PlanFacts.java
+++ b/core/src/main/java/org/brasspier/core/ownership/PlanFacts.java
@@ -9,24 +9,24 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * What the primary plans from. Immutable and thread-safe, but for the functions.
+ * Input of the primary's planning. Immutable and thread-safe, except for the functions.
  *
  * @param known the newest known row
- * @param now the time
- * @param lost members whose ranges may be given away
- * @param suspects members that nothing should be given to
- * @param announced what processes lately said of themselves
- * @param released ranges that their owners let go of, with their marks
- * @param moves moves under way
- * @param closed old pairs that are known to have ended
+ * @param now current time, milliseconds
+ * @param lost members whose ranges may be reassigned
+ * @param suspects members that must not get ranges
+ * @param announced recent announcements of processes
+ * @param released ranges that their owners released, with their marks
+ * @param moves pending moves
+ * @param closed former manager pairs that are known to have ended
  * @param drained instances that operators took out of service
- * @param balance whether the policy is asked even if every range has an owner
- * @param placement decides what goes where
- * @param load the load of each range that is known
- * @param warmShare the share of its capacity that an instance may be given
- * @param movedAt when a range last changed its owner
- * @param awaitsSuccessor whether an instance began to leave so lately that it keeps what
- * nobody else can take
+ * @param balance whether to ask the policy even if every range has an owner
+ * @param placement the placement policy and its settings
+ * @param load returns the known load of a range
+ * @param warmShare returns the share of its capacity that a member may be given
+ * @param movedAt returns when a range's owner last changed
+ * @param awaitsSuccessor whether an instance started to leave so recently that it keeps
+ * ranges that no other instance can take
  */
 record PlanFacts(VersionedRow known, long now, Set<MemberKey> lost, Set<MemberKey> suspects, List<MemberInfo> announced,
 		Map<HeldRange, List<CrashMark>> released, List<PlannedMove> moves, List<ManagerPair> closed,
--- a/core/src/main/java/org/brasspier/core/ownership/PlannedMove.java
+++ b/core/src/main/java/org/brasspier/core/ownership/PlannedMove.java
@@ -6,11 +6,11 @@
 import org.brasspier.core.placement.PlacementStep.MoveCause;
 
 /**
- * A range on its way from a living owner to another. Immutable and thread-safe.
+ * A pending move of a range from a live owner. Immutable and thread-safe.
  *
- * @param held the range as its present owner holds it
- * @param to who gets it, if somebody can
- * @param cause why
+ * @param held the range as its current owner holds it
+ * @param to the new owner, if there is one
+ * @param cause the reason
  */
 public record PlannedMove(HeldRange held, Optional<InstanceId> to, MoveCause cause) {
 
--- a/core/src/main/java/org/brasspier/core/ownership/PrimaryState.java
+++ b/core/src/main/java/org/brasspier/core/ownership/PrimaryState.java
@@ -15,21 +15,21 @@
 import org.brasspier.core.placement.PlacementWeights;
 
 /**
- * What a primary learns between two writes of the row. All of it may be forgotten with
- * the process: members repeat it until the row shows it. Not thread-safe; copied cheaply.
+ * What a primary learns between two writes of the row. It may be lost with the process,
+ * since members repeat all of it until the row shows it. Not thread-safe; cheap to copy.
  */
 final class PrimaryState {
 
 	/**
-	 * An announcement is repeated five times in this time, so an older one is of a gone
-	 * process.
+	 * Maximum age of an announcement. Announcements are repeated five times in this time,
+	 * so an older one comes from a process that has ended.
 	 */
 	private static final long ANNOUNCEMENT_MILLIS = 1000;
 
 	/**
-	 * How long a leaving instance keeps ranges that nobody can take, so that the next
-	 * instance of its service finds them served. Its backend server takes new work for
-	 * three seconds after it began to drain.
+	 * How long a leaving instance keeps ranges that no other instance can take, so that
+	 * they are still served when the next instance of its service starts. Its backend
+	 * server accepts new work for three seconds after it started to drain.
 	 */
 	private static final long SUCCESSOR_WAIT_MILLIS = 2500;
 
@@ -70,9 +70,9 @@
 	}
 
 	/**
-	 * Begins anew with an epoch. Members that were serving before are taken as warm.
+	 * Resets the state for a new epoch. Members that were serving before count as warm.
 	 * @param row the row
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 */
 	void begin(CellRow row, long now) {
 		this.released = TreeMap.empty();
@@ -161,18 +161,18 @@
 	}
 
 	/**
-	 * What is to be planned from.
+	 * Returns the input of planning.
 	 * @param known the newest known row
-	 * @param manager the lease manager's side
-	 * @param placement decides what goes where
-	 * @param balance whether the policy is asked even if every range has an owner
-	 * @param now the time
-	 * @return the facts
+	 * @param manager the lease manager of this process
+	 * @param placement the placement policy and its settings
+	 * @param balance whether to ask the policy even if every range has an owner
+	 * @param now current time, milliseconds
+	 * @return the input
 	 */
 	PlanFacts facts(VersionedRow known, LeaseManager manager, Placement placement, boolean balance, long now) {
 		Set<MemberKey> lost = manager.lost(known.row(), now);
-		// By incarnation: a process that has started again isn't suspect for its silent
-		// past.
+		// By incarnation: a restarted process is not suspect because its previous
+		// incarnation was silent.
 		Set<MemberKey> suspects = manager.revoking().keySet().toJavaSet();
 		List<MemberInfo> fresh = this.announced.values()
 			.filter((entry) -> now - entry.at() <= ANNOUNCEMENT_MILLIS && !lost.contains(entry.member().key()))
@@ -195,19 +195,19 @@
 	/**
 	 * An announcement.
 	 *
-	 * @param member what it said
-	 * @param at when it came
+	 * @param member the announced information
+	 * @param at when it arrived
 	 */
 	private record Announced(MemberInfo member, long at) {
 
 	}
 
 	/**
-	 * How ranges are placed.
+	 * The placement policy and its settings.
 	 *
-	 * @param policy decides what goes where
-	 * @param weights what the operators weigh
-	 * @param initialRanges how many ranges a service begins with
+	 * @param policy the placement policy
+	 * @param weights the operators' weights
+	 * @param initialRanges initial number of ranges of a service
 	 */
 	record Placement(PlacementPolicy policy, PlacementWeights weights, int initialRanges) {
 
--- a/core/src/main/java/org/brasspier/core/ownership/ProcessParts.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ProcessParts.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * The parts of one process's state, shared by the steps that work on it. Not thread-safe;
- * copied cheaply.
+ * The components and state of one process, shared by the classes that handle its steps.
+ * Not thread-safe; cheap to copy.
  */
 final class ProcessParts {
 
@@ -35,10 +35,15 @@
 
 	long document;
 
-	/** Since when the backend server is lost and the ranges still to be given up. */
+	/**
+	 * Time at which the backend server was lost, while its ranges are still to be
+	 * released.
+	 */
 	Optional<Long> givingUpSince = Optional.empty();
 
-	/** Since when this manager misses the other one and means to replace it. */
+	/**
+	 * Time from which this manager has not heard the other one and intends to replace it.
+	 */
 	Optional<Long> peerMissedSince = Optional.empty();
 
 	boolean leaving;
--- a/core/src/main/java/org/brasspier/core/ownership/RangeLoad.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RangeLoad.java
@@ -6,12 +6,12 @@
 import org.brasspier.core.placement.PlacementInput.HotPoint;
 
 /**
- * The load of one range over the last second or so, as its owner's daemon measured it.
- * Immutable and thread-safe.
+ * Load of one range over about the last second, measured by its owner's daemon. Immutable
+ * and thread-safe.
  *
  * @param range the points
  * @param busySlots how many slots its requests kept busy on average
- * @param hottest the hottest single point in it, if one stands out
+ * @param hottest its hottest single point, if one stands out
  */
 public record RangeLoad(KeyRange range, double busySlots, Optional<HotPoint> hottest) {
 
--- a/core/src/main/java/org/brasspier/core/ownership/RangeState.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RangeState.java
@@ -9,13 +9,13 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * One range in the row of a cell. Immutable and thread-safe.
+ * One range in a cell's row. Immutable and thread-safe.
  *
  * @param service the service
  * @param range the points
- * @param owner who owns it, if anybody does
- * @param fence the version of the row at which it got its present owner
- * @param marks crashed requests that the present owner must know of
+ * @param owner its owner, if it has one
+ * @param fence the version of the row that assigned it to its current owner
+ * @param marks marks of crashed requests that the current owner must know
  */
 public record RangeState(ServiceName service, KeyRange range, Optional<InstanceId> owner, Fence fence,
 		List<CrashMark> marks) {
@@ -28,7 +28,7 @@
 	}
 
 	/**
-	 * The range as its owner holds it.
+	 * Returns the range as its owner holds it.
 	 * @return the range with its fence
 	 */
 	public HeldRange held() {
@@ -36,18 +36,18 @@
 	}
 
 	/**
-	 * The range without an owner.
+	 * Returns the range without an owner.
 	 * @param kept the marks for the next owner
-	 * @return the range; its fence stays until somebody gets it
+	 * @return the range; the fence stays until it has a new owner
 	 */
 	public RangeState unowned(List<CrashMark> kept) {
 		return new RangeState(this.service, this.range, Optional.empty(), this.fence, kept);
 	}
 
 	/**
-	 * The range with a new owner.
+	 * Returns the range with a new owner.
 	 * @param next the new owner
-	 * @param version the version of the row that gives it away
+	 * @param version the version of the row that assigns it
 	 * @return the range
 	 */
 	public RangeState ownedBy(InstanceId next, long version) {
@@ -55,7 +55,7 @@
 	}
 
 	/**
-	 * The same owner and fence over other points, for splits.
+	 * Returns a range with the same owner and fence over other points, for splits.
 	 * @param part the points
 	 * @return the range
 	 */
--- a/core/src/main/java/org/brasspier/core/ownership/Revocation.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Revocation.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * A member's revocation as the primary sees it.
+ * Revocation of a member's lease, as the primary sees it.
  *
- * @param since when the primary stopped renewing it
- * @param promiseUntil until when the secondary's last renewal may run, once it has
- * promised
+ * @param since when the primary stopped renewing the lease
+ * @param promiseUntil the latest time at which the secondary's last renewal may end, once
+ * the secondary has promised not to renew again
  */
 record Revocation(long since, Optional<Long> promiseUntil) {
 
--- a/core/src/main/java/org/brasspier/core/ownership/RowAccess.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowAccess.java
@@ -4,18 +4,21 @@
 import java.util.Optional;
 
 /**
- * One write of the row at a time. A write whose answer was lost may have taken effect, or
- * may yet: until the row was read back at a later version nothing else is written, and
- * the same write is sent again while the row is still at the version it began from. What
- * the row says then is the truth, whoever wrote it; nobody is told anything before. Not
- * thread-safe.
+ * Serializes access to the row, with one write at a time. A write whose answer was lost
+ * may have taken effect, or may still do so. Until the row has been read back at a later
+ * version, nothing else is written, and the same write is repeated while the row is still
+ * at the expected version. The row that is read then is authoritative, whoever wrote it;
+ * until then no new row is announced. Not thread-safe.
  */
 final class RowAccess {
 
-	/** Calls that take longer are slow: half of what authority lasts. */
+	/** Calls that take longer count as slow: half of the manager authority. */
 	private static final long QUICK_MILLIS = 300;
 
-	/** How long a failed call is not repeated, so that a store that is down is spared. */
+	/**
+	 * Minimum time before a failed call is repeated, to avoid load on a store that is
+	 * down.
+	 */
 	static final long RETRY_MILLIS = 200;
 
 	private Optional<Pending> pending = Optional.empty();
@@ -62,8 +65,8 @@
 	}
 
 	/**
-	 * Whether nothing is being written or to be settled.
-	 * @param now the time
+	 * Returns whether no write is in progress or has an unknown outcome.
+	 * @param now current time, milliseconds
 	 * @return true if a write may be proposed
 	 */
 	boolean idle(long now) {
@@ -79,19 +82,20 @@
 	}
 
 	/**
-	 * Whether the table answered a read within a span.
-	 * @param span how long ago that may be
-	 * @param now the time
-	 * @return true if it did, and nothing has failed since
+	 * Returns whether the table recently answered a read.
+	 * @param span the maximum time since the read, milliseconds
+	 * @param now current time, milliseconds
+	 * @return true if it did, and no call has failed since
 	 */
 	boolean readWithin(long span, long now) {
 		return this.reachable && now - this.lastReadAt <= span;
 	}
 
 	/**
-	 * Whether the table answered a read that was sent at some time or later.
-	 * @param time the time
-	 * @return true if it did
+	 * Returns whether the table has answered a read that was sent at a given time or
+	 * later.
+	 * @param time the earliest time of sending, milliseconds
+	 * @return true if it has
 	 */
 	boolean answeredReadOf(long time) {
 		return this.answeredSentAt >= time;
@@ -126,8 +130,8 @@
 	}
 
 	/**
-	 * What is due: reading back an unknown outcome, or nothing.
-	 * @param now the time
+	 * Returns the read that resolves an unknown outcome, if one is due.
+	 * @param now current time, milliseconds
 	 * @return a read, if one is due
 	 */
 	Optional<OwnershipAction> settle(long now) {
@@ -144,10 +148,10 @@
 	}
 
 	/**
-	 * The row was read.
-	 * @param version its version, 0 if there is none
-	 * @param now the time
-	 * @return the write to send again, if it has not taken effect yet
+	 * Handles a completed read of the row.
+	 * @param version its version, 0 if there is no row
+	 * @param now current time, milliseconds
+	 * @return the write to repeat, if it has not taken effect yet
 	 */
 	Optional<OwnershipAction> readDone(long version, long now) {
 		this.reading = false;
@@ -172,7 +176,7 @@
 	}
 
 	/**
-	 * The write took effect.
+	 * Handles a write that took effect.
 	 * @return the row that was written
 	 */
 	CellRow written() {
@@ -184,8 +188,8 @@
 	}
 
 	/**
-	 * The row had another version: either another process wrote, or an earlier sending of
-	 * this write took effect. Reading it tells.
+	 * Handles a version conflict: either another process wrote the row, or an earlier
+	 * attempt of this write took effect. The next read shows which.
 	 */
 	void conflict() {
 		this.stale = true;
@@ -201,8 +205,9 @@
 	}
 
 	/**
-	 * This sending had no effect; an earlier one of the same write still may.
-	 * @param now the time
+	 * Handles an attempt that had no effect; an earlier attempt of the same write may
+	 * still take effect.
+	 * @param now current time, milliseconds
 	 */
 	void writeFailed(long now) {
 		this.pending = this.pending.filter(Pending::uncertain);
@@ -221,11 +226,12 @@
 	}
 
 	/**
-	 * A write that is under way or to be settled.
+	 * A write that is in progress or has an unknown outcome.
 	 *
-	 * @param expectedVersion the version it began from
+	 * @param expectedVersion the version that it replaces
 	 * @param row the new contents
-	 * @param uncertain whether an earlier sending may have taken effect, or may yet
+	 * @param uncertain whether an earlier attempt may have taken effect or may still do
+	 * so
 	 */
 	record Pending(long expectedVersion, CellRow row, boolean uncertain) {
 
--- a/core/src/main/java/org/brasspier/core/ownership/RowChange.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowChange.java
@@ -8,11 +8,11 @@
 import org.brasspier.core.event.EventKind;
 
 /**
- * What a newer row means to one process, for its time line and its thread of requests.
+ * What a newer row changes for one process, for its time line and its request thread.
  *
  * @param self the process
- * @param before the row it knew
- * @param after the newer one
+ * @param before the row that it knew
+ * @param after the newer row
  */
 record RowChange(MemberKey self, VersionedRow before, VersionedRow after) {
 
--- a/core/src/main/java/org/brasspier/core/ownership/RowDelta.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowDelta.java
@@ -13,17 +13,17 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * What differs between two versions of the row. A move changes one range of hundreds, so
- * the whole row for each member would be most of what a primary sends. Who has another
- * base, or whose row doesn't come out as the sender's, gets the whole row. Immutable and
- * thread-safe.
+ * The difference between two versions of the row. A move changes one range of hundreds,
+ * so sending the whole row to each member would be most of a primary's traffic. A
+ * receiver that has another base, or whose result does not match the sender's row, gets
+ * the whole row. Immutable and thread-safe.
  *
- * @param base the version that it applies to
- * @param version the version that it leads to
- * @param digest the {@link RowDigest} of the row that it leads to
+ * @param base the version to which it applies
+ * @param version the resulting version
+ * @param digest the {@link RowDigest} of the resulting row
  * @param changed the new row with only those members and ranges that are new or different
- * @param goneMembers members of the base that are none any more
- * @param goneRanges ranges of the base that are none any more, as after a split
+ * @param goneMembers members of the base that are no longer members
+ * @param goneRanges ranges of the base that no longer exist, as after a split
  */
 public record RowDelta(long base, long version, long digest, CellRow changed, List<InstanceId> goneMembers,
 		List<Place> goneRanges) {
@@ -37,9 +37,9 @@
 	}
 
 	/**
-	 * Finds what differs.
+	 * Computes the difference between two rows.
 	 * @param from the base
-	 * @param to the row to lead to
+	 * @param to the resulting row
 	 * @return the difference
 	 */
 	public static RowDelta between(VersionedRow from, VersionedRow to) {
@@ -68,7 +68,7 @@
 	}
 
 	/**
-	 * Whether telling the difference costs less than the whole row.
+	 * Returns whether the difference is smaller than the whole row.
 	 * @return false if most of the row is new
 	 */
 	boolean worthwhile(CellRow whole) {
@@ -77,10 +77,10 @@
 	}
 
 	/**
-	 * Makes the row out of its base.
+	 * Applies the difference to its base.
 	 * @param known the row that the receiver knows
-	 * @return the row, empty if that is another base or the outcome is not what the
-	 * sender has
+	 * @return the resulting row, empty if the base differs or the result does not match
+	 * the sender's row
 	 */
 	public Optional<VersionedRow> applyTo(VersionedRow known) {
 		if (known.version() != this.base) {
@@ -107,7 +107,7 @@
 	}
 
 	/**
-	 * Where a range lies, whoever owns it.
+	 * Position of a range, independent of its owner.
 	 *
 	 * @param service the service
 	 * @param range the points
--- a/core/src/main/java/org/brasspier/core/ownership/RowDigest.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowDigest.java
@@ -9,11 +9,11 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * A number that tells whether two processes have the same row. It guards against a base
- * that carries the same version but other contents, as after the platform restored its
- * table: a difference applied to it would make two members read different owners out of
- * one version. Every version of the program must compute the same number, or it falls
- * back to whole rows. Stateless and thread-safe.
+ * Computes a digest by which two processes compare their rows. It guards against a base
+ * with the same version but other contents, as after the platform has restored its table:
+ * a delta applied to it would make two members read different owners from one version.
+ * All versions of the program must compute the same digest; otherwise they fall back to
+ * whole rows. Stateless and thread-safe.
  */
 final class RowDigest {
 
--- a/core/src/main/java/org/brasspier/core/ownership/RowPlanner.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowPlanner.java
@@ -16,15 +16,16 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * Works out the next row from the newest known one and all that the primary has learnt
- * since: who has come, gone or let go of what. Everything that is due goes into one
- * write, since the table takes a few hundred a second for all cells together, and the
- * loss of a failure domain moves the ranges of many members at once. Serves one plan.
+ * Computes the next row from the newest known one and from what the primary has learnt
+ * since: members that joined or were lost, and ranges that were released. All changes
+ * that are due go into one write, since the table accepts a few hundred writes a second
+ * for all cells together, and the loss of a failure domain moves the ranges of many
+ * members at once. Used for one plan.
  */
 final class RowPlanner {
 
 	/**
-	 * The number of ranges a service begins with: a few for each member of a full cell.
+	 * Initial number of ranges of a service: a few for each member of a full cell.
 	 */
 	static final int INITIAL_RANGES = 64;
 
@@ -44,9 +45,9 @@
 	}
 
 	/**
-	 * Plans.
+	 * Computes the plan.
 	 * @return the next row, equal to the known one if nothing is due, and the moves that
-	 * wait for their owners to let go
+	 * wait for their owners to release the ranges
 	 */
 	Plan plan() {
 		closePairs();
@@ -160,8 +161,8 @@
 			.findFirst();
 	}
 
-	// Gives ranges without an owner to the emptiest instance where the policy's choice
-	// can't be taken.
+	// Fallback for ranges without an owner if the policy's choice is not possible: the
+	// instance that owns the fewest points.
 	static Optional<InstanceId> emptiest(List<InstanceId> placeable, Map<InstanceId, Long> points) {
 		return placeable.stream().min((a, b) -> Long.compare(points.getOrDefault(a, 0L), points.getOrDefault(b, 0L)));
 	}
@@ -180,10 +181,10 @@
 	}
 
 	/**
-	 * The outcome.
+	 * A plan.
 	 *
 	 * @param row the next row
-	 * @param moves the moves that wait for their owners to let go
+	 * @param moves the moves that wait for their owners to release the ranges
 	 */
 	record Plan(CellRow row, List<PlannedMove> moves) {
 
--- a/core/src/main/java/org/brasspier/core/ownership/RowSide.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowSide.java
@@ -7,25 +7,29 @@
 import org.brasspier.core.event.EventKind;
 
 /**
- * What a process does with the row: reads and writes it, takes a newer one and tells
- * others. Not thread-safe.
+ * The work of a process with the row: reads and writes it, applies newer versions and
+ * sends them to other members. Not thread-safe.
  */
 final class RowSide {
 
 	/**
-	 * A manager need not read the row to know it, since it writes it or is told. It reads
-	 * to show that it reaches the table, which counts for minutes, and to see a
-	 * challenge, which stands for 10 s. More often would cost: a row of 8 KB a second is
-	 * most of the 10 KB a second that a node may spend on control.
+	 * A manager does not need to read the row to know it, since it writes the row or
+	 * receives it. It reads to show that it reaches the table, which is valid for
+	 * minutes, and to see a challenge, which stands for 10 s. Shorter intervals cost too
+	 * much: reading a row of 8 KB every second would use most of the 10 KB a second that
+	 * a node may spend on control traffic.
 	 */
 	private static final long READ_MANAGER_MILLIS = 4000;
 
-	/** While ranges are to be let go of, see {@link ManagerSide#askToRelease}. */
+	/** While ranges are to be released, see {@link ManagerSide#askToRelease}. */
 	private static final long READ_MOVING_MILLIS = 500;
 
 	private static final long READ_MEMBER_MILLIS = 500;
 
-	/** While ranges of a lost backend server wait to be given up: each time counts. */
+	/**
+	 * While ranges of a lost backend server wait to be released; each interval delays the
+	 * recovery.
+	 */
 	private static final long READ_GIVING_UP_MILLIS = 50;
 
 	private static final long PUSH_MILLIS = 100;
@@ -84,8 +88,10 @@
 		this.parts.out.publish();
 		change.events().forEach(this.parts.out::add);
 		this.parts.takeover.adopt(row.row(), now);
-		// Who waited to be let in, as after a restart until its former life was out of
-		// the row, was renewed by nobody: no sign that the managers are lost.
+		// A process that waited to become a member, as after a restart until its previous
+		// incarnation was removed from the row, was not renewed in the meantime. This is
+		// no
+		// sign that the managers are lost.
 		if (change.newEpoch() || change.joined()) {
 			this.parts.managerHeardAt = now;
 		}
@@ -110,9 +116,11 @@
 		}
 	}
 
-	// Made for moves one after another in a full cell: the whole row to each member was
-	// 39 KB for a move among 12. Most members have the row before, so they are told what
-	// changed; a newcomer has none, and who lost one asks.
+	// Reduces traffic when ranges move one after another in a full cell: the whole row
+	// for
+	// each member was 39 KB for one move among 12. Most members have the previous row and
+	// get only the changes; a new member has no row, and a member that missed a change
+	// requests the whole row.
 	private void pushToAll(VersionedRow before, VersionedRow row) {
 		RowDelta delta = RowDelta.between(before, row);
 		boolean worthwhile = before.version() > 0 && delta.worthwhile(row.row());
@@ -126,8 +134,9 @@
 					before.row().has(member.key()) ? difference : whole));
 	}
 
-	// A heartbeat that left before the member learnt of the new row would else fetch the
-	// whole one although the difference is on its way.
+	// Otherwise a heartbeat that was sent before the member received the new row would
+	// make
+	// it get the whole row although the difference is in transit.
 	private void notePushed(CellRow row, long now) {
 		row.members().forEach((member) -> this.parts.timers.pushDue(member.instance(), now, 0));
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/ServicePlan.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ServicePlan.java
@@ -14,9 +14,9 @@
 import org.brasspier.core.placement.PlacementStep.MoveCause;
 
 /**
- * Takes the policy's steps for one service into the row: ranges without an owner are
- * given away at once, owned ones become moves that wait until their owner lets go. Serves
- * one plan.
+ * Applies the policy's steps for one service to the row: ranges without an owner are
+ * assigned at once, and owned ranges become moves that wait until their owners release
+ * them. Used for one plan.
  */
 final class ServicePlan {
 
@@ -131,10 +131,11 @@
 		return this.moving.containsKey(range) || this.assigned.contains(range);
 	}
 
-	// Joins neighbours of one owner and one fence. Under two fences the owner keeps two
-	// memories of request ids, so both are first let go of and granted anew together; a
-	// later
-	// plan finds them under one fence.
+	// Merges adjacent ranges with the same owner and fence. If the fences differ, the
+	// owner
+	// keeps separate records of request ids for them, so both ranges are first released
+	// and
+	// granted again together; a later plan finds them under one fence.
 	private void merge(KeyRange first, KeyRange second) {
 		RangeState low = this.ranges.get(first);
 		RangeState high = this.ranges.get(second);
@@ -169,8 +170,8 @@
 		}
 	}
 
-	// Where nobody can take what a leaving instance owns, it lets go all the same after a
-	// while, or it could never stop.
+	// If no other instance can take the ranges of a leaving instance, it releases them
+	// anyway after a while; otherwise it could never stop.
 	private void letGoOfLeavers() {
 		if (!this.placeable.isEmpty()) {
 			return;
--- a/core/src/main/java/org/brasspier/core/ownership/Takeover.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Takeover.java
@@ -9,24 +9,25 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * What a member does that hears neither lease manager. It may be that both are lost, or
- * that this member alone is cut off; taking over in the second case would stop a healthy
- * cell. So the others are asked: if more than half of the members hear no manager either,
- * one of them takes over at once. Where they can't be asked, a challenge in the row gives
- * managers that reach the table time to show it. Not thread-safe; copied cheaply.
+ * Decides whether a member that hears neither lease manager takes over. Either both
+ * managers are lost, or this member alone is disconnected, and then a takeover would
+ * interrupt a healthy cell. So it probes the other members: if more than half of the
+ * members hear no manager either, one of them takes over at once. If they can't be
+ * reached, a challenge in the row gives managers that reach the table time to respond.
+ * Not thread-safe; cheap to copy.
  */
 final class Takeover {
 
-	/** How often the others are asked. */
+	/** Interval of probes. */
 	static final long PROBE_MILLIS = 100;
 
-	/** How old an answer may be that still counts. */
+	/** Maximum age of a probe answer. */
 	private static final long ANSWER_MILLIS = 300;
 
-	/** How long the member with the lowest name among those that agree goes first. */
+	/** Head start of the member with the lowest name among those that agree. */
 	private static final long STAGGER_MILLIS = 300;
 
-	/** How long a member is without a lease before it challenges the managers. */
+	/** Time without a lease after which a member challenges the managers. */
 	private static final long CHALLENGE_AFTER_MILLIS = 2000;
 
 	private final MemberKey self;
@@ -64,9 +65,9 @@
 	}
 
 	/**
-	 * Takes note of the newest row.
+	 * Handles a newer row.
 	 * @param row the row
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 */
 	void adopt(CellRow row, long now) {
 		if (this.challenger.isPresent() && row.challenger().isEmpty()) {
@@ -78,16 +79,16 @@
 		}
 	}
 
-	// How long no manager must be heard before the others are asked.
+	// Time without a message from a manager after which the other members are probed.
 	long patience() {
 		return this.timing.peerSilence() + this.timing.memberSilence() / 2;
 	}
 
 	/**
-	 * What this process should write, if anything.
+	 * Returns the row that this process should write, if any.
 	 * @param row the newest known row
-	 * @param silentFor how long it has heard of no lease manager
-	 * @param now the time
+	 * @param silentFor time since it last heard of a lease manager, milliseconds
+	 * @param now current time, milliseconds
 	 * @return the row to write
 	 */
 	Optional<CellRow> attempt(CellRow row, long silentFor, long now) {
@@ -96,8 +97,8 @@
 		}
 		ManagerPair pair = row.managers().get();
 		if (pair.managers().allMatch((manager) -> gone(manager, now))) {
-			// Both processes have ended, so nobody confirms anybody: the time that is
-			// waited in any case is enough.
+			// Both processes have ended, so neither confirms the other any longer; the
+			// usual waiting time is sufficient.
 			return Optional.of(row.nextEpoch(this.self, Optional.empty(), row.unclosed()));
 		}
 		if (silentFor > patience() && othersAgree(row, pair, silentFor, now)) {
@@ -106,8 +107,9 @@
 		return (silentFor > CHALLENGE_AFTER_MILLIS) ? challenge(row, pair, now) : Optional.empty();
 	}
 
-	// Whether a manager's process has certainly ended: its instance runs another one at
-	// the same place.
+	// Whether a manager's process has certainly ended: its instance runs another process
+	// at
+	// the same address.
 	private boolean gone(MemberKey manager, long now) {
 		if (manager.instance().equals(this.self.instance())) {
 			return manager.incarnation() != this.self.incarnation();
@@ -138,19 +140,22 @@
 
 	private Optional<CellRow> challenge(CellRow row, ManagerPair pair, long now) {
 		if (row.challenger().isEmpty()) {
-			// Managers that answered a challenge do reach the table, so there's no hurry.
+			// Managers that answered a challenge reach the table, so there is no urgency.
 			return (now - this.challengeAnsweredAt > this.timing.challenge())
 					? Optional.of(row.challengedBy(Optional.of(this.self))) : Optional.empty();
 		}
 		boolean mine = row.challenger().filter(this.self::equals).isPresent();
-		// The challenge of a process that has ended since must not keep others waiting.
+		// The challenge of a process that has ended since must not delay other members
+		// indefinitely.
 		long wait = (mine) ? this.timing.challenge() : this.timing.challenge() * 2;
 		return (now - this.challengeSeenAt > wait) ? Optional.of(takeOver(row, pair)) : Optional.empty();
 	}
 
 	private CellRow takeOver(CellRow row, ManagerPair pair) {
 		List<ManagerPair> open = new ArrayList<>(row.unclosed());
-		// A lone manager's authority comes from reading the table, so it ends by itself.
+		// The authority of a lone manager depends on its reads of the table, so it ends
+		// by
+		// itself.
 		if (pair.secondary().isPresent()) {
 			open.add(pair);
 		}
@@ -160,7 +165,7 @@
 	/**
 	 * An answer to a probe.
 	 *
-	 * @param at when it came
+	 * @param at when it arrived
 	 * @param message the answer
 	 */
 	private record Answer(long at, ControlMessage.ProbeAnswer message) {
--- a/core/src/main/java/org/brasspier/core/ownership/Timers.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Timers.java
@@ -9,7 +9,7 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * When what is done repeatedly was done last. Not thread-safe.
+ * Records when periodic work was last done. Not thread-safe.
  */
 final class Timers {
 
@@ -21,7 +21,7 @@
 
 	private boolean leaseRan;
 
-	/** Whose turn the next heartbeat is; 0 for all. */
+	/** Index of the manager that gets the next heartbeat; 0 for all. */
 	private int turn;
 
 	Timers copy() {
@@ -55,11 +55,12 @@
 	}
 
 	/**
-	 * Whether the latest heartbeat was not answered, once for each.
-	 * @param heardAt when a renewal came last
-	 * @param patience how long an answer may take
-	 * @param now the time
-	 * @return true if it's time to ask the other manager
+	 * Returns whether the latest heartbeat was not answered in time; true at most once
+	 * for each heartbeat.
+	 * @param heardAt when the last renewal arrived
+	 * @param patience how long an answer may take, milliseconds
+	 * @param now current time, milliseconds
+	 * @return true if a heartbeat to the other manager is due
 	 */
 	boolean heartbeatMissed(long heardAt, long patience, long now) {
 		Long sentAt = this.last.get(Kind.HEARTBEAT);
@@ -72,11 +73,11 @@
 	}
 
 	/**
-	 * Whom the next heartbeat goes to: the lease managers in turn, since one renewal in
-	 * each span is enough and a manager's traffic is what bounds the size of a cell; all
-	 * of them after a change, since they must learn soon what this member has
-	 * acknowledged.
-	 * @param renewers who may renew this member
+	 * Returns the receivers of the next heartbeat. Usually the lease managers get
+	 * heartbeats in turn, since one renewal in each interval is enough and a manager's
+	 * traffic limits the size of a cell. After a change all of them get one, since they
+	 * must soon learn what this member has acknowledged.
+	 * @param renewers the processes that may renew this member
 	 * @return one of them, or all
 	 */
 	List<MemberKey> heartbeatTurn(List<MemberKey> renewers) {
--- a/core/src/main/java/org/brasspier/core/ownership/Timing.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Timing.java
@@ -1,45 +1,46 @@
 package org.brasspier.core.ownership;
 
 /**
- * The times that ownership is built on, all in milliseconds. docs/DESIGN.md gives the
- * reasons. Every member of a cell must use the same ones. Immutable and thread-safe.
+ * Time limits of the ownership protocol, all in milliseconds; docs/DESIGN.md gives the
+ * reasons. All members of a cell must use the same values. Immutable and thread-safe.
  *
- * @param heartbeat how often a member tells one lease manager or the other, in turn, that
- * it's alive
- * @param lease how long a renewal lasts from when the member sent the heartbeat it
- * answers
- * @param memberSilence how long a lease manager hears nothing of a member before it wants
- * to revoke
- * @param beat how often lease managers ask each other for confirmation
- * @param peerSilence how long a lease manager hears nothing of the other one before it
- * replaces it
+ * @param heartbeat interval of a member's heartbeats, which go to the two lease managers
+ * in turn
+ * @param lease duration of a renewal, from the time at which the member sent the
+ * heartbeat that it answers
+ * @param memberSilence time without a heartbeat after which a lease manager starts to
+ * revoke a member
+ * @param beat interval at which the lease managers ask each other for confirmation
+ * @param peerSilence time without a message after which a lease manager replaces the
+ * other one
  * @param authority how long a lease manager may renew after it sent the beat that was
  * confirmed last
  * @param withoutTable how long lease managers confirm each other after they last read
  * their epoch in the table
- * @param challenge how long a challenge must stand in the row before a member that hears
- * no lease manager takes over without the others' agreement
- * @param driftPermille the allowance for clocks that run differently, in thousandths
+ * @param challenge how long a challenge must stand in the row before a member that does
+ * not hear a lease manager takes over without the agreement of the others
+ * @param driftPermille allowance for clock drift, in thousandths
  */
 public record Timing(long heartbeat, long lease, long memberSilence, long beat, long peerSilence, long authority,
 		long withoutTable, long challenge, long driftPermille) {
 
 	/**
-	 * The times for production: a lost member's ranges move about 0.65 s after its last
-	 * heartbeat, which leaves a third of a second of the promised one for the write, the
-	 * grant and a scheduler's delay. A heartbeat each 200 ms, since a manager's bytes are
-	 * mostly the headers of these and bound the size of a cell: three renewals fit into a
-	 * lease, and where one manager is lost, the other renews after 400 ms what lasts 500
-	 * at least. A manager hears a member each 400 ms and suspects it after 500; that a
-	 * range may move is decided later still, when the lease has run out.
+	 * Values for production. The ranges of a lost member move about 0.65 s after its last
+	 * heartbeat, which leaves a third of the promised second for the write, the grant and
+	 * scheduling delays. The heartbeat interval is 200 ms, since most bytes that a
+	 * manager sends are the headers of these messages, and they limit the size of a cell.
+	 * Three renewals fit into a lease, and if one manager is lost, the other renews after
+	 * 400 ms a lease of at least 500 ms. A manager hears each member every 400 ms and
+	 * suspects it after 500 ms; its ranges may move only later, when the lease has
+	 * expired.
 	 */
 	public static final Timing STANDARD = new Timing(200, 600, 500, 100, 300, 600, 900_000, 10_000, 10);
 
 	private static final long WHOLE = 1000;
 
 	/**
-	 * Checks the times.
-	 * @throws IllegalArgumentException if they contradict each other
+	 * Checks the values.
+	 * @throws IllegalArgumentException if they are inconsistent
 	 */
 	public Timing {
 		if (heartbeat < 1 || lease <= heartbeat || beat < 1 || authority <= beat || driftPermille < 0) {
@@ -50,9 +51,10 @@
 	}
 
 	/**
-	 * How long to wait on this clock until a span has certainly passed on another.
+	 * Returns how long to wait on this clock until a span has certainly passed on another
+	 * one.
 	 * @param span the span on the other clock, in milliseconds
-	 * @return the span with the allowance, rounded up
+	 * @return the span plus the drift allowance, rounded up
 	 */
 	public long withDrift(long span) {
 		return span + (span * this.driftPermille + WHOLE - 1) / WHOLE;
--- a/core/src/main/java/org/brasspier/core/ownership/WarmUp.java
+++ b/core/src/main/java/org/brasspier/core/ownership/WarmUp.java
@@ -6,19 +6,18 @@
 import io.vavr.collection.TreeSet;
 
 /**
- * The share of its capacity that each member may be given. Whoever has just come runs
- * slowly at first, so its share grows with the time since. Not thread-safe; copied
- * cheaply.
+ * Tracks the share of its capacity that each member may be given. A new member is slow at
+ * first, so its share grows with time. Not thread-safe; cheap to copy.
  */
 final class WarmUp {
 
 	/**
-	 * How long a process counts as new at least: its daemon begins with cold code and no
-	 * open connection, whatever its backend server announces of itself.
+	 * Minimum time for which a process counts as new: its daemon starts with cold code
+	 * and no open connections, whatever cold start its backend server announces.
 	 */
 	private static final int NEW_PROCESS_MILLIS = 5000;
 
-	/** Enough for a newcomer to be tried with. */
+	/** Initial share, enough for some requests to reach the new member. */
 	private static final double LEAST_SHARE = 0.1;
 
 	private SortedMap<MemberKey, Long> activeSince = TreeMap.empty();
@@ -33,11 +32,12 @@
 	}
 
 	/**
-	 * Takes who is there. Whoever serves already in the first row that this process sees
-	 * is taken as warm. An epoch changes nothing: managers often change because an
-	 * instance is being replaced, and the one replaced before it is still new then.
+	 * Updates the members. Members that are already serving in the first row that this
+	 * process sees count as warm. An epoch change has no effect: managers often change
+	 * because an instance is being replaced, and the one that was replaced before it is
+	 * still new then.
 	 * @param row the newest row
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 */
 	void adopt(CellRow row, long now) {
 		if (this.activeSince.isEmpty()) {
@@ -56,10 +56,10 @@
 	}
 
 	/**
-	 * What a member may be given.
+	 * Returns the share of its capacity that a member may be given.
 	 * @param member the member
-	 * @param now the time
-	 * @return a share of its capacity, above 0 to 1
+	 * @param now current time, milliseconds
+	 * @return the share, more than 0 and at most 1
 	 */
 	double share(MemberInfo member, long now) {
 		if (this.warm.contains(member.key())) {
--- a/core/src/main/java/org/brasspier/core/ownership/package-info.java
+++ b/core/src/main/java/org/brasspier/core/ownership/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Who owns what: leases, epochs of lease managers and the row of a cell, as pure state
- * machines. Time is passed in as milliseconds of the process's own monotonic clock.
+ * Ownership of ranges: leases, epochs of lease managers and the row of a cell, as pure
+ * state machines. Times are milliseconds of the process's own monotonic clock, passed in
+ * by the caller.
  */
 @NullMarked
 package org.brasspier.core.ownership;
