--- a/bench/src/main/java/org/brasspier/bench/capacity/SimulatedCell.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/SimulatedCell.java
@@ -196,14 +196,14 @@
 			case OwnershipAction.Send send -> send(instance, send);
 			case OwnershipAction.ReadRow read -> {
 				this.reads++;
-				step(instance, (machine) -> machine.rowRead(this.row, this.now));
+				step(instance, (machine) -> machine.onRowRead(this.row, this.now));
 			}
 			case OwnershipAction.WriteRow write -> write(instance, write);
 			case OwnershipAction.Drain drain ->
-				step(instance, (machine) -> machine.drained(drain.held(), List.of(), this.now));
+				step(instance, (machine) -> machine.onDrained(drain.held(), List.of(), this.now));
 			case OwnershipAction.Publish publish -> {
 			}
-			case OwnershipAction.Tell tell -> {
+			case OwnershipAction.RecordEvent tell -> {
 			}
 			case OwnershipAction.OrderDone done -> {
 			}
@@ -214,12 +214,12 @@
 	private void write(InstanceId instance, OwnershipAction.WriteRow write) {
 		this.writes++;
 		if (write.expectedVersion() != this.row.version()) {
-			step(instance, (machine) -> machine.writeConflict(this.now));
+			step(instance, (machine) -> machine.onWriteConflict(this.now));
 			return;
 		}
 		this.row = new VersionedRow(this.row.version() + 1, CellRowCodec.decode(CellRowCodec.encode(write.row()))
 			.getOrElseThrow((failure) -> new IllegalStateException(failure.detail())));
-		step(instance, (machine) -> machine.written(this.row.version(), this.now));
+		step(instance, (machine) -> machine.onWritten(this.row.version(), this.now));
 	}
 
 	private void send(InstanceId from, OwnershipAction.Send send) {
@@ -253,7 +253,7 @@
 			receiver.nanos += Probe.cpuNanos() - begin;
 			receiver.kind(message, frame.length);
 			process(way.from()).kind(message, frame.length);
-			step(way.to(), (machine) -> machine.received(way.from(), message, this.now));
+			step(way.to(), (machine) -> machine.onMessage(way.from(), message, this.now));
 		});
 		this.unacknowledged.putIfAbsent(way.back(), this.now);
 		this.unacknowledged.remove(way);
--- a/core/src/main/java/org/brasspier/core/ownership/FormerPairs.java
+++ b/core/src/main/java/org/brasspier/core/ownership/FormerPairs.java
@@ -25,7 +25,7 @@
 		this.timing = timing;
 	}
 
-	void take(FormerPairs other) {
+	void copyFrom(FormerPairs other) {
 		this.stoppedAt = other.stoppedAt;
 	}
 
@@ -33,29 +33,29 @@
 		return this.stoppedAt;
 	}
 
-	void begin() {
+	void reset() {
 		this.stoppedAt = TreeMap.empty();
 	}
 
 	// A member that has acknowledged a later epoch, or whose process was restarted, no
 	// longer confirms managers of a former pair.
-	void heard(MemberKey key, long epoch, CellRow row, long now) {
+	void onHeartbeat(MemberKey key, long epoch, CellRow row, long now) {
 		row.unclosed()
 			.stream()
 			.filter((old) -> old.find(key.instance())
 				.filter((member) -> !member.equals(key) || epoch > old.epoch())
 				.isPresent())
-			.forEach((old) -> stopped(old, now));
+			.forEach((old) -> onManagerStopped(old, now));
 	}
 
-	void stopped(ManagerPair old, long now) {
+	void onManagerStopped(ManagerPair old, long now) {
 		if (!this.stoppedAt.containsKey(old.epoch())) {
 			this.stoppedAt = this.stoppedAt.put(old.epoch(), now);
 		}
 	}
 
 	List<ManagerPair> closed(CellRow row, long since, long now) {
-		heard(this.self, row.epoch(), row, since);
+		onHeartbeat(this.self, row.epoch(), row, since);
 		long lastResort = since + this.timing.withDrift(this.timing.withoutTable() + this.timing.authority());
 		return row.unclosed()
 			.stream()
--- a/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
+++ b/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
@@ -37,7 +37,7 @@
 
 	private Optional<MemberKey> replaced = Optional.empty();
 
-	private SortedMap<InstanceId, MemberRecord> watches = TreeMap.empty();
+	private SortedMap<InstanceId, MemberRecord> memberRecords = TreeMap.empty();
 
 	private SortedMap<MemberKey, Revocation> revoking = TreeMap.empty();
 
@@ -45,34 +45,34 @@
 
 	private final ManagerAuthority authority;
 
-	private final FormerPairs oldPairs;
+	private final FormerPairs formerPairs;
 
 	LeaseManager(MemberKey self, Timing timing, EnabledGuards guards) {
 		this.self = self;
 		this.timing = timing;
 		this.guards = guards;
 		this.authority = new ManagerAuthority(timing, guards);
-		this.oldPairs = new FormerPairs(self, timing);
+		this.formerPairs = new FormerPairs(self, timing);
 	}
 
 	LeaseManager copy() {
 		LeaseManager copy = new LeaseManager(this.self, this.timing, this.guards);
 		copy.pair = this.pair;
 		copy.since = this.since;
-		copy.authority.take(this.authority);
+		copy.authority.copyFrom(this.authority);
 		copy.peerBeatSentAt = this.peerBeatSentAt;
 		copy.minVersion = this.minVersion;
 		copy.replaced = this.replaced;
-		copy.watches = this.watches;
+		copy.memberRecords = this.memberRecords;
 		copy.revoking = this.revoking;
 		copy.promised = this.promised;
-		copy.oldPairs.take(this.oldPairs);
+		copy.formerPairs.copyFrom(this.formerPairs);
 		return copy;
 	}
 
 	List<Object> state() {
 		return List.of(this.pair, this.since, this.authority.state(), this.peerBeatSentAt, this.minVersion,
-				this.replaced, this.watches, this.revoking, this.promised, this.oldPairs.state());
+				this.replaced, this.memberRecords, this.revoking, this.promised, this.formerPairs.state());
 	}
 
 	/**
@@ -86,44 +86,44 @@
 		this.minVersion = Math.max(this.minVersion, known.version());
 		Optional<ManagerPair> next = known.row().managers().filter((managers) -> managers.includes(this.self));
 		if (next.equals(this.pair)) {
-			next.ifPresent((managers) -> watchAll(known.row(), now));
+			next.ifPresent((managers) -> addMemberRecords(known.row(), now));
 			return false;
 		}
 		Optional<ManagerPair> before = this.pair;
 		this.pair = next;
 		this.since = now;
-		this.authority.begin(next.isPresent(), now);
+		this.authority.startEpoch(next.isPresent(), now);
 		this.peerBeatSentAt = Long.MIN_VALUE;
 		this.revoking = TreeMap.empty();
 		this.promised = TreeSet.empty();
-		this.oldPairs.begin();
+		this.formerPairs.reset();
 		// Only this process renewed the replaced peer's lease as a member.
 		this.replaced = before.flatMap((old) -> old.peerOf(this.self))
 			.filter((peer) -> next
 				.filter((managers) -> !managers.includes(peer) && managers.epoch() == before.get().epoch() + 1
 						&& managers.primary().equals(this.self))
 				.isPresent());
-		next.ifPresent((managers) -> watchAll(known.row(), now));
+		next.ifPresent((managers) -> addMemberRecords(known.row(), now));
 		return true;
 	}
 
-	private void watchAll(CellRow row, long now) {
+	private void addMemberRecords(CellRow row, long now) {
 		row.members()
-			.forEach((member) -> this.watches = this.watches.put(member.instance(),
-					this.watches.get(member.instance())
+			.forEach((member) -> this.memberRecords = this.memberRecords.put(member.instance(),
+					this.memberRecords.get(member.instance())
 						.filter((watch) -> watch.incarnation() == member.key().incarnation())
-						.getOrElse(() -> MemberRecord.unheard(member.key().incarnation(), now))));
+						.getOrElse(() -> MemberRecord.initial(member.key().incarnation(), now))));
 	}
 
-	boolean active() {
+	boolean isActive() {
 		return this.pair.isPresent();
 	}
 
-	boolean primary() {
+	boolean isPrimary() {
 		return this.pair.filter((managers) -> managers.primary().equals(this.self)).isPresent();
 	}
 
-	boolean lone() {
+	boolean isLone() {
 		return this.pair.filter((managers) -> managers.secondary().isEmpty()).isPresent();
 	}
 
@@ -139,8 +139,8 @@
 		return this.authority;
 	}
 
-	Optional<MemberRecord> watch(MemberKey key) {
-		return this.watches.get(key.instance())
+	Optional<MemberRecord> memberRecord(MemberKey key) {
+		return this.memberRecords.get(key.instance())
 			.filter((watch) -> watch.incarnation() == key.incarnation())
 			.toJavaOptional();
 	}
@@ -149,8 +149,8 @@
 	 * Records that this process's own epoch was seen in the table.
 	 * @param sentAt when the call that showed it was sent
 	 */
-	void tableShows(long sentAt) {
-		this.authority.tableShows(sentAt, lone());
+	void onEpochSeen(long sentAt) {
+		this.authority.onEpochSeen(sentAt, isLone());
 	}
 
 	/**
@@ -164,30 +164,32 @@
 	 * @return duration of the lease from the sending, 0 if it is not renewed
 	 */
 	long renew(MemberKey key, ControlMessage.Heartbeat heartbeat, CellRow row, boolean writing, long now) {
-		hear(key, heartbeat, row, writing, now);
+		recordHeartbeat(key, heartbeat, row, writing, now);
 		boolean refused = this.revoking.containsKey(key) || this.promised.contains(key)
 				|| (key.equals(this.self) && this.guards.on(Guard.MANAGER_RENEWED_BY_PEER)) || !row.has(key)
-				|| heartbeat.epoch() > epoch() || !active();
-		long span = this.authority.span(now);
+				|| heartbeat.epoch() > epoch() || !isActive();
+		long span = this.authority.maxRenewalMillis(now);
 		if (refused || span <= 0) {
 			return 0;
 		}
-		this.watches = this.watches
-			.computeIfPresent(key.instance(), (instance, watch) -> watch.renewed(now + drift(span)))
+		this.memberRecords = this.memberRecords
+			.computeIfPresent(key.instance(), (instance, watch) -> watch.withRenewal(now + drift(span)))
 			._2();
 		return span;
 	}
 
-	private void hear(MemberKey key, ControlMessage.Heartbeat heartbeat, CellRow row, boolean writing, long now) {
-		MemberRecord watch = watch(key).orElse(MemberRecord.unheard(key.incarnation(), now));
-		if (watch(key).isPresent() || row.has(key)) {
+	private void recordHeartbeat(MemberKey key, ControlMessage.Heartbeat heartbeat, CellRow row, boolean writing,
+			long now) {
+		MemberRecord watch = memberRecord(key).orElse(MemberRecord.initial(key.incarnation(), now));
+		if (memberRecord(key).isPresent() || row.has(key)) {
 			long bound = now + drift(heartbeat.leaseLeft());
-			this.watches = this.watches.put(key.instance(), watch.heard(now, heartbeat.epoch(), bound));
+			this.memberRecords = this.memberRecords.put(key.instance(),
+					watch.withHeartbeat(now, heartbeat.epoch(), bound));
 		}
 		if (!writing) {
 			this.revoking = this.revoking.remove(key);
 		}
-		this.oldPairs.heard(key, heartbeat.epoch(), row, now);
+		this.formerPairs.onHeartbeat(key, heartbeat.epoch(), row, now);
 	}
 
 	private long drift(long span) {
@@ -202,36 +204,37 @@
 	 * @param now current time, milliseconds
 	 * @return the answer, empty if the sender is not the peer in this epoch
 	 */
-	Optional<ControlMessage.BeatAnswer> answer(MemberKey from, ControlMessage.Beat beat, long now) {
+	Optional<ControlMessage.BeatAnswer> answerBeat(MemberKey from, ControlMessage.Beat beat, long now) {
 		if (!peer().filter(from::equals).isPresent() || beat.epoch() != epoch()) {
 			return Optional.empty();
 		}
-		this.authority.peerHeard(now);
+		this.authority.onPeerHeard(now);
 		if (beat.sentAt() > this.peerBeatSentAt) {
 			this.peerBeatSentAt = beat.sentAt();
 			this.minVersion = Math.max(this.minVersion, beat.version());
 			this.promised = TreeSet.ofAll(beat.revoking())
-				.filter((member) -> this.promised.contains(member) || silent(member, now) || neverHeard(member));
+				.filter((member) -> this.promised.contains(member) || isSilent(member, now) || neverHeard(member));
 		}
 		List<ControlMessage.Promised> promises = this.promised.toStream()
 			.map((member) -> new ControlMessage.Promised(member, leaseLeft(member, now)))
 			.toJavaList();
 		return Optional.of(new ControlMessage.BeatAnswer(from.incarnation(), beat.sentAt(), epoch(),
-				this.authority.confirms(now), this.authority.tableAge(now), promises));
+				this.authority.isConfirming(now), this.authority.tableAge(now), promises));
 	}
 
 	// Negative after the lease has expired: the guard time counts from the expiry, and if
 	// each answer reported zero, it would never end.
 	private long leaseLeft(MemberKey member, long now) {
-		return Math.max(watch(member).map(MemberRecord::leaseBound).orElse(this.since), this.since) - now;
+		return Math.max(memberRecord(member).map(MemberRecord::leaseBound).orElse(this.since), this.since) - now;
 	}
 
 	private boolean neverHeard(MemberKey member) {
-		return watch(member).filter((watch) -> watch.ackedEpoch() > 0).isEmpty();
+		return memberRecord(member).filter((watch) -> watch.ackedEpoch() > 0).isEmpty();
 	}
 
-	boolean silent(MemberKey member, long now) {
-		return watch(member).filter((watch) -> now - watch.lastHeartbeatAt() <= this.timing.memberSilence()).isEmpty();
+	boolean isSilent(MemberKey member, long now) {
+		return memberRecord(member).filter((watch) -> now - watch.lastHeartbeatAt() <= this.timing.memberSilence())
+			.isEmpty();
 	}
 
 	/**
@@ -240,12 +243,12 @@
 	 * @param answer the answer
 	 * @param now current time, milliseconds
 	 */
-	void confirmed(MemberKey from, ControlMessage.BeatAnswer answer, long now) {
+	void onBeatAnswer(MemberKey from, ControlMessage.BeatAnswer answer, long now) {
 		if (!peer().filter(from::equals).isPresent() || answer.epoch() != epoch()) {
 			return;
 		}
-		this.authority.peerHeard(now);
-		this.authority.answered(answer);
+		this.authority.onPeerHeard(now);
+		this.authority.onBeatAnswer(answer);
 		for (ControlMessage.Promised promise : answer.promises()) {
 			this.revoking = this.revoking
 				.computeIfPresent(promise.member(),
@@ -288,7 +291,7 @@
 			.stream()
 			.map(MemberInfo::key)
 			.filter((key) -> !key.equals(this.self) && !peer().filter(key::equals).isPresent())
-			.filter((key) -> !this.revoking.containsKey(key) && silent(key, now))
+			.filter((key) -> !this.revoking.containsKey(key) && isSilent(key, now))
 			.toList();
 		begun.forEach((key) -> this.revoking = this.revoking.put(key, new Revocation(now, Optional.empty())));
 		return begun;
@@ -301,27 +304,27 @@
 	 * @param now current time, milliseconds
 	 * @return the members
 	 */
-	Set<MemberKey> lost(CellRow row, long now) {
+	Set<MemberKey> lostMembers(CellRow row, long now) {
 		return row.members()
 			.stream()
-			.filter((member) -> this.revoking.containsKey(member.key()) && runOut(member, row, now))
+			.filter((member) -> this.revoking.containsKey(member.key()) && hasExpired(member, row, now))
 			.map(MemberInfo::key)
 			.collect(Collectors.toUnmodifiableSet());
 	}
 
-	private boolean runOut(MemberInfo member, CellRow row, long now) {
+	private boolean hasExpired(MemberInfo member, CellRow row, long now) {
 		long guard = this.timing.withDrift(row.guardMillis(member));
 		Revocation revocation = this.revoking.get(member.key()).get();
-		boolean promiseKept = lone() || !this.guards.on(Guard.PROMISE_OF_PEER)
+		boolean promiseKept = isLone() || !this.guards.on(Guard.PROMISE_OF_PEER)
 				|| revocation.promiseUntil().filter((until) -> until + guard <= now).isPresent();
 		boolean ownRunOut = !this.guards.on(Guard.RENEWALS_RUN_OUT)
-				|| watch(member.key()).filter((watch) -> watch.leaseBound() > now - guard).isEmpty();
+				|| memberRecord(member.key()).filter((watch) -> watch.leaseBound() > now - guard).isEmpty();
 		return promiseKept && ownRunOut && noOldRenewals(member.key(), row, now - guard);
 	}
 
 	// Whether no lease manager of an earlier epoch can still be renewing a member.
 	private boolean noOldRenewals(MemberKey member, CellRow row, long now) {
-		long acked = watch(member).map(MemberRecord::ackedEpoch).orElse(0L);
+		long acked = memberRecord(member).map(MemberRecord::ackedEpoch).orElse(0L);
 		if (acked >= epoch() || !this.guards.on(Guard.OLD_AUTHORITY_ENDS)) {
 			return true;
 		}
@@ -332,8 +335,8 @@
 		return pairsClosed && now >= this.since + drift(this.timing.authority());
 	}
 
-	FormerPairs oldPairs() {
-		return this.oldPairs;
+	FormerPairs formerPairs() {
+		return this.formerPairs;
 	}
 
 	/**
@@ -342,12 +345,12 @@
 	 * @param now current time, milliseconds
 	 * @return the pairs
 	 */
-	List<ManagerPair> closed(CellRow row, long now) {
-		return this.oldPairs.closed(row, this.since, now);
+	List<ManagerPair> closedPairs(CellRow row, long now) {
+		return this.formerPairs.closed(row, this.since, now);
 	}
 
 	Map<InstanceId, Long> heardAt() {
-		return (active()) ? this.watches.mapValues(MemberRecord::lastHeartbeatAt).toJavaMap() : Map.of();
+		return (isActive()) ? this.memberRecords.mapValues(MemberRecord::lastHeartbeatAt).toJavaMap() : Map.of();
 	}
 
 	SortedMap<MemberKey, Revocation> revoking() {
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerAuthority.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerAuthority.java
@@ -32,7 +32,7 @@
 		this.guards = guards;
 	}
 
-	void take(ManagerAuthority other) {
+	void copyFrom(ManagerAuthority other) {
 		this.until = other.until;
 		this.confirming = other.confirming;
 		this.stopped = other.stopped;
@@ -49,7 +49,7 @@
 	 * @param manages whether this process is a manager in it
 	 * @param now current time, milliseconds
 	 */
-	void begin(boolean manages, long now) {
+	void startEpoch(boolean manages, long now) {
 		this.confirming = manages;
 		this.stopped = false;
 		this.tableSeenAt = NEVER;
@@ -61,7 +61,7 @@
 	 * @param sentAt when the call that showed it was sent
 	 * @param lone whether there is no peer that could confirm this manager
 	 */
-	void tableShows(long sentAt, boolean lone) {
+	void onEpochSeen(long sentAt, boolean lone) {
 		this.tableSeenAt = Math.max(this.tableSeenAt, sentAt);
 		if (lone) {
 			this.until = Math.max(this.until, sentAt + this.timing.authority());
@@ -72,7 +72,7 @@
 	 * Records that the peer was heard.
 	 * @param now current time, milliseconds
 	 */
-	void peerHeard(long now) {
+	void onPeerHeard(long now) {
 		this.peerHeardAt = now;
 	}
 
@@ -84,7 +84,7 @@
 	 * Handles the peer's answer to a beat.
 	 * @param answer the answer, of this epoch
 	 */
-	void answered(ControlMessage.BeatAnswer answer) {
+	void onBeatAnswer(ControlMessage.BeatAnswer answer) {
 		// The peer answered after the beat was sent, so this time is never too late.
 		this.tableSeenAt = Math.max(this.tableSeenAt, answer.sentAt() - this.timing.withDrift(answer.tableAge()));
 		// While a write that replaces the peer is in progress, or its outcome is unknown,
@@ -101,12 +101,12 @@
 	 * @param now current time, milliseconds
 	 * @return the span in milliseconds, 0 or less if no renewal is allowed
 	 */
-	long span(long now) {
+	long maxRenewalMillis(long now) {
 		long left = (this.guards.on(Guard.RENEWAL_WITHIN_AUTHORITY)) ? this.until - now : this.timing.lease();
 		return Math.min(this.timing.lease(), left);
 	}
 
-	boolean confirms(long now) {
+	boolean isConfirming(long now) {
 		return this.confirming && now < this.tableSeenAt + this.timing.withoutTable();
 	}
 
@@ -124,7 +124,7 @@
 		this.confirming = !this.guards.on(Guard.STOP_CONFIRMING_FIRST);
 	}
 
-	boolean stopped() {
+	boolean hasStopped() {
 		return this.stopped;
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerChoice.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerChoice.java
@@ -17,9 +17,9 @@
 	 * Factor, in thousandths, by which a manager that hears less than half of the members
 	 * waits longer.
 	 */
-	static final long LONELY_PERMILLE = 1500;
+	static final long ISOLATED_FACTOR_PERMILLE = 1500;
 
-	private static final long WHOLE = 1000;
+	private static final long PERMILLE_BASE = 1000;
 
 	/**
 	 * Returns whether the other manager has been silent for so long that it must be
@@ -32,9 +32,9 @@
 	boolean peerSilent(CellRow row, long now) {
 		long others = row.members().size() - 2L;
 		long heard = heardMembers(row, now).size();
-		long patience = (heard * 2 >= others) ? this.timing.peerSilence()
-				: this.timing.peerSilence() * LONELY_PERMILLE / WHOLE;
-		return this.manager.peer().isPresent() && now - this.manager.authority().peerHeardAt() > patience;
+		long timeout = (heard * 2 >= others) ? this.timing.peerSilence()
+				: this.timing.peerSilence() * ISOLATED_FACTOR_PERMILLE / PERMILLE_BASE;
+		return this.manager.peer().isPresent() && now - this.manager.authority().peerHeardAt() > timeout;
 	}
 
 	private List<MemberInfo> heardMembers(CellRow row, long now) {
@@ -42,8 +42,8 @@
 			.stream()
 			.filter((member) -> !member.key().equals(this.self)
 					&& !this.manager.peer().filter(member.key()::equals).isPresent())
-			.filter((member) -> !this.manager.silent(member.key(), now)
-					&& this.manager.watch(member.key()).filter((watch) -> watch.ackedEpoch() > 0).isPresent())
+			.filter((member) -> !this.manager.isSilent(member.key(), now)
+					&& this.manager.memberRecord(member.key()).filter((watch) -> watch.ackedEpoch() > 0).isPresent())
 			.toList();
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerSide.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerRole.java
@@ -10,21 +10,21 @@
  * The work of a process as a lease manager: renews leases, monitors the other manager,
  * and as the primary writes the row. Not thread-safe.
  */
-final class ManagerSide {
+final class ManagerRole {
 
 	private static final long EPOCH_TRY_MILLIS = 500;
 
 	private static final long PUSH_MILLIS = 100;
 
-	private static final long TABLE_SEEN_MILLIS = 1000;
+	private static final long MAX_READ_AGE_MILLIS = 1000;
 
 	private final ProcessParts parts;
 
-	private final RowSide rows;
+	private final RowHandler rows;
 
-	private final MemberSide member;
+	private final MemberRole member;
 
-	ManagerSide(ProcessParts parts, RowSide rows, MemberSide member) {
+	ManagerRole(ProcessParts parts, RowHandler rows, MemberRole member) {
 		this.parts = parts;
 		this.rows = rows;
 		this.member = member;
@@ -42,16 +42,16 @@
 		// A manager that has stopped confirming, and whose write then failed, does not
 		// confirm again in this epoch, even if the peer is heard again: only a new epoch
 		// helps.
-		boolean stopped = this.parts.manager.peer().isPresent() && this.parts.manager.authority().stopped();
+		boolean stopped = this.parts.manager.peer().isPresent() && this.parts.manager.authority().hasStopped();
 		if (stopped || choice().peerSilent(row, now)) {
 			replacePeer(row, now);
 			return;
 		}
 		this.parts.peerMissedSince = Optional.empty();
-		if (this.parts.manager.primary()) {
+		if (this.parts.manager.isPrimary()) {
 			primaryWork(row, now);
 		}
-		else if (row.challenger().isPresent() && this.parts.access.idle(now)) {
+		else if (row.challenger().isPresent() && this.parts.access.isIdle(now)) {
 			this.rows.propose(row.challengedBy(Optional.empty()), now);
 		}
 	}
@@ -63,7 +63,7 @@
 	// segments.
 	private long beatEvery() {
 		long beat = this.parts.timing.beat();
-		return (this.parts.manager.primary()) ? beat : beat + beat / 2;
+		return (this.parts.manager.isPrimary()) ? beat : beat + beat / 2;
 	}
 
 	// Managers are also members of each other. A heartbeat that would be due soon goes
@@ -87,19 +87,19 @@
 	// replaced
 	// one round trip later.
 	void replacePeer(CellRow row, long now) {
-		if (!this.parts.manager.authority().stopped()) {
+		if (!this.parts.manager.authority().hasStopped()) {
 			if (this.parts.peerMissedSince.isEmpty()) {
 				this.parts.peerMissedSince = Optional.of(now);
-				this.parts.out.tell(EventKind.MANAGER_SUSPECTED, this.parts.manager.peer().orElseThrow().instance(),
-						"epoch " + this.parts.manager.epoch());
+				this.parts.out.recordEvent(EventKind.MANAGER_SUSPECTED,
+						this.parts.manager.peer().orElseThrow().instance(), "epoch " + this.parts.manager.epoch());
 			}
-			if (!this.parts.access.answeredReadOf(this.parts.peerMissedSince.get())) {
+			if (!this.parts.access.hasAnsweredReadSince(this.parts.peerMissedSince.get())) {
 				this.parts.access.read(now).ifPresent(this.parts.out::add);
 				return;
 			}
 			this.parts.manager.authority().stopConfirming();
 		}
-		if (this.parts.access.idle(now)) {
+		if (this.parts.access.isIdle(now)) {
 			this.rows.propose(row.nextEpoch(this.parts.me.key(), choice().candidate(row, now).map(MemberInfo::key),
 					row.unclosed()), now);
 		}
@@ -108,10 +108,10 @@
 	void primaryWork(CellRow row, long now) {
 		List<MemberKey> silent = this.parts.manager.revokeSilent(row, now);
 		if (!silent.isEmpty()) {
-			silent.forEach((key) -> this.parts.out.tell(EventKind.MEMBER_SUSPECTED, key.instance(), "silent"));
+			silent.forEach((key) -> this.parts.out.recordEvent(EventKind.MEMBER_SUSPECTED, key.instance(), "silent"));
 			this.parts.manager.peer().ifPresent((peer) -> this.parts.beat(now));
 		}
-		if (!this.parts.access.idle(now)) {
+		if (!this.parts.access.isIdle(now)) {
 			return;
 		}
 		Optional<CellRow> epoch = epochChange(row, now);
@@ -121,14 +121,14 @@
 			return;
 		}
 		plan(now);
-		askToRelease(now);
+		requestReleases(now);
 	}
 
 	// A planned change of managers: this one leaves, the other one leaves, or there is no
 	// other one yet.
 	Optional<CellRow> epochChange(CellRow row, long now) {
 		Optional<MemberInfo> peer = this.parts.manager.peer().flatMap((key) -> row.member(key.instance()));
-		if (!this.parts.access.quick()) {
+		if (!this.parts.access.isFast()) {
 			// While a planned change is being written, neither manager is confirmed, so
 			// it
 			// is postponed while the table is slow.
@@ -143,7 +143,7 @@
 						candidate.map(MemberInfo::key).filter((key) -> !key.equals(next.key())), row.unclosed()))
 				.or(() -> lastOneLeaves(row));
 		}
-		boolean wanted = (this.parts.manager.lone()) ? candidate.isPresent() : peer.isPresent() && !peerStays;
+		boolean wanted = (this.parts.manager.isLone()) ? candidate.isPresent() : peer.isPresent() && !peerStays;
 		return (wanted && this.parts.timers.epochDue(now, EPOCH_TRY_MILLIS))
 				? Optional.of(row.nextEpoch(this.parts.me.key(), candidate.map(MemberInfo::key), row.unclosed()))
 				: Optional.empty();
@@ -156,25 +156,25 @@
 	}
 
 	void plan(long now) {
-		this.parts.memory.announced(this.parts.me, now);
+		this.parts.primaryState.onAnnouncement(this.parts.me, now);
 		boolean balance = this.parts.timers.balanceDue(now);
 		VersionedRow known = this.parts.lease.known();
-		PlanFacts facts = this.parts.memory.facts(known, this.parts.manager, this.parts.placement, balance, now);
+		PlanFacts facts = this.parts.primaryState.facts(known, this.parts.manager, this.parts.placement, balance, now);
 		RowPlanner.Plan plan = new RowPlanner(facts).plan();
-		this.parts.memory.moves(plan.moves());
+		this.parts.primaryState.moves(plan.moves());
 		if (!plan.row().equals(known.row())) {
 			facts.lost()
-				.forEach((key) -> this.parts.out.tell(EventKind.MEMBER_LOST, key.instance(),
+				.forEach((key) -> this.parts.out.recordEvent(EventKind.MEMBER_LOST, key.instance(),
 						"%d ranges".formatted(known.row().ownedBy(key.instance()).size())));
-			this.parts.memory.forget(facts.lost());
+			this.parts.primaryState.removeAnnouncements(facts.lost());
 			this.rows.propose(plan.row(), now);
 		}
 	}
 
-	void askToRelease(long now) {
+	void requestReleases(long now) {
 		// While the table is down, no member could be assigned a released range, so the
 		// table must have answered a moment ago.
-		if (this.parts.memory.moves().isEmpty() || !this.parts.access.readWithin(TABLE_SEEN_MILLIS, now)
+		if (this.parts.primaryState.moves().isEmpty() || !this.parts.access.readWithin(MAX_READ_AGE_MILLIS, now)
 				|| !this.parts.timers.releaseDue(now, PUSH_MILLIS)) {
 			return;
 		}
@@ -184,8 +184,8 @@
 				.ownedBy(member.instance())
 				.stream()
 				.map(RangeState::held)
-				.filter((held) -> this.parts.memory.moves().stream().anyMatch((move) -> move.held().equals(held)))
-				.filter((held) -> !this.parts.memory.isReleased(held))
+				.filter((held) -> this.parts.primaryState.moves().stream().anyMatch((move) -> move.held().equals(held)))
+				.filter((held) -> !this.parts.primaryState.isReleased(held))
 				.toList();
 			if (!wanted.isEmpty()) {
 				this.parts.out.send(member.instance(), new ControlMessage.Release(wanted));
@@ -193,10 +193,10 @@
 		}
 	}
 
-	void heartbeat(InstanceId from, ControlMessage.Heartbeat heartbeat, long now) {
+	void onHeartbeat(InstanceId from, ControlMessage.Heartbeat heartbeat, long now) {
 		MemberKey key = new MemberKey(from, heartbeat.incarnation());
 		VersionedRow known = this.parts.lease.known();
-		if (this.parts.manager.active()) {
+		if (this.parts.manager.isActive()) {
 			long span = this.parts.manager.renew(key, heartbeat, known.row(), this.parts.access.unsettled(), now);
 			this.parts.out.send(from, new ControlMessage.Renewal(heartbeat.incarnation(), heartbeat.sentAt(),
 					this.parts.manager.epoch(), this.parts.manager.minVersion(), span, this.parts.document));
@@ -204,42 +204,42 @@
 		this.rows.pushIfBehind(from, heartbeat.version(), now);
 	}
 
-	void beat(InstanceId from, ControlMessage.Beat beat, long now) {
-		this.parts.manager.answer(new MemberKey(from, beat.incarnation()), beat, now)
+	void onBeat(InstanceId from, ControlMessage.Beat beat, long now) {
+		this.parts.manager.answerBeat(new MemberKey(from, beat.incarnation()), beat, now)
 			.ifPresent((answer) -> this.parts.out.send(from, answer));
 		this.rows.pushIfBehind(from, beat.version(), now);
-		boolean answers = this.parts.manager.active() && !this.parts.manager.primary();
+		boolean answers = this.parts.manager.isActive() && !this.parts.manager.isPrimary();
 		if (answers && this.parts.timers.beatDue(now, this.parts.timing.beat() / 2)) {
 			beatWithHeartbeat(now);
 		}
 	}
 
-	void beatAnswer(InstanceId from, ControlMessage.BeatAnswer answer, long now) {
+	void onBeatAnswer(InstanceId from, ControlMessage.BeatAnswer answer, long now) {
 		boolean mine = answer.incarnation() == this.parts.me.key().incarnation();
 		this.parts.manager.peer()
 			.filter((peer) -> mine && peer.instance().equals(from))
-			.ifPresent((peer) -> this.parts.manager.confirmed(peer, answer, now));
+			.ifPresent((peer) -> this.parts.manager.onBeatAnswer(peer, answer, now));
 	}
 
-	void announce(InstanceId from, ControlMessage.Announce announce, long now) {
-		if (!this.parts.manager.active() || !announce.member().instance().equals(from)) {
+	void onAnnouncement(InstanceId from, ControlMessage.Announce announce, long now) {
+		if (!this.parts.manager.isActive() || !announce.member().instance().equals(from)) {
 			return;
 		}
-		this.parts.memory.announced(announce.member(), now);
+		this.parts.primaryState.onAnnouncement(announce.member(), now);
 		CellRow row = this.parts.lease.known().row();
 		row.unclosed()
 			.stream()
 			.filter((old) -> old.find(from).filter((key) -> !key.equals(announce.member().key())).isPresent())
-			.forEach((old) -> this.parts.manager.oldPairs().stopped(old, now));
+			.forEach((old) -> this.parts.manager.formerPairs().onManagerStopped(old, now));
 		if (row.member(from).filter(announce.member()::equals).isPresent()) {
 			this.rows.pushIfBehind(from, 0, now);
 		}
 	}
 
-	void order(InstanceId from, ControlMessage.OrderSent sent, long now) {
-		OperatorOrders desk = new OperatorOrders(this.parts.lease.known(), this.parts.manager, this.parts.memory,
-				this.parts.access);
-		OperatorOrders.Answer answer = desk.take(sent.order(), now);
+	void onOrder(InstanceId from, ControlMessage.OrderSent sent, long now) {
+		OperatorOrders orders = new OperatorOrders(this.parts.lease.known(), this.parts.manager,
+				this.parts.primaryState, this.parts.access);
+		OperatorOrders.Answer answer = orders.handle(sent.order(), now);
 		this.parts.out.send(from, new ControlMessage.OrderAnswer(sent.number(), answer.accepted(), answer.detail()));
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/MemberRecord.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberRecord.java
@@ -11,16 +11,16 @@
  */
 record MemberRecord(int incarnation, long lastHeartbeatAt, long ackedEpoch, long leaseBound) {
 
-	static MemberRecord unheard(int incarnation, long now) {
+	static MemberRecord initial(int incarnation, long now) {
 		return new MemberRecord(incarnation, now, 0, Long.MIN_VALUE);
 	}
 
-	MemberRecord heard(long now, long epoch, long bound) {
+	MemberRecord withHeartbeat(long now, long epoch, long bound) {
 		return new MemberRecord(this.incarnation, now, Math.max(this.ackedEpoch, epoch),
 				Math.max(this.leaseBound, bound));
 	}
 
-	MemberRecord renewed(long bound) {
+	MemberRecord withRenewal(long bound) {
 		return new MemberRecord(this.incarnation, this.lastHeartbeatAt, this.ackedEpoch,
 				Math.max(this.leaseBound, bound));
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/MemberSide.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberRole.java
@@ -10,9 +10,9 @@
  * The work of a process as a member: maintains its lease, releases ranges, and searches
  * for lease managers when it hears none. Not thread-safe.
  */
-final class MemberSide {
+final class MemberRole {
 
-	private static final long REPEAT_MILLIS = 200;
+	private static final long REPEAT_INTERVAL_MILLIS = 200;
 
 	private static final long TAKEOVER_TRY_MILLIS = 300;
 
@@ -20,28 +20,29 @@
 	 * Some tens of network delays between instances of a region, and half a heartbeat
 	 * interval.
 	 */
-	private static final long UNANSWERED_MILLIS = 100;
+	private static final long HEARTBEAT_ANSWER_TIMEOUT_MILLIS = 100;
 
 	private final ProcessParts parts;
 
-	private final RowSide rows;
+	private final RowHandler rows;
 
-	MemberSide(ProcessParts parts, RowSide rows) {
+	MemberRole(ProcessParts parts, RowHandler rows) {
 		this.parts = parts;
 		this.rows = rows;
 	}
 
-	void noteLapse(long now) {
-		if (this.parts.timers.leaseRan() && !this.parts.lease.valid(now)) {
-			this.parts.out.tell(EventKind.LEASE_LAPSED, this.parts.me.instance(), "epoch " + this.parts.lease.epoch());
+	void recordLapse(long now) {
+		if (this.parts.timers.wasLeaseValid() && !this.parts.lease.valid(now)) {
+			this.parts.out.recordEvent(EventKind.LEASE_LAPSED, this.parts.me.instance(),
+					"epoch " + this.parts.lease.epoch());
 		}
-		this.parts.timers.leaseRuns(this.parts.lease.valid(now));
+		this.parts.timers.setLeaseValid(this.parts.lease.valid(now));
 	}
 
 	void memberWork(long now) {
 		CellRow row = this.parts.lease.known().row();
 		boolean shown = row.member(this.parts.me.instance()).filter(this.parts.me::equals).isPresent();
-		if (!shown && row.managers().isPresent() && this.parts.timers.announceDue(now, REPEAT_MILLIS)) {
+		if (!shown && row.managers().isPresent() && this.parts.timers.announceDue(now, REPEAT_INTERVAL_MILLIS)) {
 			toManagers(row, new ControlMessage.Announce(this.parts.me));
 		}
 		boolean withBeats = this.parts.manager.peer().isPresent();
@@ -51,11 +52,11 @@
 		// manager is lost: every second heartbeat would be lost, and a pause of 200 ms
 		// would cost the member its lease.
 		if (row.has(this.parts.me.key())
-				&& this.parts.timers.heartbeatMissed(this.parts.managerHeardAt, UNANSWERED_MILLIS, now)) {
+				&& this.parts.timers.heartbeatMissed(this.parts.managerHeardAt, HEARTBEAT_ANSWER_TIMEOUT_MILLIS, now)) {
 			heartbeat(row, now);
 		}
 		List<ControlMessage.ReleasedRange> released = this.parts.lease.released();
-		if (!released.isEmpty() && this.parts.timers.releasedDue(now, REPEAT_MILLIS)) {
+		if (!released.isEmpty() && this.parts.timers.releasedDue(now, REPEAT_INTERVAL_MILLIS)) {
 			sendReleased(released);
 		}
 	}
@@ -77,7 +78,7 @@
 			.flatMap(ManagerPair::managers)
 			.filter((key) -> !key.equals(this.parts.me.key()) || !this.parts.guards.on(Guard.MANAGER_RENEWED_BY_PEER))
 			.toList();
-		this.parts.timers.heartbeatTurn(renewers).forEach((key) -> this.parts.out.send(key.instance(), heartbeat));
+		this.parts.timers.heartbeatReceivers(renewers).forEach((key) -> this.parts.out.send(key.instance(), heartbeat));
 	}
 
 	void toManagers(CellRow row, ControlMessage message) {
@@ -95,16 +96,16 @@
 			.ifPresent((pair) -> this.parts.out.send(pair.primary().instance(), message));
 	}
 
-	void renewal(InstanceId from, ControlMessage.Renewal renewal, long now) {
+	void onRenewal(InstanceId from, ControlMessage.Renewal renewal, long now) {
 		boolean before = this.parts.lease.valid(now);
 		if (renewal.epoch() >= this.parts.lease.epoch()) {
 			this.parts.managerHeardAt = now;
 		}
 		if (this.parts.lease.renew(renewal, now)) {
-			this.parts.timers.leaseRuns(true);
+			this.parts.timers.setLeaseValid(true);
 			this.parts.out.publish();
 			if (!before) {
-				this.parts.out.tell(EventKind.LEASE_GRANTED, this.parts.me.instance(),
+				this.parts.out.recordEvent(EventKind.LEASE_GRANTED, this.parts.me.instance(),
 						"epoch %d by %s".formatted(renewal.epoch(), from));
 			}
 		}
@@ -131,20 +132,21 @@
 	// unavailable for the rest of the outage. Therefore a read that was answered after
 	// the
 	// loss must first show that the table is available; this takes some milliseconds.
-	void giveUpIfTableAnswers() {
-		if (this.parts.givingUpSince.filter((since) -> this.parts.access.readSentAt() >= since).isPresent()) {
-			this.parts.givingUpSince = Optional.empty();
+	void releaseIfTableAnswers() {
+		if (this.parts.releasingSince.filter((since) -> this.parts.access.readSentAt() >= since).isPresent()) {
+			this.parts.releasingSince = Optional.empty();
 			release(this.parts.lease.held().stream().map(RangeState::held).toList());
 		}
 	}
 
-	void lookForManagers(long now) {
+	void searchForManagers(long now) {
 		CellRow row = this.parts.lease.known().row();
 		long silentFor = now - this.parts.managerHeardAt;
 		if (this.parts.lease.known().version() == 0 || this.parts.leaving) {
 			return;
 		}
-		if (silentFor > this.parts.takeover.patience() && this.parts.timers.probeDue(now, Takeover.PROBE_MILLIS)) {
+		if (silentFor > this.parts.takeover.silenceTimeout()
+				&& this.parts.timers.probeDue(now, Takeover.PROBE_MILLIS)) {
 			row.members()
 				.stream()
 				.map(MemberInfo::instance)
@@ -152,16 +154,16 @@
 				.forEach((instance) -> this.parts.out.send(instance, new ControlMessage.Probe()));
 		}
 		Optional<CellRow> attempt = this.parts.takeover.attempt(row, silentFor, now);
-		if (attempt.isPresent() && this.parts.access.idle(now)
+		if (attempt.isPresent() && this.parts.access.isIdle(now)
 				&& this.parts.timers.takeoverDue(now, TAKEOVER_TRY_MILLIS)) {
-			this.parts.out.tell(EventKind.TAKEOVER_TRIED, this.parts.me.instance(),
+			this.parts.out.recordEvent(EventKind.TAKEOVER_TRIED, this.parts.me.instance(),
 					"silent for %d ms".formatted(silentFor));
 			this.rows.propose(attempt.get(), now);
 		}
 	}
 
 	void answerProbe(InstanceId from, long now) {
-		long heardAgo = (this.parts.manager.active()) ? 0 : now - this.parts.managerHeardAt;
+		long heardAgo = (this.parts.manager.isActive()) ? 0 : now - this.parts.managerHeardAt;
 		this.parts.out.send(from,
 				new ControlMessage.ProbeAnswer(this.parts.me.key().incarnation(), this.parts.lease.epoch(), heardAgo));
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/OperatorOrders.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OperatorOrders.java
@@ -15,13 +15,13 @@
  *
  * @param known the newest known row
  * @param manager the lease manager of this process
- * @param memory the primary's state
+ * @param primaryState the primary's state
  * @param access the access to the row
  */
-record OperatorOrders(VersionedRow known, LeaseManager manager, PrimaryState memory, RowAccess access) {
+record OperatorOrders(VersionedRow known, LeaseManager manager, PrimaryState primaryState, RowAccess access) {
 
-	Answer take(ControlMessage.Order order, long now) {
-		if (!this.manager.primary()) {
+	Answer handle(ControlMessage.Order order, long now) {
+		if (!this.manager.isPrimary()) {
 			return refused("this instance is not the primary lease manager; try again");
 		}
 		if (!this.access.reachable()) {
@@ -35,12 +35,12 @@
 	}
 
 	private Answer drain(ControlMessage.Order.Drain order) {
-		Set<InstanceId> drained = new HashSet<>(this.memory.drained(this.known.row()));
+		Set<InstanceId> drained = new HashSet<>(this.primaryState.drained(this.known.row()));
 		if (order.out() && this.known.row().member(order.instance()).isEmpty()) {
 			return refused("%s is no member of this cell".formatted(order.instance()));
 		}
 		boolean changed = (order.out()) ? drained.add(order.instance()) : drained.remove(order.instance());
-		this.memory.drain(drained);
+		this.primaryState.setDrained(drained);
 		return accepted(
 				(changed) ? "%s is being %s".formatted(order.instance(), (order.out()) ? "drained" : "undrained")
 						: "%s already was".formatted(order.instance()));
@@ -65,16 +65,16 @@
 			return refused("%s can't own ranges of %s now".formatted(order.to(), order.service()));
 		}
 		HeldRange held = range.get().held();
-		List<PlannedMove> moves = new ArrayList<>(this.memory.moves());
+		List<PlannedMove> moves = new ArrayList<>(this.primaryState.moves());
 		moves.removeIf((move) -> move.held().equals(held));
 		moves.add(new PlannedMove(held, Optional.of(order.to()), MoveCause.ORDER));
-		this.memory.moves(List.copyOf(moves));
+		this.primaryState.moves(List.copyOf(moves));
 		return accepted("%s %s is moving to %s".formatted(order.service(), order.range(), order.to()));
 	}
 
 	private Answer declareLost(InstanceId instance, long now) {
 		Optional<MemberInfo> member = this.known.row().member(instance);
-		if (member.filter((known) -> !this.manager.silent(known.key(), now)).isPresent()) {
+		if (member.filter((known) -> !this.manager.isSilent(known.key(), now)).isPresent()) {
 			return refused("%s is heard, so it can't be declared lost".formatted(instance));
 		}
 		List<ManagerPair> pairs = this.known.row()
@@ -82,7 +82,7 @@
 			.stream()
 			.filter((pair) -> pair.find(instance).isPresent())
 			.toList();
-		pairs.forEach((pair) -> this.manager.oldPairs().stopped(pair, now));
+		pairs.forEach((pair) -> this.manager.formerPairs().onManagerStopped(pair, now));
 		return accepted((pairs.isEmpty()) ? "nothing waits for %s".formatted(instance)
 				: "%d ended pairs of managers no longer wait for %s".formatted(pairs.size(), instance));
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/Outbox.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Outbox.java
@@ -22,8 +22,8 @@
 		add(new OwnershipAction.Send(to, message));
 	}
 
-	void tell(EventKind kind, InstanceId subject, String detail) {
-		add(new OwnershipAction.Tell(kind, subject.value(), detail));
+	void recordEvent(EventKind kind, InstanceId subject, String detail) {
+		add(new OwnershipAction.RecordEvent(kind, subject.value(), detail));
 	}
 
 	void publish() {
--- a/core/src/main/java/org/brasspier/core/ownership/OwnershipAction.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OwnershipAction.java
@@ -56,7 +56,7 @@
 	 * @param subject what the event is about
 	 * @param detail further details, for people
 	 */
-	record Tell(EventKind kind, String subject, String detail) implements OwnershipAction {
+	record RecordEvent(EventKind kind, String subject, String detail) implements OwnershipAction {
 
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/OwnershipMachine.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OwnershipMachine.java
@@ -25,11 +25,11 @@
 
 	private final ProcessParts parts;
 
-	private final RowSide rows;
+	private final RowHandler rows;
 
-	private final MemberSide member;
+	private final MemberRole member;
 
-	private final ManagerSide managing;
+	private final ManagerRole managing;
 
 	/**
 	 * Creates the state machine of a process that has just started.
@@ -49,9 +49,9 @@
 
 	private OwnershipMachine(ProcessParts parts) {
 		this.parts = parts;
-		this.rows = new RowSide(parts);
-		this.member = new MemberSide(parts, this.rows);
-		this.managing = new ManagerSide(parts, this.rows, this.member);
+		this.rows = new RowHandler(parts);
+		this.member = new MemberRole(parts, this.rows);
+		this.managing = new ManagerRole(parts, this.rows, this.member);
 	}
 
 	OwnershipMachine copy() {
@@ -87,15 +87,15 @@
 		if (this.parts.left) {
 			return List.of();
 		}
-		this.member.noteLapse(now);
+		this.member.recordLapse(now);
 		this.parts.access.settle(now).ifPresent(this.parts.out::add);
 		this.rows.readIfDue(now);
 		this.member.memberWork(now);
-		if (this.parts.manager.active()) {
+		if (this.parts.manager.isActive()) {
 			this.managing.managerWork(now);
 		}
 		else {
-			this.member.lookForManagers(now);
+			this.member.searchForManagers(now);
 		}
 		return finish(now);
 	}
@@ -107,7 +107,7 @@
 	 * @param now current time, milliseconds
 	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> received(InstanceId from, ControlMessage message, long now) {
+	public List<OwnershipAction> onMessage(InstanceId from, ControlMessage message, long now) {
 		if (!this.parts.left) {
 			handle(from, message, now);
 		}
@@ -116,21 +116,21 @@
 
 	private void handle(InstanceId from, ControlMessage message, long now) {
 		switch (message) {
-			case ControlMessage.Heartbeat heartbeat -> this.managing.heartbeat(from, heartbeat, now);
-			case ControlMessage.Renewal renewal -> this.member.renewal(from, renewal, now);
-			case ControlMessage.Beat beat -> this.managing.beat(from, beat, now);
-			case ControlMessage.BeatAnswer answer -> this.managing.beatAnswer(from, answer, now);
+			case ControlMessage.Heartbeat heartbeat -> this.managing.onHeartbeat(from, heartbeat, now);
+			case ControlMessage.Renewal renewal -> this.member.onRenewal(from, renewal, now);
+			case ControlMessage.Beat beat -> this.managing.onBeat(from, beat, now);
+			case ControlMessage.BeatAnswer answer -> this.managing.onBeatAnswer(from, answer, now);
 			case ControlMessage.RowUpdate update -> this.rows.adopt(update.row(), now);
-			case ControlMessage.RowDifference difference -> this.rows.change(from, difference.delta(), now);
-			case ControlMessage.RowRequest request -> this.rows.whole(from, request.version());
-			case ControlMessage.Announce announce -> this.managing.announce(from, announce, now);
+			case ControlMessage.RowDifference difference -> this.rows.onDelta(from, difference.delta(), now);
+			case ControlMessage.RowRequest request -> this.rows.sendWholeRow(from, request.version());
+			case ControlMessage.Announce announce -> this.managing.onAnnouncement(from, announce, now);
 			case ControlMessage.Release release -> this.member.release(release.ranges());
 			case ControlMessage.Released released ->
-				this.parts.memory.released(from, released, this.parts.lease.known().row());
-			case ControlMessage.Loads loads -> this.parts.memory.loads(loads, this.parts.lease.known().row());
+				this.parts.primaryState.onReleased(from, released, this.parts.lease.known().row());
+			case ControlMessage.Loads loads -> this.parts.primaryState.onLoads(loads, this.parts.lease.known().row());
 			case ControlMessage.Probe probe -> this.member.answerProbe(from, now);
-			case ControlMessage.ProbeAnswer answer -> this.parts.takeover.answered(from, answer, now);
-			case ControlMessage.OrderSent order -> this.managing.order(from, order, now);
+			case ControlMessage.ProbeAnswer answer -> this.parts.takeover.onProbeAnswer(from, answer, now);
+			case ControlMessage.OrderSent order -> this.managing.onOrder(from, order, now);
 			case ControlMessage.OrderAnswer answer ->
 				this.parts.out.add(new OwnershipAction.OrderDone(answer.number(), answer.accepted(), answer.detail()));
 		}
@@ -160,9 +160,9 @@
 	 * @param now current time, milliseconds
 	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> rowRead(VersionedRow row, long now) {
-		this.rows.rowRead(row, now);
-		this.member.giveUpIfTableAnswers();
+	public List<OwnershipAction> onRowRead(VersionedRow row, long now) {
+		this.rows.onRowRead(row, now);
+		this.member.releaseIfTableAnswers();
 		return finish(now);
 	}
 
@@ -171,8 +171,8 @@
 	 * @param now current time, milliseconds
 	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> readFailed(long now) {
-		this.parts.access.readFailed(now);
+	public List<OwnershipAction> onReadFailed(long now) {
+		this.parts.access.onReadFailed(now);
 		return finish(now);
 	}
 
@@ -182,8 +182,8 @@
 	 * @param now current time, milliseconds
 	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> written(long version, long now) {
-		this.rows.written(version, now);
+	public List<OwnershipAction> onWritten(long version, long now) {
+		this.rows.onWritten(version, now);
 		return finish(now);
 	}
 
@@ -192,8 +192,8 @@
 	 * @param now current time, milliseconds
 	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> writeConflict(long now) {
-		this.rows.writeConflict(now);
+	public List<OwnershipAction> onWriteConflict(long now) {
+		this.rows.onWriteConflict(now);
 		return finish(now);
 	}
 
@@ -202,8 +202,8 @@
 	 * @param now current time, milliseconds
 	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> writeUnknown(long now) {
-		this.rows.writeUnknown(now);
+	public List<OwnershipAction> onWriteUnknown(long now) {
+		this.rows.onWriteUnknown(now);
 		return finish(now);
 	}
 
@@ -212,8 +212,8 @@
 	 * @param now current time, milliseconds
 	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> writeFailed(long now) {
-		this.parts.access.writeFailed(now);
+	public List<OwnershipAction> onWriteFailed(long now) {
+		this.parts.access.onWriteFailed(now);
 		return finish(now);
 	}
 
@@ -224,11 +224,11 @@
 	 * @param now current time, milliseconds
 	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> backend(MemberPhase phase, Optional<MemberInfo.Backend> backend, long now) {
+	public List<OwnershipAction> onBackendChanged(MemberPhase phase, Optional<MemberInfo.Backend> backend, long now) {
 		this.parts.me = new MemberInfo(this.parts.me.key(), this.parts.me.domain(), this.parts.me.address(),
 				(this.parts.leaving) ? MemberPhase.LEAVING : phase, backend.or(this.parts.me::backend));
 		if (phase == MemberPhase.ACTIVE) {
-			this.parts.givingUpSince = Optional.empty();
+			this.parts.releasingSince = Optional.empty();
 		}
 		return finish(now);
 	}
@@ -239,9 +239,9 @@
 	 * @param now current time, milliseconds
 	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> backendLost(long now) {
-		if (this.parts.givingUpSince.isEmpty()) {
-			this.parts.givingUpSince = Optional.of(now);
+	public List<OwnershipAction> onBackendLost(long now) {
+		if (this.parts.releasingSince.isEmpty()) {
+			this.parts.releasingSince = Optional.of(now);
 			this.rows.readIfDue(now);
 		}
 		return finish(now);
@@ -254,7 +254,7 @@
 	 * @param now current time, milliseconds
 	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> drained(HeldRange held, List<CrashMark> marks, long now) {
+	public List<OwnershipAction> onDrained(HeldRange held, List<CrashMark> marks, long now) {
 		this.parts.lease.drained(held, marks);
 		this.member.sendReleased(this.parts.lease.released());
 		return finish(now);
@@ -266,7 +266,7 @@
 	 * @param now current time, milliseconds
 	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> loads(ControlMessage.Loads loads, long now) {
+	public List<OwnershipAction> reportLoads(ControlMessage.Loads loads, long now) {
 		this.parts.lease.known()
 			.row()
 			.managers()
@@ -284,7 +284,7 @@
 	public List<OwnershipAction> leave(long now) {
 		this.parts.leaving = true;
 		this.parts.me = this.parts.me.in(MemberPhase.LEAVING);
-		if (!this.parts.lease.known().row().has(this.parts.me.key()) && !this.parts.manager.active()) {
+		if (!this.parts.lease.known().row().has(this.parts.me.key()) && !this.parts.manager.isActive()) {
 			this.parts.left = true;
 			this.parts.out.add(new OwnershipAction.Left());
 		}
@@ -295,7 +295,7 @@
 	 * Sets the version of the configuration document that heartbeats report.
 	 * @param version the version in force in this process
 	 */
-	public void document(long version) {
+	public void setDocumentVersion(long version) {
 		this.parts.document = version;
 	}
 
@@ -303,8 +303,8 @@
 	 * Sets the operators' weights of the measures.
 	 * @param weights the weights of the document in force
 	 */
-	public void weights(PlacementWeights weights) {
-		this.parts.placement = this.parts.placement.weighing(weights);
+	public void setWeights(PlacementWeights weights) {
+		this.parts.placement = this.parts.placement.withWeights(weights);
 	}
 
 	private List<OwnershipAction> finish(long now) {
--- a/core/src/main/java/org/brasspier/core/ownership/PrimaryState.java
+++ b/core/src/main/java/org/brasspier/core/ownership/PrimaryState.java
@@ -24,7 +24,7 @@
 	 * Maximum age of an announcement. Announcements are repeated five times in this time,
 	 * so an older one comes from a process that has ended.
 	 */
-	private static final long ANNOUNCEMENT_MILLIS = 1000;
+	private static final long MAX_ANNOUNCEMENT_AGE_MILLIS = 1000;
 
 	/**
 	 * How long a leaving instance keeps ranges that no other instance can take, so that
@@ -74,7 +74,7 @@
 	 * @param row the row
 	 * @param now current time, milliseconds
 	 */
-	void begin(CellRow row, long now) {
+	void startEpoch(CellRow row, long now) {
 		this.released = TreeMap.empty();
 		this.moves = List.of();
 		this.drained = Optional.empty();
@@ -97,13 +97,13 @@
 		owned.filter((held) -> held.fence().value() == known.version())
 			.forEach((held) -> this.movedAt = this.movedAt.put(held, now));
 		this.warmUp.adopt(known.row(), now);
-		noteLeavers(known.row(), now);
+		recordLeaving(known.row(), now);
 		if (this.drained.filter(known.row().drained()::equals).isPresent()) {
 			this.drained = Optional.empty();
 		}
 	}
 
-	private void noteLeavers(CellRow row, long now) {
+	private void recordLeaving(CellRow row, long now) {
 		SortedSet<MemberKey> leavers = TreeSet.ofAll(row.members()
 			.stream()
 			.filter((member) -> member.phase() != MemberPhase.ACTIVE)
@@ -114,15 +114,15 @@
 			.forEach((key) -> this.leavingSince = this.leavingSince.put(key, now));
 	}
 
-	void announced(MemberInfo member, long now) {
+	void onAnnouncement(MemberInfo member, long now) {
 		this.announced = this.announced.put(member.instance(), new Announced(member, now));
 	}
 
-	void forget(Set<MemberKey> lost) {
+	void removeAnnouncements(Set<MemberKey> lost) {
 		this.announced = this.announced.filterValues((entry) -> !lost.contains(entry.member().key()));
 	}
 
-	void released(InstanceId from, ControlMessage.Released message, CellRow row) {
+	void onReleased(InstanceId from, ControlMessage.Released message, CellRow row) {
 		boolean sameProcess = row.has(new MemberKey(from, message.incarnation()));
 		Set<HeldRange> owned = row.ownedBy(from).stream().map(RangeState::held).collect(Collectors.toSet());
 		message.ranges()
@@ -131,7 +131,7 @@
 			.forEach((range) -> this.released = this.released.put(range.held(), range.marks()));
 	}
 
-	void loads(ControlMessage.Loads message, CellRow row) {
+	void onLoads(ControlMessage.Loads message, CellRow row) {
 		for (RangeLoad load : message.loads()) {
 			row.rangesOf(message.service())
 				.stream()
@@ -156,7 +156,7 @@
 		return this.drained.orElse(row.drained());
 	}
 
-	void drain(Set<InstanceId> instances) {
+	void setDrained(Set<InstanceId> instances) {
 		this.drained = Optional.of(Set.copyOf(instances));
 	}
 
@@ -170,18 +170,19 @@
 	 * @return the input
 	 */
 	PlanFacts facts(VersionedRow known, LeaseManager manager, Placement placement, boolean balance, long now) {
-		Set<MemberKey> lost = manager.lost(known.row(), now);
+		Set<MemberKey> lost = manager.lostMembers(known.row(), now);
 		// By incarnation: a restarted process is not suspect because its previous
 		// incarnation was silent.
 		Set<MemberKey> suspects = manager.revoking().keySet().toJavaSet();
 		List<MemberInfo> fresh = this.announced.values()
-			.filter((entry) -> now - entry.at() <= ANNOUNCEMENT_MILLIS && !lost.contains(entry.member().key()))
+			.filter((entry) -> now - entry.at() <= MAX_ANNOUNCEMENT_AGE_MILLIS && !lost.contains(entry.member().key()))
 			.map(Announced::member)
 			.toJavaList();
 		Map<HeldRange, List<CrashMark>> letGo = this.released.toJavaMap();
-		return new PlanFacts(known, now, lost, suspects, fresh, letGo, this.moves, manager.closed(known.row(), now),
-				drained(known.row()), balance, placement, this::load, (member) -> this.warmUp.share(member, now),
-				(held) -> this.movedAt.get(held).getOrElse(this.since), (member) -> awaitsSuccessor(member, now));
+		return new PlanFacts(known, now, lost, suspects, fresh, letGo, this.moves,
+				manager.closedPairs(known.row(), now), drained(known.row()), balance, placement, this::load,
+				(member) -> this.warmUp.share(member, now), (held) -> this.movedAt.get(held).getOrElse(this.since),
+				(member) -> awaitsSuccessor(member, now));
 	}
 
 	private RangeLoad load(HeldRange held) {
@@ -211,7 +212,7 @@
 	 */
 	record Placement(PlacementPolicy policy, PlacementWeights weights, int initialRanges) {
 
-		Placement weighing(PlacementWeights others) {
+		Placement withWeights(PlacementWeights others) {
 			return new Placement(this.policy, others, this.initialRanges);
 		}
 
--- a/core/src/main/java/org/brasspier/core/ownership/ProcessParts.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ProcessParts.java
@@ -19,7 +19,7 @@
 
 	final RowAccess access;
 
-	final PrimaryState memory;
+	final PrimaryState primaryState;
 
 	final Takeover takeover;
 
@@ -39,7 +39,7 @@
 	 * Time at which the backend server was lost, while its ranges are still to be
 	 * released.
 	 */
-	Optional<Long> givingUpSince = Optional.empty();
+	Optional<Long> releasingSince = Optional.empty();
 
 	/**
 	 * Time from which this manager has not heard the other one and intends to replace it.
@@ -58,7 +58,7 @@
 		this.lease = new MemberLease(me.key(), guards);
 		this.manager = new LeaseManager(me.key(), timing, guards);
 		this.access = new RowAccess();
-		this.memory = new PrimaryState();
+		this.primaryState = new PrimaryState();
 		this.takeover = new Takeover(me.key(), timing);
 		this.timers = new Timers();
 		this.managerHeardAt = now;
@@ -72,12 +72,12 @@
 		this.lease = other.lease.copy();
 		this.manager = other.manager.copy();
 		this.access = other.access.copy();
-		this.memory = other.memory.copy();
+		this.primaryState = other.primaryState.copy();
 		this.takeover = other.takeover.copy();
 		this.timers = other.timers.copy();
 		this.managerHeardAt = other.managerHeardAt;
 		this.document = other.document;
-		this.givingUpSince = other.givingUpSince;
+		this.releasingSince = other.releasingSince;
 		this.peerMissedSince = other.peerMissedSince;
 		this.leaving = other.leaving;
 		this.left = other.left;
@@ -88,14 +88,14 @@
 	}
 
 	List<Object> state() {
-		return List.of(this.lease.state(), this.manager.state(), this.access.state(), this.memory.state(),
-				this.takeover.state(), this.timers.state(), this.me, this.managerHeardAt, this.givingUpSince,
+		return List.of(this.lease.state(), this.manager.state(), this.access.state(), this.primaryState.state(),
+				this.takeover.state(), this.timers.state(), this.me, this.managerHeardAt, this.releasingSince,
 				this.peerMissedSince, this.leaving, this.left);
 	}
 
 	OwnershipState view() {
 		return new OwnershipState(this.me, this.lease.known(), this.lease.held(), this.lease.draining(),
-				this.lease.leaseEnd(), this.memory.moves(), this.manager.heardAt(), this.access.reachable());
+				this.lease.leaseEnd(), this.primaryState.moves(), this.manager.heardAt(), this.access.reachable());
 	}
 
 	VersionedRow known() {
--- a/core/src/main/java/org/brasspier/core/ownership/RowAccess.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowAccess.java
@@ -13,7 +13,7 @@
 final class RowAccess {
 
 	/** Calls that take longer count as slow: half of the manager authority. */
-	private static final long QUICK_MILLIS = 300;
+	private static final long FAST_CALL_LIMIT_MILLIS = 300;
 
 	/**
 	 * Minimum time before a failed call is repeated, to avoid load on a store that is
@@ -61,7 +61,7 @@
 
 	List<Object> state() {
 		return List.of(this.pending, this.writing, this.reading, this.readSentAt, this.writeSentAt, this.notBefore,
-				this.reachable, this.stale, quick(), this.lastReadAt, this.answeredSentAt);
+				this.reachable, this.stale, isFast(), this.lastReadAt, this.answeredSentAt);
 	}
 
 	/**
@@ -69,7 +69,7 @@
 	 * @param now current time, milliseconds
 	 * @return true if a write may be proposed
 	 */
-	boolean idle(long now) {
+	boolean isIdle(long now) {
 		return this.pending.isEmpty() && !this.writing && !this.stale && now >= this.notBefore;
 	}
 
@@ -97,12 +97,12 @@
 	 * @param time the earliest time of sending, milliseconds
 	 * @return true if it has
 	 */
-	boolean answeredReadOf(long time) {
+	boolean hasAnsweredReadSince(long time) {
 		return this.answeredSentAt >= time;
 	}
 
-	boolean quick() {
-		return this.reachable && this.lastTook <= QUICK_MILLIS;
+	boolean isFast() {
+		return this.reachable && this.lastTook <= FAST_CALL_LIMIT_MILLIS;
 	}
 
 	Optional<CellRow> pendingRow() {
@@ -153,7 +153,7 @@
 	 * @param now current time, milliseconds
 	 * @return the write to repeat, if it has not taken effect yet
 	 */
-	Optional<OwnershipAction> readDone(long version, long now) {
+	Optional<OwnershipAction> onRowRead(long version, long now) {
 		this.reading = false;
 		this.stale = false;
 		this.lastTook = now - this.readSentAt;
@@ -170,7 +170,7 @@
 		return Optional.of(send(now));
 	}
 
-	void readFailed(long now) {
+	void onReadFailed(long now) {
 		this.reading = false;
 		failed(now);
 	}
@@ -179,7 +179,7 @@
 	 * Handles a write that took effect.
 	 * @return the row that was written
 	 */
-	CellRow written() {
+	CellRow onWritten() {
 		CellRow row = this.pending.orElseThrow().row();
 		this.pending = Optional.empty();
 		this.writing = false;
@@ -191,14 +191,14 @@
 	 * Handles a version conflict: either another process wrote the row, or an earlier
 	 * attempt of this write took effect. The next read shows which.
 	 */
-	void conflict() {
+	void onWriteConflict() {
 		this.stale = true;
 		this.pending = Optional.empty();
 		this.writing = false;
 		answered();
 	}
 
-	void writeUnknown(long now) {
+	void onWriteUnknown(long now) {
 		this.pending = this.pending.map((write) -> new Pending(write.expectedVersion(), write.row(), true));
 		this.writing = false;
 		failed(now);
@@ -209,7 +209,7 @@
 	 * still take effect.
 	 * @param now current time, milliseconds
 	 */
-	void writeFailed(long now) {
+	void onWriteFailed(long now) {
 		this.pending = this.pending.filter(Pending::uncertain);
 		this.writing = false;
 		failed(now);
--- a/core/src/main/java/org/brasspier/core/ownership/RowChange.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowChange.java
@@ -25,12 +25,13 @@
 	}
 
 	List<OwnershipAction> events() {
-		Stream<OwnershipAction> epoch = (newEpoch()) ? Stream.of(tell(EventKind.EPOCH_CHANGED, this.self.instance(),
-				"epoch %d under %s".formatted(this.after.row().epoch(), managers()))) : Stream.empty();
+		Stream<OwnershipAction> epoch = (newEpoch()) ? Stream.of(recordEvent(EventKind.EPOCH_CHANGED,
+				this.self.instance(), "epoch %d under %s".formatted(this.after.row().epoch(), managers())))
+				: Stream.empty();
 		Stream<OwnershipAction> granted = gained()
-			.map((range) -> tell(EventKind.RANGE_GRANTED, subject(range), "fence " + range.fence()));
+			.map((range) -> recordEvent(EventKind.RANGE_GRANTED, subject(range), "fence " + range.fence()));
 		Stream<OwnershipAction> gone = lost()
-			.map((range) -> tell(EventKind.RANGE_RELEASED, subject(range), "fence " + range.fence()));
+			.map((range) -> recordEvent(EventKind.RANGE_RELEASED, subject(range), "fence " + range.fence()));
 		return Stream.of(epoch, granted, gone).flatMap((events) -> events).toList();
 	}
 
@@ -62,8 +63,8 @@
 		return range.service() + "/" + range.range();
 	}
 
-	private static OwnershipAction tell(EventKind kind, Object subject, String detail) {
-		return new OwnershipAction.Tell(kind, subject.toString(), detail);
+	private static OwnershipAction recordEvent(EventKind kind, Object subject, String detail) {
+		return new OwnershipAction.RecordEvent(kind, subject.toString(), detail);
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/ownership/RowDelta.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowDelta.java
@@ -72,8 +72,8 @@
 	 * @return false if most of the row is new
 	 */
 	boolean worthwhile(CellRow whole) {
-		int told = this.changed.ranges().size() + this.goneRanges.size();
-		return told < whole.ranges().size();
+		int changeCount = this.changed.ranges().size() + this.goneRanges.size();
+		return changeCount < whole.ranges().size();
 	}
 
 	/**
--- a/core/src/main/java/org/brasspier/core/ownership/RowSide.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowHandler.java
@@ -10,7 +10,7 @@
  * The work of a process with the row: reads and writes it, applies newer versions and
  * sends them to other members. Not thread-safe.
  */
-final class RowSide {
+final class RowHandler {
 
 	/**
 	 * A manager does not need to read the row to know it, since it writes the row or
@@ -21,7 +21,7 @@
 	 */
 	private static final long READ_MANAGER_MILLIS = 4000;
 
-	/** While ranges are to be released, see {@link ManagerSide#askToRelease}. */
+	/** While ranges are to be released, see {@link ManagerRole#requestReleases}. */
 	private static final long READ_MOVING_MILLIS = 500;
 
 	private static final long READ_MEMBER_MILLIS = 500;
@@ -30,13 +30,13 @@
 	 * While ranges of a lost backend server wait to be released; each interval delays the
 	 * recovery.
 	 */
-	private static final long READ_GIVING_UP_MILLIS = 50;
+	private static final long READ_RELEASING_MILLIS = 50;
 
 	private static final long PUSH_MILLIS = 100;
 
 	private final ProcessParts parts;
 
-	RowSide(ProcessParts parts) {
+	RowHandler(ProcessParts parts) {
 		this.parts = parts;
 	}
 
@@ -49,12 +49,12 @@
 	}
 
 	void readIfDue(long now) {
-		boolean givingUp = this.parts.givingUpSince.isPresent();
-		boolean silent = now - this.parts.managerHeardAt > this.parts.takeover.patience();
-		long every = (givingUp) ? READ_GIVING_UP_MILLIS
-				: (this.parts.manager.lone()) ? this.parts.timing.authority() / 3
-						: (this.parts.manager.active()) ? managerPeriod() : READ_MEMBER_MILLIS;
-		boolean wanted = givingUp || this.parts.manager.active() || silent || this.parts.lease.known().version() == 0
+		boolean givingUp = this.parts.releasingSince.isPresent();
+		boolean silent = now - this.parts.managerHeardAt > this.parts.takeover.silenceTimeout();
+		long every = (givingUp) ? READ_RELEASING_MILLIS
+				: (this.parts.manager.isLone()) ? this.parts.timing.authority() / 3
+						: (this.parts.manager.isActive()) ? managerPeriod() : READ_MEMBER_MILLIS;
+		boolean wanted = givingUp || this.parts.manager.isActive() || silent || this.parts.lease.known().version() == 0
 				|| !this.parts.lease.known().row().has(this.parts.me.key());
 		if (wanted && this.parts.timers.readDue(now, every)) {
 			this.parts.access.read(now).ifPresent(this.parts.out::add);
@@ -62,19 +62,19 @@
 	}
 
 	private long managerPeriod() {
-		return (this.parts.memory.moves().isEmpty()) ? READ_MANAGER_MILLIS : READ_MOVING_MILLIS;
+		return (this.parts.primaryState.moves().isEmpty()) ? READ_MANAGER_MILLIS : READ_MOVING_MILLIS;
 	}
 
 	void confirmedByTable(CellRow row, long sentAt, long now) {
-		if (!this.parts.manager.active() || row.epoch() != this.parts.manager.epoch()) {
+		if (!this.parts.manager.isActive() || row.epoch() != this.parts.manager.epoch()) {
 			return;
 		}
-		this.parts.manager.tableShows(sentAt);
-		boolean alone = this.parts.manager.lone() && row.has(this.parts.me.key());
+		this.parts.manager.onEpochSeen(sentAt);
+		boolean alone = this.parts.manager.isLone() && row.has(this.parts.me.key());
 		if (alone && this.parts.lease.extend(sentAt, Math.min(this.parts.timing.lease(), this.parts.timing.authority()),
 				now)) {
 			this.parts.managerHeardAt = now;
-			this.parts.timers.leaseRuns(true);
+			this.parts.timers.setLeaseValid(true);
 			this.parts.out.publish();
 		}
 	}
@@ -97,20 +97,20 @@
 		}
 		boolean newPair = this.parts.manager.adopt(row, now);
 		if (newPair) {
-			this.parts.memory.begin(row.row(), now);
+			this.parts.primaryState.startEpoch(row.row(), now);
 		}
-		this.parts.memory.adopt(row, now);
-		this.parts.timers.rowChanged();
-		if (this.parts.manager.primary()) {
+		this.parts.primaryState.adopt(row, now);
+		this.parts.timers.onRowChanged();
+		if (this.parts.manager.isPrimary()) {
 			pushToAll(before, row);
 		}
-		if (this.parts.manager.active()) {
-			notePushed(row.row(), now);
+		if (this.parts.manager.isActive()) {
+			recordPushes(row.row(), now);
 		}
 		if (newPair && this.parts.manager.peer().isPresent()) {
 			this.parts.beat(now);
 		}
-		this.parts.left = this.parts.leaving && !row.row().has(this.parts.me.key()) && !this.parts.manager.active();
+		this.parts.left = this.parts.leaving && !row.row().has(this.parts.me.key()) && !this.parts.manager.isActive();
 		if (this.parts.left) {
 			this.parts.out.add(new OwnershipAction.Left());
 		}
@@ -137,11 +137,11 @@
 	// Otherwise a heartbeat that was sent before the member received the new row would
 	// make
 	// it get the whole row although the difference is in transit.
-	private void notePushed(CellRow row, long now) {
+	private void recordPushes(CellRow row, long now) {
 		row.members().forEach((member) -> this.parts.timers.pushDue(member.instance(), now, 0));
 	}
 
-	void change(InstanceId from, RowDelta delta, long now) {
+	void onDelta(InstanceId from, RowDelta delta, long now) {
 		if (delta.version() <= this.parts.lease.known().version()) {
 			return;
 		}
@@ -154,7 +154,7 @@
 		}
 	}
 
-	void whole(InstanceId to, long version) {
+	void sendWholeRow(InstanceId to, long version) {
 		if (version < this.parts.lease.known().version()) {
 			this.parts.out.send(to, new ControlMessage.RowUpdate(this.parts.lease.known()));
 		}
@@ -166,30 +166,30 @@
 		}
 	}
 
-	void rowRead(VersionedRow row, long now) {
-		Optional<OwnershipAction> again = this.parts.access.readDone(row.version(), now);
+	void onRowRead(VersionedRow row, long now) {
+		Optional<OwnershipAction> again = this.parts.access.onRowRead(row.version(), now);
 		again.ifPresent(this.parts.out::add);
 		adopt(row, now);
 		confirmedByTable(row.row(), this.parts.access.readSentAt(), now);
-		if (row.version() == 0 && again.isEmpty() && this.parts.access.idle(now) && !this.parts.leaving) {
+		if (row.version() == 0 && again.isEmpty() && this.parts.access.isIdle(now) && !this.parts.leaving) {
 			propose(CellRow.EMPTY.nextEpoch(this.parts.me.key(), Optional.empty(), List.of()), now);
 		}
 	}
 
-	void written(long version, long now) {
-		CellRow row = this.parts.access.written();
+	void onWritten(long version, long now) {
+		CellRow row = this.parts.access.onWritten();
 		adopt(new VersionedRow(version, row), now);
 		confirmedByTable(row, this.parts.access.writeSentAt(), now);
 	}
 
-	void writeConflict(long now) {
-		this.parts.access.conflict();
+	void onWriteConflict(long now) {
+		this.parts.access.onWriteConflict();
 		this.parts.access.settle(now).ifPresent(this.parts.out::add);
 	}
 
-	void writeUnknown(long now) {
-		this.parts.access.writeUnknown(now);
-		this.parts.out.tell(EventKind.WRITE_UNKNOWN, this.parts.me.instance(), "reading the row back");
+	void onWriteUnknown(long now) {
+		this.parts.access.onWriteUnknown(now);
+		this.parts.out.recordEvent(EventKind.WRITE_UNKNOWN, this.parts.me.instance(), "reading the row back");
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/ownership/RowPlanner.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowPlanner.java
@@ -163,7 +163,7 @@
 
 	// Fallback for ranges without an owner if the policy's choice is not possible: the
 	// instance that owns the fewest points.
-	static Optional<InstanceId> emptiest(List<InstanceId> placeable, Map<InstanceId, Long> points) {
+	static Optional<InstanceId> leastLoaded(List<InstanceId> placeable, Map<InstanceId, Long> points) {
 		return placeable.stream().min((a, b) -> Long.compare(points.getOrDefault(a, 0L), points.getOrDefault(b, 0L)));
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/ServicePlan.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ServicePlan.java
@@ -50,9 +50,9 @@
 	}
 
 	void run() {
-		this.facts.placement().policy().plan(input()).forEach(this::take);
-		assignTheRest();
-		letGoOfLeavers();
+		this.facts.placement().policy().plan(input()).forEach(this::apply);
+		assignUnowned();
+		releaseLeaving();
 	}
 
 	private PlacementInput input() {
@@ -86,7 +86,7 @@
 				this.facts.movedAt().apply(range.held()));
 	}
 
-	private void take(PlacementStep step) {
+	private void apply(PlacementStep step) {
 		switch (step) {
 			case PlacementStep.Move(KeyRange range, InstanceId to, MoveCause cause) -> move(range, to, cause);
 			case PlacementStep.Split(KeyRange range, long at) -> split(range, at);
@@ -162,17 +162,17 @@
 		}
 	}
 
-	private void assignTheRest() {
+	private void assignUnowned() {
 		List<RangeState> unowned = this.ranges.values().stream().filter((range) -> range.owner().isEmpty()).toList();
 		for (RangeState range : unowned) {
-			RowPlanner.emptiest(this.placeable, RowPlanner.points(List.copyOf(this.ranges.values())))
+			RowPlanner.leastLoaded(this.placeable, RowPlanner.points(List.copyOf(this.ranges.values())))
 				.ifPresent((to) -> assign(range, to));
 		}
 	}
 
 	// If no other instance can take the ranges of a leaving instance, it releases them
 	// anyway after a while; otherwise it could never stop.
-	private void letGoOfLeavers() {
+	private void releaseLeaving() {
 		if (!this.placeable.isEmpty()) {
 			return;
 		}
--- a/core/src/main/java/org/brasspier/core/ownership/Takeover.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Takeover.java
@@ -22,7 +22,7 @@
 	static final long PROBE_MILLIS = 100;
 
 	/** Maximum age of a probe answer. */
-	private static final long ANSWER_MILLIS = 300;
+	private static final long MAX_ANSWER_AGE_MILLIS = 300;
 
 	/** Head start of the member with the lowest name among those that agree. */
 	private static final long STAGGER_MILLIS = 300;
@@ -60,7 +60,7 @@
 		return List.of(this.answers, this.challengeSeenAt, this.challenger, this.challengeAnsweredAt);
 	}
 
-	void answered(InstanceId from, ControlMessage.ProbeAnswer answer, long now) {
+	void onProbeAnswer(InstanceId from, ControlMessage.ProbeAnswer answer, long now) {
 		this.answers = this.answers.put(from, new Answer(now, answer));
 	}
 
@@ -80,7 +80,7 @@
 	}
 
 	// Time without a message from a manager after which the other members are probed.
-	long patience() {
+	long silenceTimeout() {
 		return this.timing.peerSilence() + this.timing.memberSilence() / 2;
 	}
 
@@ -96,12 +96,12 @@
 			return Optional.of(row.nextEpoch(this.self, Optional.empty(), row.unclosed()));
 		}
 		ManagerPair pair = row.managers().get();
-		if (pair.managers().allMatch((manager) -> gone(manager, now))) {
+		if (pair.managers().allMatch((manager) -> hasEnded(manager, now))) {
 			// Both processes have ended, so neither confirms the other any longer; the
 			// usual waiting time is sufficient.
 			return Optional.of(row.nextEpoch(this.self, Optional.empty(), row.unclosed()));
 		}
-		if (silentFor > patience() && othersAgree(row, pair, silentFor, now)) {
+		if (silentFor > silenceTimeout() && othersAgree(row, pair, silentFor, now)) {
 			return Optional.of(takeOver(row, pair));
 		}
 		return (silentFor > CHALLENGE_AFTER_MILLIS) ? challenge(row, pair, now) : Optional.empty();
@@ -110,7 +110,7 @@
 	// Whether a manager's process has certainly ended: its instance runs another process
 	// at
 	// the same address.
-	private boolean gone(MemberKey manager, long now) {
+	private boolean hasEnded(MemberKey manager, long now) {
 		if (manager.instance().equals(this.self.instance())) {
 			return manager.incarnation() != this.self.incarnation();
 		}
@@ -128,7 +128,7 @@
 		List<InstanceId> agreeing = voters.stream().filter((voter) -> agrees(voter, row.epoch(), now)).toList();
 		boolean first = agreeing.stream().allMatch((voter) -> voter.compareTo(this.self.instance()) > 0);
 		boolean enough = row.has(this.self) && (agreeing.size() + 1) * 2 > voters.size();
-		return enough && (first || silentFor > patience() + STAGGER_MILLIS);
+		return enough && (first || silentFor > silenceTimeout() + STAGGER_MILLIS);
 	}
 
 	private boolean agrees(InstanceId voter, long epoch, long now) {
@@ -171,7 +171,7 @@
 	private record Answer(long at, ControlMessage.ProbeAnswer message) {
 
 		boolean fresh(long now) {
-			return now - this.at <= ANSWER_MILLIS;
+			return now - this.at <= MAX_ANSWER_AGE_MILLIS;
 		}
 
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/Timers.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Timers.java
@@ -19,7 +19,7 @@
 
 	private SortedMap<InstanceId, Long> pushedAt = TreeMap.empty();
 
-	private boolean leaseRan;
+	private boolean wasLeaseValid;
 
 	/** Index of the manager that gets the next heartbeat; 0 for all. */
 	private int turn;
@@ -28,13 +28,13 @@
 		Timers copy = new Timers();
 		copy.last.putAll(this.last);
 		copy.pushedAt = this.pushedAt;
-		copy.leaseRan = this.leaseRan;
+		copy.wasLeaseValid = this.wasLeaseValid;
 		copy.turn = this.turn;
 		return copy;
 	}
 
 	List<Object> state() {
-		return List.of(Map.copyOf(this.last), this.pushedAt, this.leaseRan, this.turn);
+		return List.of(Map.copyOf(this.last), this.pushedAt, this.wasLeaseValid, this.turn);
 	}
 
 	private boolean due(Kind kind, long now, long every) {
@@ -58,13 +58,13 @@
 	 * Returns whether the latest heartbeat was not answered in time; true at most once
 	 * for each heartbeat.
 	 * @param heardAt when the last renewal arrived
-	 * @param patience how long an answer may take, milliseconds
+	 * @param answerTimeout how long an answer may take, milliseconds
 	 * @param now current time, milliseconds
 	 * @return true if a heartbeat to the other manager is due
 	 */
-	boolean heartbeatMissed(long heardAt, long patience, long now) {
+	boolean heartbeatMissed(long heardAt, long answerTimeout, long now) {
 		Long sentAt = this.last.get(Kind.HEARTBEAT);
-		boolean missed = sentAt != null && heardAt < sentAt && now - sentAt >= patience
+		boolean missed = sentAt != null && heardAt < sentAt && now - sentAt >= answerTimeout
 				&& !sentAt.equals(this.last.get(Kind.HEARTBEAT_AGAIN));
 		if (missed) {
 			this.last.put(Kind.HEARTBEAT_AGAIN, sentAt);
@@ -80,7 +80,7 @@
 	 * @param renewers the processes that may renew this member
 	 * @return one of them, or all
 	 */
-	List<MemberKey> heartbeatTurn(List<MemberKey> renewers) {
+	List<MemberKey> heartbeatReceivers(List<MemberKey> renewers) {
 		if (this.turn == 0 || renewers.isEmpty()) {
 			this.turn = 1;
 			return renewers;
@@ -134,18 +134,18 @@
 		return due;
 	}
 
-	void rowChanged() {
+	void onRowChanged() {
 		this.last.remove(Kind.BALANCE);
 		this.last.remove(Kind.HEARTBEAT);
 		this.turn = 0;
 	}
 
-	boolean leaseRan() {
-		return this.leaseRan;
+	boolean wasLeaseValid() {
+		return this.wasLeaseValid;
 	}
 
-	void leaseRuns(boolean runs) {
-		this.leaseRan = runs;
+	void setLeaseValid(boolean runs) {
+		this.wasLeaseValid = runs;
 	}
 
 	private enum Kind {
--- a/core/src/main/java/org/brasspier/core/ownership/Timing.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Timing.java
@@ -36,7 +36,7 @@
 	 */
 	public static final Timing STANDARD = new Timing(200, 600, 500, 100, 300, 600, 900_000, 10_000, 10);
 
-	private static final long WHOLE = 1000;
+	private static final long PERMILLE_BASE = 1000;
 
 	/**
 	 * Checks the values.
@@ -57,7 +57,7 @@
 	 * @return the span plus the drift allowance, rounded up
 	 */
 	public long withDrift(long span) {
-		return span + (span * this.driftPermille + WHOLE - 1) / WHOLE;
+		return span + (span * this.driftPermille + PERMILLE_BASE - 1) / PERMILLE_BASE;
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/ownership/WarmUp.java
+++ b/core/src/main/java/org/brasspier/core/ownership/WarmUp.java
@@ -18,7 +18,7 @@
 	private static final int NEW_PROCESS_MILLIS = 5000;
 
 	/** Initial share, enough for some requests to reach the new member. */
-	private static final double LEAST_SHARE = 0.1;
+	private static final double MIN_SHARE = 0.1;
 
 	private SortedMap<MemberKey, Long> activeSince = TreeMap.empty();
 
@@ -67,7 +67,7 @@
 		}
 		int announced = member.backend().map(MemberInfo.Backend::coldStartMillis).orElse(0);
 		long served = now - this.activeSince.get(member.key()).getOrElse(now);
-		return Math.clamp(served / (double) Math.max(announced, NEW_PROCESS_MILLIS), LEAST_SHARE, 1);
+		return Math.clamp(served / (double) Math.max(announced, NEW_PROCESS_MILLIS), MIN_SHARE, 1);
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/ownership/CellModel.java
+++ b/core/src/test/java/org/brasspier/core/ownership/CellModel.java
@@ -18,10 +18,10 @@
 import org.brasspier.core.KeyRange;
 
 /**
- * A cell in one thread: processes with clocks of their own, messages that take their time
- * or get lost, and a table that may be down, slow or lose answers. After each event it
- * checks that nobody else serves what somebody serves, that no older fence is served
- * again, and that what a process was told is what the table says.
+ * Simulates a cell in one thread: processes with separate clocks, messages that are
+ * delayed or lost, and a table that may be unavailable, slow or lose answers. After each
+ * event it checks that no range is served by two processes, that no range is served under
+ * an older fence again, and that each row that a process knows matches the table.
  */
 final class CellModel {
 
@@ -37,7 +37,7 @@
 
 	final List<String> violations = new ArrayList<>();
 
-	/** The events that the processes told, for whoever looks into a violation. */
+	/** Events that the processes recorded, to investigate violations. */
 	final List<String> trace = new ArrayList<>();
 
 	private final PriorityQueue<Event> events = new PriorityQueue<>(
@@ -100,10 +100,10 @@
 	}
 
 	/**
-	 * Cuts two groups of processes from each other, both ways, and the first from the
-	 * table.
-	 * @param one those that lose the table too
-	 * @param others the others
+	 * Disconnects two groups of processes from each other in both directions, and the
+	 * first group from the table.
+	 * @param one the processes that lose the table too
+	 * @param others the other processes
 	 */
 	void partition(List<ModelProcess> one, List<ModelProcess> others) {
 		for (ModelProcess from : one) {
@@ -130,8 +130,8 @@
 	}
 
 	/**
-	 * Lets time pass.
-	 * @param millis how much
+	 * Advances the time.
+	 * @param millis how far, in milliseconds
 	 */
 	void run(long millis) {
 		long end = this.now + millis;
@@ -145,10 +145,10 @@
 	}
 
 	/**
-	 * Lets time pass until something holds.
-	 * @param limit how much at most, in milliseconds
-	 * @param condition what must hold
-	 * @return how long it took, or the limit
+	 * Advances the time until a condition holds.
+	 * @param limit the maximum time, in milliseconds
+	 * @param condition the condition
+	 * @return the time that passed, or the limit
 	 */
 	long runUntil(long limit, BooleanSupplier condition) {
 		long begin = this.now;
@@ -159,9 +159,9 @@
 	}
 
 	/**
-	 * Runs a step of a process, or keeps it until the process is resumed.
+	 * Runs a step of a process, or queues it until the process is resumed.
 	 * @param process the process
-	 * @param step the step, given the process's time
+	 * @param step the step
 	 */
 	void step(ModelProcess process, Consumer<ModelProcess> step) {
 		if (!alive(process)) {
@@ -181,12 +181,12 @@
 				case OwnershipAction.ReadRow read -> read(process);
 				case OwnershipAction.WriteRow write -> write(process, write);
 				case OwnershipAction.Drain drain -> after(this.random.nextInt(20) + 1L, () -> step(process,
-						(p) -> run(p, p.machine.drained(drain.held(), List.of(), p.clock(this.now)))));
+						(p) -> run(p, p.machine.onDrained(drain.held(), List.of(), p.clock(this.now)))));
 				case OwnershipAction.Left left -> process.left = true;
 				case OwnershipAction.Publish publish -> {
 				}
-				case OwnershipAction.Tell tell -> {
-					this.trace.add(this.now + " " + process.instance + " " + tell);
+				case OwnershipAction.RecordEvent event -> {
+					this.trace.add(this.now + " " + process.instance + " " + event);
 				}
 				case OwnershipAction.OrderDone done -> {
 				}
@@ -208,7 +208,7 @@
 
 	private void deliver(InstanceId from, ModelProcess to, OwnershipAction.Send send) {
 		if (to != null) {
-			step(to, (p) -> run(p, p.machine.received(from, send.message(), p.clock(this.now))));
+			step(to, (p) -> run(p, p.machine.onMessage(from, send.message(), p.clock(this.now))));
 		}
 	}
 
@@ -225,15 +225,15 @@
 		after(storeTime(), () -> {
 			boolean answered = reachesStore(process);
 			VersionedRow row = this.stored;
-			after(1, () -> step(process, (p) -> run(p,
-					(answered) ? p.machine.rowRead(row, p.clock(this.now)) : p.machine.readFailed(p.clock(this.now)))));
+			after(1, () -> step(process, (p) -> run(p, (answered) ? p.machine.onRowRead(row, p.clock(this.now))
+					: p.machine.onReadFailed(p.clock(this.now)))));
 		});
 	}
 
 	private void write(ModelProcess process, OwnershipAction.WriteRow write) {
 		this.writes++;
 		if (!reachesStore(process)) {
-			after(1, () -> step(process, (p) -> run(p, p.machine.writeFailed(p.clock(this.now)))));
+			after(1, () -> step(process, (p) -> run(p, p.machine.onWriteFailed(p.clock(this.now)))));
 			return;
 		}
 		after(storeTime(), () -> arrive(process, write));
@@ -249,7 +249,8 @@
 			this.written.put(this.stored.version(), write.row());
 		}
 		else if (matches) {
-			// It reaches the table much later, when everybody has made other plans.
+			// The write reaches the table much later, when other processes may have made
+			// other plans.
 			after(this.random.nextInt(2000), () -> arriveLate(write));
 		}
 		long version = this.stored.version();
@@ -259,9 +260,9 @@
 	private List<OwnershipAction> answer(ModelProcess process, boolean lost, boolean matches, long version) {
 		long at = process.clock(this.now);
 		if (lost) {
-			return process.machine.writeUnknown(at);
+			return process.machine.onWriteUnknown(at);
 		}
-		return (matches) ? process.machine.written(version, at) : process.machine.writeConflict(at);
+		return (matches) ? process.machine.onWritten(version, at) : process.machine.onWriteConflict(at);
 	}
 
 	private void arriveLate(OwnershipAction.WriteRow write) {
@@ -272,9 +273,9 @@
 	}
 
 	/**
-	 * Who serves a point now, by its own checks.
-	 * @param range the number of the range that has the point
-	 * @return the instances
+	 * Returns the processes that serve a range now by their own checks.
+	 * @param range the index of the range
+	 * @return the processes
 	 */
 	List<ModelProcess> servers(int range) {
 		long point = KeyRange.split(this.setup.ranges()).get(range).low();
@@ -287,7 +288,7 @@
 	}
 
 	/**
-	 * Spreads the ranges over all processes, by operators' orders.
+	 * Spreads the ranges over all processes by operators' orders.
 	 */
 	void spread() {
 		List<ModelProcess> all = List.copyOf(this.processes.values());
@@ -340,7 +341,7 @@
 				}
 				checkFence(process, held);
 			}
-			checkTold(process);
+			checkKnownRow(process);
 		}
 	}
 
@@ -352,11 +353,10 @@
 		}
 	}
 
-	private void checkTold(ModelProcess process) {
+	private void checkKnownRow(ModelProcess process) {
 		VersionedRow known = process.machine.view().known();
 		if (known.version() > 0 && !known.row().equals(this.written.get(known.version()))) {
-			violate("%s was told of version %d, which the table never had".formatted(process.instance,
-					known.version()));
+			violate("%s knows version %d, which the table never had".formatted(process.instance, known.version()));
 		}
 	}
 
@@ -369,11 +369,11 @@
 	}
 
 	/**
-	 * What all processes of a model have in common.
+	 * Common settings of all processes of a model.
 	 *
-	 * @param timing the times
-	 * @param guards which guards are on
-	 * @param ranges how many ranges the one service has
+	 * @param timing the time limits
+	 * @param guards the enabled guards
+	 * @param ranges how many ranges the only service has
 	 */
 	record Setup(Timing timing, EnabledGuards guards, int ranges) {
 
--- a/core/src/test/java/org/brasspier/core/ownership/ExplorationTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/ExplorationTests.java
@@ -16,26 +16,26 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * Every order of up to three beginnings and ends of faults (pauses, cuts, an unreachable
- * table, lost answers) within a span longer than any lease, breadth first over all states
- * that differ, each followed until every time has run out.
+ * Explores every order of up to three starts and ends of faults (pauses, partitions, an
+ * unreachable table, lost answers) within a span longer than any lease. The search is
+ * breadth-first over all distinct states, and each path is followed until all times have
+ * expired.
  */
 class ExplorationTests {
 
 	/**
-	 * Within these steps faults begin and end: longer than a lease and its revocation,
-	 * and the read before a lease manager is replaced.
+	 * Number of steps in which faults start and end: longer than a lease and its
+	 * revocation, plus the read before a lease manager is replaced.
 	 */
 	private static final int FAULT_STEPS = 15;
 
-	/** Afterwards nothing more happens but what follows. */
+	/** Number of further steps, in which only consequences of the faults happen. */
 	private static final int FOLLOWING_STEPS = 20;
 
 	private static final int CHANGES = 3;
 
-	// A user would see two servers answer for one key at the same time. No order of
-	// faults may
-	// bring that about, however unlikely.
+	// Guards against two servers that answer for one key at the same time. No order of
+	// faults may cause this, however unlikely.
 	@Test
 	void noReachableStateHasTwoOwners() {
 		SmallCell start = SmallCell.settled(TestGuards.without());
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	 * A breadth-first search that ends at the first state with two owners.
+	 * A breadth-first search that stops at the first state with two owners.
 	 */
 	private static final class Exploration {
 
@@ -84,7 +84,7 @@
 				.map(Walk::step)
 				.toList();
 			for (Walk walk : walks) {
-				if (!walk.cell().sound()) {
+				if (!walk.cell().hasSingleOwners()) {
 					this.violation = Optional.of(walk.history().toString());
 				}
 				reached.merge(walk.cell().state(), walk,
@@ -96,11 +96,11 @@
 	}
 
 	/**
-	 * One way to a state.
+	 * A path to a state.
 	 *
 	 * @param cell the state
-	 * @param changes how many faults began or ended
-	 * @param history which
+	 * @param changes how many faults started or ended
+	 * @param history which faults they were
 	 */
 	private record Walk(SmallCell cell, int changes, List<String> history) {
 
--- a/core/src/test/java/org/brasspier/core/ownership/FaultSchedule.java
+++ b/core/src/test/java/org/brasspier/core/ownership/FaultSchedule.java
@@ -4,7 +4,7 @@
 import java.util.Random;
 
 /**
- * Faults of every kind in an order that a seed decides, two or three at once.
+ * Faults of every kind in an order determined by a seed, two or three at once.
  */
 final class FaultSchedule {
 
@@ -20,7 +20,7 @@
 	}
 
 	/**
-	 * Starts the cell, its processes with clocks that run differently.
+	 * Starts the cell; the clocks of its processes run at different rates.
 	 */
 	void start() {
 		NAMES.forEach(this::start);
@@ -33,8 +33,8 @@
 	}
 
 	/**
-	 * Lets faults happen for a time.
-	 * @param millis how long
+	 * Injects faults for a time.
+	 * @param millis how long, in milliseconds
 	 */
 	void run(long millis) {
 		long end = this.cell.now + millis;
@@ -120,7 +120,7 @@
 	}
 
 	/**
-	 * Ends all faults and starts what is missing.
+	 * Ends all faults and starts the missing processes.
 	 */
 	void heal() {
 		this.cell.run(5000);
--- a/core/src/test/java/org/brasspier/core/ownership/GuardTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/GuardTests.java
@@ -13,14 +13,14 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * Each guard is needed: a story of faults that ends well with all guards on, and with two
- * owners once this one is off.
+ * Proves that each guard is needed: a sequence of faults causes no violation with all
+ * guards enabled, and two owners of a range without the guard.
  */
 class GuardTests {
 
 	private static final int RANGES = 12;
 
-	private static final Map<Guard, Story> STORIES = Map.ofEntries(
+	private static final Map<Guard, Scenario> SCENARIOS = Map.ofEntries(
 			Map.entry(Guard.LEASE_FROM_SENDING, GuardTests::randomFaults),
 			Map.entry(Guard.PROMISE_OF_PEER, GuardTests::randomFaults),
 			Map.entry(Guard.RENEWALS_RUN_OUT, GuardTests::randomFaults),
@@ -35,24 +35,24 @@
 			Map.entry(Guard.MANAGER_RENEWED_BY_PEER, GuardTests::primaryHeardByNoManager));
 
 	static Stream<Guard> guards() {
-		return STORIES.keySet().stream().sorted();
+		return SCENARIOS.keySet().stream().sorted();
 	}
 
 	@ParameterizedTest
 	@MethodSource("guards")
 	void withAllGuardsOnThereIsOneOwner(Guard guard) {
-		assertThat(STORIES.get(guard).violations(TestGuards.without())).isEmpty();
+		assertThat(SCENARIOS.get(guard).violations(TestGuards.without())).isEmpty();
 	}
 
 	@ParameterizedTest
 	@MethodSource("guards")
-	void withoutThisGuardThereAreTwo(Guard guard) {
+	void withoutTheGuardARangeHasTwoOwners(Guard guard) {
 		assertWithMessage("violations without %s", guard)
-			.that(STORIES.get(guard).violations(new EnabledGuards(Set.of(guard))))
+			.that(SCENARIOS.get(guard).violations(new EnabledGuards(Set.of(guard))))
 			.isNotEmpty();
 	}
 
-	// Half a minute of faults of every kind, with clocks that run as differently as
+	// Half a minute of faults of every kind, with the largest clock drift that is
 	// allowed.
 	private static List<String> randomFaults(EnabledGuards guards) {
 		Timing t = Timing.STANDARD;
@@ -86,9 +86,10 @@
 		return cell.processes.values().stream().filter((process) -> !group.contains(process)).toList();
 	}
 
-	// A switch fails: the primary and one member see only each other. The primary goes on
-	// renewing the member for as long as it may, the others replace it meanwhile and give
-	// the member's ranges away.
+	// A network switch fails: the primary and one member reach only each other. The
+	// primary
+	// continues to renew the member for as long as its authority allows, while the others
+	// replace the primary and reassign the member's ranges.
 	private static List<String> primaryAndOneMemberCutOff(EnabledGuards guards) {
 		List<String> violations = new ArrayList<>();
 		for (int run = 1; run <= 10 && violations.isEmpty(); run++) {
@@ -102,9 +103,8 @@
 		return violations;
 	}
 
-	// Both managers and one member are cut off together and can't tell it from an outage
-	// of
-	// the table, so they go on. The others take over.
+	// Both managers and one member are disconnected together. They can't distinguish this
+	// from an outage of the table, so they continue. The other members take over.
 	private static List<String> bothManagersAndOneMemberCutOff(EnabledGuards guards) {
 		CellModel cell = sixMembers(guards, 1);
 		List<ModelProcess> cutOff = List.of(cell.primary(), cell.secondary(), plain(cell).getLast());
@@ -115,10 +115,11 @@
 
 	// The secondary does not hear the primary for a moment and replaces it. The write
 	// takes
-	// effect, but just then both managers and a member are cut off from all the rest, so
-	// the
-	// answer is lost and the two hear each other again. The member that the write made a
-	// manager finds its primary silent, replaces it in turn, and waits for the old ones.
+	// effect, but at this moment both managers and a member are disconnected from all
+	// others, so the answer is lost and the two managers hear each other again. The
+	// member
+	// that the write made a manager finds its primary silent, replaces it in turn, and
+	// waits for the former managers.
 	private static List<String> cutOffAfterReplacingThePeer(EnabledGuards guards) {
 		CellModel cell = sixMembers(guards, 1);
 		ModelProcess primary = cell.primary();
@@ -136,9 +137,9 @@
 		return cell.violations;
 	}
 
-	// The primary and the secondary no longer hear each other, nor does the primary reach
-	// the table. The secondary replaces it, and gives its ranges away as soon as what it
-	// renewed itself has run out.
+	// The primary and the secondary no longer hear each other, and the primary does not
+	// reach the table. The secondary replaces it and reassigns its ranges as soon as the
+	// renewals that the secondary itself gave have expired.
 	private static List<String> primaryHeardByNoManager(EnabledGuards guards) {
 		List<String> violations = new ArrayList<>();
 		for (int run = 1; run <= 20 && violations.isEmpty(); run++) {
@@ -152,7 +153,7 @@
 		return violations;
 	}
 
-	private interface Story {
+	private interface Scenario {
 
 		List<String> violations(EnabledGuards guards);
 
--- a/core/src/test/java/org/brasspier/core/ownership/LeaseManagerTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/LeaseManagerTests.java
@@ -31,8 +31,8 @@
 	private static LeaseManager primary(Guard... off) {
 		LeaseManager manager = new LeaseManager(PRIMARY, Timing.STANDARD, TestGuards.without(off));
 		manager.adopt(ROW, 1000);
-		manager.tableShows(1000);
-		manager.confirmed(SECONDARY, answer(1000, List.of()), 1002);
+		manager.onEpochSeen(1000);
+		manager.onBeatAnswer(SECONDARY, answer(1000, List.of()), 1002);
 		manager.renew(MEMBER, heartbeat(), ROW.row(), false, 1010);
 		return manager;
 	}
@@ -52,7 +52,7 @@
 	}
 
 	@Test
-	void whoIsBeingRevokedIsNotRenewed() {
+	void aMemberBeingRevokedIsNotRenewed() {
 		LeaseManager manager = primary();
 		long silent = 1010 + Timing.STANDARD.memberSilence() + 1;
 		assertThat(manager.revokeSilent(ROW.row(), silent - 1)).isEmpty();
@@ -60,47 +60,48 @@
 		assertThat(manager.renew(MEMBER, heartbeat(), ROW.row(), true, silent + 10)).isEqualTo(0);
 	}
 
-	// The secondary promises, the member is heard again and renewed by both, then goes
-	// silent
-	// once more. The first promise arrives only now: it says nothing of the later
-	// renewals.
+	// Guards against counting a promise from before the revocation. The secondary
+	// promises,
+	// the member is heard again and renewed by both managers, then it is silent once
+	// more.
+	// The first promise arrives only now and says nothing about the later renewals.
 	@Test
-	void aPromiseFromBeforeTheRevocationCountsForNothing() {
+	void aPromiseFromBeforeTheRevocationIsIgnored() {
 		ControlMessage.BeatAnswer late = answer(1900, List.of(new ControlMessage.Promised(MEMBER, 0)));
 		LeaseManager manager = primary();
 		manager.revokeSilent(ROW.row(), 2000);
-		manager.confirmed(SECONDARY, late, 2010);
-		assertThat(manager.lost(ROW.row(), 5000)).isEmpty();
+		manager.onBeatAnswer(SECONDARY, late, 2010);
+		assertThat(manager.lostMembers(ROW.row(), 5000)).isEmpty();
 		LeaseManager unguarded = primary(Guard.PROMISE_IS_FRESH);
 		unguarded.revokeSilent(ROW.row(), 2000);
-		unguarded.confirmed(SECONDARY, late, 2010);
-		assertThat(unguarded.lost(ROW.row(), 5000)).containsExactly(MEMBER);
+		unguarded.onBeatAnswer(SECONDARY, late, 2010);
+		assertThat(unguarded.lostMembers(ROW.row(), 5000)).containsExactly(MEMBER);
 	}
 
 	@Test
-	void aSecondaryPromisesOnlyWhatItToFindsSilent() {
+	void aSecondaryPromisesOnlyForMembersThatItFindsSilentToo() {
 		LeaseManager secondary = new LeaseManager(SECONDARY, Timing.STANDARD, TestGuards.without());
 		secondary.adopt(ROW, 1000);
 		secondary.renew(MEMBER, heartbeat(), ROW.row(), false, 1010);
 		ControlMessage.Beat beat = new ControlMessage.Beat(1, 700, 4, 9, List.of(MEMBER));
-		assertThat(secondary.answer(PRIMARY, beat, 1100).orElseThrow().promises()).isEmpty();
+		assertThat(secondary.answerBeat(PRIMARY, beat, 1100).orElseThrow().promises()).isEmpty();
 		ControlMessage.Beat later = new ControlMessage.Beat(1, 1100, 4, 9, List.of(MEMBER));
-		assertThat(
-				secondary.answer(PRIMARY, later, 1010 + Timing.STANDARD.memberSilence() + 1).orElseThrow().promises())
-			.hasSize(1);
+		assertThat(secondary.answerBeat(PRIMARY, later, 1010 + Timing.STANDARD.memberSilence() + 1)
+			.orElseThrow()
+			.promises()).hasSize(1);
 	}
 
-	// A region is cut from its table for a quarter of an hour. Somebody else may take the
-	// cell
-	// over then, so the pair must have ended by itself.
+	// Guards against a pair that continues after another member may have taken over the
+	// cell. A region is disconnected from its table for a quarter of an hour, so the pair
+	// must end by itself.
 	@Test
-	void aPairConfirmsNobodyOnceItHasNotSeenTheTableForTooLong() {
+	void aPairStopsConfirmingAfterTooLongWithoutTheTable() {
 		LeaseManager secondary = new LeaseManager(SECONDARY, Timing.STANDARD, TestGuards.without());
 		secondary.adopt(ROW, 1000);
-		secondary.tableShows(1000);
+		secondary.onEpochSeen(1000);
 		ControlMessage.Beat beat = new ControlMessage.Beat(1, 700, 4, 9, List.of());
-		assertThat(secondary.answer(PRIMARY, beat, 900_999).orElseThrow().confirmed()).isTrue();
-		assertThat(secondary.answer(PRIMARY, beat, 901_000).orElseThrow().confirmed()).isFalse();
+		assertThat(secondary.answerBeat(PRIMARY, beat, 900_999).orElseThrow().confirmed()).isTrue();
+		assertThat(secondary.answerBeat(PRIMARY, beat, 901_000).orElseThrow().confirmed()).isFalse();
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/ownership/MemberLeaseTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/MemberLeaseTests.java
@@ -44,11 +44,12 @@
 		assertThat(lease().leaseEnd()).isEqualTo(700);
 	}
 
-	// An answer that was held up for half a second, or comes twice, must not count anew:
-	// the
-	// managers assume that the lease runs from its sending at most.
+	// Guards against a lease that is extended by an answer that is half a second late or
+	// a
+	// duplicate: the managers assume that the lease runs at most from the sending of the
+	// heartbeat.
 	@Test
-	void lateAndDoubledAnswersExtendNothing() {
+	void lateAndDuplicateAnswersDoNotExtendTheLease() {
 		MemberLease lease = lease();
 		lease.renew(renewal(100, 2, 5, 600), 600);
 		assertThat(lease.leaseEnd()).isEqualTo(700);
@@ -56,11 +57,12 @@
 		assertThat(lease.valid(800)).isFalse();
 	}
 
-	// A member was cut off past its lease, its ranges moved, and it is renewed again
-	// before
-	// the row that says so reaches it. It must not serve what it remembers.
+	// Guards against serving ranges from an outdated row. A member was disconnected until
+	// its lease had expired, its ranges moved, and it is renewed again before the row
+	// that
+	// shows this reaches it.
 	@Test
-	void afterTheLeaseRanOutAnOlderRowGivesNothing() {
+	void afterTheLeaseHasExpiredAnOlderRowAssignsNothing() {
 		MemberLease lease = lease();
 		lease.renew(renewal(900, 2, 6, 600), 910);
 		assertThat(lease.valid(910)).isFalse();
@@ -69,9 +71,10 @@
 		assertThat(unguarded.valid(910)).isTrue();
 	}
 
-	// A manager that was replaced renews on, for the rest of its authority. Its
-	// successors
-	// don't wait for it once the member has acknowledged them.
+	// Guards against renewals by a manager that was replaced and continues for the rest
+	// of
+	// its authority. Its successors do not wait for them once the member has acknowledged
+	// the new epoch.
 	@Test
 	void renewalsOfAnOlderEpochAreRefused() {
 		MemberLease lease = lease();
@@ -82,11 +85,11 @@
 		assertThat(unguarded.leaseEnd()).isEqualTo(1100);
 	}
 
-	// A process restarts within its lease. What the row gives its predecessor is not its
-	// own:
-	// it has forgotten which requests ran.
+	// Guards against a process that is restarted within its lease and serves the ranges
+	// that the row assigns to its previous incarnation, although it no longer knows which
+	// requests ran.
 	@Test
-	void theRowOfAnotherIncarnationGivesNothing() {
+	void theRowOfAnotherIncarnationAssignsNothing() {
 		MemberLease lease = lease();
 		lease.adopt(row(6, 2, 9));
 		assertThat(lease.held()).isEmpty();
@@ -96,7 +99,7 @@
 	}
 
 	@Test
-	void aRangeThatWasLetGoOfIsNotHeldAgainUnderTheSameFence() {
+	void aReleasedRangeIsNotHeldAgainUnderTheSameFence() {
 		MemberLease lease = lease();
 		HeldRange held = new HeldRange(SERVICE, KeyRange.ALL, new Fence(1));
 		assertThat(lease.drain(List.of(held))).containsExactly(held);
--- a/core/src/test/java/org/brasspier/core/ownership/ModelProcess.java
+++ b/core/src/test/java/org/brasspier/core/ownership/ModelProcess.java
@@ -12,7 +12,7 @@
 import org.brasspier.core.routing.PeerAddress;
 
 /**
- * One process of the model: its state machine and its own clock.
+ * One process of the model: its state machine and its clock.
  */
 final class ModelProcess {
 
@@ -30,7 +30,7 @@
 
 	boolean left;
 
-	/** What waits while the process is paused: the kernel keeps it. */
+	/** Steps that wait while the process is paused, as in the kernel's buffers. */
 	final List<Runnable> backlog = new ArrayList<>();
 
 	ModelProcess(String name, String domain, int incarnation, long ratePermille, long startedAt,
@@ -60,19 +60,19 @@
 	}
 
 	/**
-	 * The process's own clock.
-	 * @param real the real time
-	 * @return milliseconds since its start, as it counts them
+	 * Converts real time to the process's own clock.
+	 * @param real the real time, milliseconds
+	 * @return milliseconds since its start on its own clock
 	 */
 	long clock(long real) {
 		return (real - this.startedAt) * this.ratePermille / 1000;
 	}
 
 	/**
-	 * What this process would serve now by its own checks, also while it's paused and
-	 * only its clock runs on.
-	 * @param real the real time
-	 * @return the ranges, empty once its lease has run out
+	 * Returns what this process would serve now by its own checks, also while it is
+	 * paused and only its clock continues.
+	 * @param real the real time, milliseconds
+	 * @return the ranges, empty once its lease has expired
 	 */
 	List<HeldRange> serves(long real) {
 		OwnershipState state = this.machine.view();
--- a/core/src/test/java/org/brasspier/core/ownership/OwnershipMachineTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/OwnershipMachineTests.java
@@ -14,13 +14,13 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * What a cell of four does after one fault: who serves what, and how soon.
+ * Tests which member serves each range in a cell of four after one fault, and how soon.
  */
 class OwnershipMachineTests {
 
 	private static final int RANGES = 8;
 
-	/** Longer than a silence that makes a manager suspect the other one. */
+	/** Longer than the silence after which a manager suspects the other one. */
 	private static final long MISSED_MILLIS = 400;
 
 	private static final long ONE_SECOND = 1000;
@@ -42,14 +42,15 @@
 	}
 
 	@Test
-	void afterTheStartEachRangeIsServedAndBothManagersAreThere() {
+	void afterTheStartEachRangeIsServedAndThereAreTwoManagers() {
 		assertSound();
 		assertThat(this.cell.stored.row().managers().orElseThrow().secondary()).isPresent();
 	}
 
-	// A caller's requests fail from the moment a daemon and its server vanish. The
-	// managers
-	// hear nothing, promise not to renew it, wait for its lease and give its ranges away.
+	// Guards against requests that fail for more than a second after a daemon and its
+	// server are lost. The managers stop hearing the member, promise not to renew it,
+	// wait
+	// for its lease to expire and reassign its ranges.
 	@Test
 	void theRangesOfALostMemberAreServedAgainWithinASecond() {
 		this.cell.kill(this.cell.plain());
@@ -58,12 +59,12 @@
 		assertSound();
 	}
 
-	// An instance is lost, its ranges move, and a minute later its daemon is started
-	// again. It
-	// joins and is renewed, but for as long as the epoch lasts it was given nothing: its
-	// earlier life was still held to be silent, and what is suspected gets no ranges.
+	// Guards against a restarted instance that gets no ranges for the rest of the epoch:
+	// its previous incarnation was still suspected of being silent, and a suspected
+	// member
+	// gets no ranges. Here the daemon is restarted one minute after its loss.
 	@Test
-	void aMemberThatComesBackAfterALossIsGivenRangesAgain() {
+	void aMemberThatIsRestartedAfterALossGetsRangesAgain() {
 		ModelProcess lost = this.cell.plain();
 		this.cell.kill(lost);
 		this.cell.run(60 * ONE_SECOND);
@@ -76,11 +77,14 @@
 		assertSound();
 	}
 
-	// A daemon is lost and started again at once. Its former life is still in the row, so
-	// it waits to be let in. Once it was, it counted that wait as silence of the managers
-	// and, with nobody else to ask, replaced two that were well: a needless epoch.
+	// Guards against a needless epoch after a daemon was lost and restarted at once.
+	// While
+	// its previous incarnation is in the row, it waits to become a member; it counted
+	// this
+	// wait as silence of the managers and, with no other member to ask, replaced two
+	// healthy ones.
 	@Test
-	void aDaemonThatWaitedForItsFormerLifeToLeaveTheRowDoesNotReplaceTheManagers() {
+	void aDaemonThatWaitedForItsPreviousIncarnationToLeaveTheRowDoesNotReplaceTheManagers() {
 		this.cell.kill(this.cell.plain());
 		this.cell.run(3 * ONE_SECOND);
 		long epoch = this.cell.stored.row().epoch();
@@ -96,7 +100,7 @@
 		}
 	}
 
-	// The same when the lost member was the primary: the secondary replaces it first.
+	// The same for the loss of the primary, which the secondary first has to replace.
 	@Test
 	void theRangesOfALostPrimaryAreServedAgainWithinASecond() {
 		this.cell.kill(this.cell.primary());
@@ -113,11 +117,11 @@
 		assertSound();
 	}
 
-	// A member reaches only one of the managers, as half a partition does. If it waited
-	// for
-	// that one's turn, it'd be renewed once in two heartbeats, and a short pause would
-	// cost
-	// it its ranges. A heartbeat that isn't answered is followed by one to the other.
+	// Guards against a member that loses its ranges in a short pause because it reaches
+	// only one of the managers, as in a partial partition. If it waited for that
+	// manager's
+	// turn, it would be renewed only every second heartbeat. An unanswered heartbeat is
+	// followed by one to the other manager.
 	@Test
 	void aHeartbeatThatIsNotAnsweredIsFollowedByOneToTheOtherManager() {
 		ModelProcess member = this.cell.plain();
@@ -134,27 +138,28 @@
 		assertThat(IntStream.range(1, asked.size()).noneMatch((i) -> asked.get(i).equals(asked.get(i - 1)))).isTrue();
 	}
 
-	// A member's connection breaks just as a range moves, so it misses one difference.
-	// The
-	// next one doesn't apply to its row: it must ask for the whole row, or it would go on
-	// routing callers to the former owner.
+	// Guards against a member that routes callers to a former owner because its
+	// connection
+	// broke during a move and it missed one difference. The next difference does not
+	// apply
+	// to its row, so it must request the whole row.
 	@Test
-	void aMemberThatMissedADifferenceAsksForTheWholeRow() {
+	void aMemberThatMissedADifferenceRequestsTheWholeRow() {
 		ModelProcess member = this.cell.plain();
 		VersionedRow known = member.machine.view().known();
 		VersionedRow missed = new VersionedRow(known.version() + 1, known.row());
 		VersionedRow next = new VersionedRow(known.version() + 2, known.row().withDrained(Set.of(member.instance)));
 		InstanceId primary = this.cell.primary().instance;
 		long now = member.clock(this.cell.now);
-		assertThat(
-				member.machine.received(primary, new ControlMessage.RowDifference(RowDelta.between(missed, next)), now))
+		assertThat(member.machine.onMessage(primary, new ControlMessage.RowDifference(RowDelta.between(missed, next)),
+				now))
 			.contains(new OwnershipAction.Send(primary, new ControlMessage.RowRequest(known.version())));
-		member.machine.received(primary, new ControlMessage.RowUpdate(next), now);
+		member.machine.onMessage(primary, new ControlMessage.RowUpdate(next), now);
 		assertThat(member.machine.view().known()).isEqualTo(next);
 	}
 
-	// The table goes away for five minutes. Owners are renewed by the managers and serve
-	// on.
+	// The table is unavailable for five minutes. The managers keep renewing the owners'
+	// leases, and the owners keep serving.
 	@Test
 	void ownersServeThroughALongOutageOfTheTable() {
 		this.cell.storeDown = true;
@@ -167,13 +172,12 @@
 		assertSound();
 	}
 
-	// The table is down, and the two managers miss each other for less than half a
-	// second,
-	// as on a busy machine. They stopped confirming each other, for good in their epoch,
-	// and without the table there was no other: all callers were turned away for the rest
-	// of the outage, though nothing but the table was lost.
+	// Guards against rejecting all callers for the rest of a table outage because the two
+	// managers did not hear each other for less than half a second, as on a busy machine.
+	// They stopped confirming each other for the rest of the epoch, and without the table
+	// there was no new epoch.
 	@Test
-	void managersThatMissEachOtherForAMomentGoOnThroughAnOutageOfTheTable() {
+	void managersThatMissEachOtherForAMomentContinueThroughATableOutage() {
 		ModelProcess primary = this.cell.primary();
 		ModelProcess secondary = this.cell.secondary();
 		this.cell.storeDown = true;
@@ -192,15 +196,16 @@
 		assertSound();
 	}
 
-	// A server is silent for a moment while the table is down. Its ranges were given up
-	// at
-	// once, to nobody, and for the whole outage. They wait for the table now.
+	// Guards against ranges without an owner for a whole table outage after a server was
+	// silent for a moment: its ranges were released at once, although no member could get
+	// them. They are now released only once the table answers.
 	@Test
-	void theRangesOfALostServerAreGivenUpOnlyOnceTheTableAnswers() {
+	void theRangesOfALostServerAreReleasedOnlyOnceTheTableAnswers() {
 		ModelProcess plain = this.cell.plain();
 		this.cell.storeDown = true;
-		this.cell.run(plain, plain.machine.backend(MemberPhase.DRAINING, Optional.empty(), plain.clock(this.cell.now)));
-		this.cell.run(plain, plain.machine.backendLost(plain.clock(this.cell.now)));
+		this.cell.run(plain,
+				plain.machine.onBackendChanged(MemberPhase.DRAINING, Optional.empty(), plain.clock(this.cell.now)));
+		this.cell.run(plain, plain.machine.onBackendLost(plain.clock(this.cell.now)));
 		this.cell.run(5 * ONE_SECOND);
 		assertSound();
 		this.cell.storeDown = false;
@@ -209,10 +214,11 @@
 		assertSound();
 	}
 
-	// Both managers vanish. The members that are left take over; what the two owned waits
-	// until one of them is back, since the two might only be cut off together.
+	// Both managers are lost. The remaining members take over; the ranges of the two
+	// managers wait until one of them is back, since the two might only be disconnected
+	// together.
 	@Test
-	void whenBothManagersAreLostTheOthersGoOnAndTheLostRangesWaitForOneToComeBack() {
+	void whenBothManagersAreLostTheOthersContinueAndTheLostRangesWaitForOneToComeBack() {
 		ModelProcess primary = this.cell.primary();
 		ModelProcess secondary = this.cell.secondary();
 		this.cell.kill(primary);
@@ -227,7 +233,7 @@
 		assertThat(this.cell.stored.row().unclosed()).isEmpty();
 	}
 
-	// A planned stop: the primary hands its role over, then its ranges, and only then
+	// A planned stop: the primary hands over its role, then its ranges, and only then
 	// ends.
 	@Test
 	void aLeavingPrimaryHandsOverItsRoleAndItsRanges() {
@@ -241,9 +247,8 @@
 		assertSound();
 	}
 
-	// All instances stop one after another, the last one with nobody to hand over to;
-	// then
-	// others start. Nothing may wait for processes that have left.
+	// Guards against waiting for processes that have left: all instances stop one after
+	// another, the last one with no member to hand over to, and then others start.
 	@Test
 	void afterAllHaveLeftAnotherMayStartAtOnce() {
 		for (ModelProcess process : List.copyOf(this.cell.processes.values())) {
@@ -257,7 +262,7 @@
 		assertSound();
 	}
 
-	// Guards against a service without an owner in a rolling replacement: the last
+	// Guards against a service without an owner in a rolling replacement, when the last
 	// instance is told to stop while the next one is still starting.
 	@Test
 	void theLastInstanceThatLeavesServesUntilTheNextOneHasCome() {
@@ -278,7 +283,8 @@
 		assertSound();
 	}
 
-	// A holder is frozen past its lease and wakes as if nothing had happened.
+	// Guards against a holder that is paused until its lease has expired and continues to
+	// serve when it resumes.
 	@Test
 	void aFrozenHolderServesNothingAfterItWakes() {
 		ModelProcess frozen = this.cell.plain();
@@ -290,7 +296,7 @@
 		assertSound();
 	}
 
-	// All processes of the cell end at once and the same instances start again.
+	// All processes of the cell end at once, and the same instances are restarted.
 	@Test
 	void aCellWhoseProcessesAllEndedStartsAgain() {
 		List<ModelProcess> all = List.copyOf(this.cell.processes.values());
--- a/core/src/test/java/org/brasspier/core/ownership/SmallCell.java
+++ b/core/src/test/java/org/brasspier/core/ownership/SmallCell.java
@@ -8,15 +8,15 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * A cell of three in coarse steps: two lease managers and a member. It can be copied and
- * compared, so that every order of faults can be followed. What is sent in one step
- * arrives in the next.
+ * Simulates a cell of three, two lease managers and a member, in coarse steps. It can be
+ * copied and compared, so that every order of faults can be explored. A message that is
+ * sent in one step arrives in the next.
  */
 final class SmallCell {
 
 	static final long STEP = 50;
 
-	/** The times in units of a few steps, so that all of them run out within a walk. */
+	/** Time limits of a few steps each, so that all of them expire within one path. */
 	static final Timing TIMING = new Timing(100, 500, 150, 50, 150, 500, 1_000_000, 100_000, 0);
 
 	final List<ModelProcess> processes = new ArrayList<>();
@@ -71,7 +71,8 @@
 	}
 
 	/**
-	 * One step: what was sent arrives, then everybody who isn't paused does what is due.
+	 * Runs one step: messages arrive, then every process that is not paused does its due
+	 * work.
 	 */
 	void step() {
 		this.now += STEP;
@@ -111,7 +112,7 @@
 			this.sent.add(message);
 			return;
 		}
-		run(to, to.machine.received(message.from(), message.message(), to.clock(this.now)));
+		run(to, to.machine.onMessage(message.from(), message.message(), to.clock(this.now)));
 	}
 
 	private void answer(Call call) {
@@ -124,7 +125,7 @@
 		boolean lost = storeDown(process);
 		switch (call.action()) {
 			case OwnershipAction.ReadRow read ->
-				run(process, (lost) ? process.machine.readFailed(at) : process.machine.rowRead(call.row(), at));
+				run(process, (lost) ? process.machine.onReadFailed(at) : process.machine.onRowRead(call.row(), at));
 			case OwnershipAction.WriteRow write -> run(process, written(process, call, lost, at));
 			default -> throw new IllegalStateException("no call: " + call);
 		}
@@ -132,13 +133,15 @@
 
 	private static List<OwnershipAction> written(ModelProcess process, Call call, boolean lost, long at) {
 		if (lost) {
-			return process.machine.writeUnknown(at);
+			return process.machine.onWriteUnknown(at);
 		}
-		return (call.effect()) ? process.machine.written(call.row().version(), at) : process.machine.writeConflict(at);
+		return (call.effect()) ? process.machine.onWritten(call.row().version(), at)
+				: process.machine.onWriteConflict(at);
 	}
 
-	// A call reaches the table at once and its answer comes in the next step, so a store
-	// fault that begins between them loses the answer of a write that took effect.
+	// A call reaches the table at once and its answer arrives in the next step, so a
+	// store
+	// fault that starts between them loses the answer of a write that took effect.
 	private void run(ModelProcess process, List<OwnershipAction> actions) {
 		for (OwnershipAction action : actions) {
 			switch (action) {
@@ -151,7 +154,7 @@
 					this.calls.add(new Call(process.instance, read, this.stored, false));
 				case OwnershipAction.WriteRow write -> this.calls.add(write(process, write));
 				case OwnershipAction.Drain(HeldRange held) ->
-					run(process, process.machine.drained(held, List.of(), process.clock(this.now)));
+					run(process, process.machine.onDrained(held, List.of(), process.clock(this.now)));
 				default -> {
 				}
 			}
@@ -167,10 +170,10 @@
 	}
 
 	/**
-	 * Whether at most one process serves each range now, by its own checks.
+	 * Returns whether at most one process serves each range now, by its own checks.
 	 * @return false if two do
 	 */
-	boolean sound() {
+	boolean hasSingleOwners() {
 		Set<Long> served = new TreeSet<>();
 		return this.processes.stream()
 			.flatMap((process) -> process.serves(this.now).stream())
@@ -190,10 +193,10 @@
 	}
 
 	/**
-	 * A fault that lasts until it's toggled again.
+	 * A fault that lasts until it is toggled again.
 	 *
 	 * @param kind pause, cut or store
-	 * @param where the process or the two
+	 * @param where the process, or the two processes
 	 */
 	record Fault(String kind, String where) implements Comparable<Fault> {
 
--- a/core/src/test/java/org/brasspier/core/ownership/TestGuards.java
+++ b/core/src/test/java/org/brasspier/core/ownership/TestGuards.java
@@ -5,8 +5,9 @@
 import java.util.TreeSet;
 
 /**
- * The guards that a test runs with: all of them, but for what it turns off itself, and
- * for the one that whoever runs it wants to see missed: {@code -Dguard.off=NAME}.
+ * The guards that are enabled in a test: all of them, except those that the test itself
+ * disables and the one named by {@code -Dguard.off=NAME}, with which a developer can
+ * check that the tests detect the missing guard.
  */
 final class TestGuards {
 
--- a/core/src/test/java/org/brasspier/core/ownership/WarmUpTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/WarmUpTests.java
@@ -14,42 +14,42 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Load pattern: instances are replaced one after the other under load, so the one that
- * has just come is the emptiest when the next one leaves.
+ * Tests the warm-up in a rolling replacement under load, in which the newest instance has
+ * the least load when the next one leaves.
  */
 class WarmUpTests {
 
 	private static final MemberInfo SERVING = member("a", 0);
 
-	private static final MemberInfo NEWCOMER = member("b", 0);
+	private static final MemberInfo NEW_MEMBER = member("b", 0);
 
 	private final WarmUp warmUp = new WarmUp();
 
 	/**
-	 * Guards against a third of all keys going within a second to a process that had
-	 * begun two seconds before: its server announced no cold start.
+	 * Guards against moving a third of all keys within a second to a process that started
+	 * two seconds before, whose server announced no cold start.
 	 */
 	@Test
-	void aNewProcessGetsItsShareStepByStepThoughItsServerAnnouncesNoColdStart() {
+	void aNewProcessGetsItsShareGraduallyEvenIfItsServerAnnouncesNoColdStart() {
 		this.warmUp.adopt(row(SERVING), 0);
-		this.warmUp.adopt(row(SERVING, NEWCOMER), 1000);
-		assertThat(this.warmUp.share(NEWCOMER, 1000)).isWithin(1e-9).of(0.1);
-		assertThat(this.warmUp.share(NEWCOMER, 3000)).isWithin(1e-9).of(0.4);
-		assertThat(this.warmUp.share(NEWCOMER, 6000)).isWithin(1e-9).of(1);
+		this.warmUp.adopt(row(SERVING, NEW_MEMBER), 1000);
+		assertThat(this.warmUp.share(NEW_MEMBER, 1000)).isWithin(1e-9).of(0.1);
+		assertThat(this.warmUp.share(NEW_MEMBER, 3000)).isWithin(1e-9).of(0.4);
+		assertThat(this.warmUp.share(NEW_MEMBER, 6000)).isWithin(1e-9).of(1);
 		assertThat(this.warmUp.share(SERVING, 1000)).isWithin(1e-9).of(1);
 	}
 
 	/**
-	 * Guards against the same where the instance that is replaced next manages leases, so
-	 * that an epoch begins while the newcomer is new.
+	 * Guards against the same failure if the next replaced instance manages leases, so
+	 * that an epoch starts while the process is new.
 	 */
 	@Test
 	void aNewProcessStaysNewWhenAnEpochBegins() {
 		this.warmUp.adopt(row(SERVING), 0);
-		this.warmUp.adopt(row(SERVING, NEWCOMER), 1000);
-		CellRow next = row(SERVING, NEWCOMER).nextEpoch(SERVING.key(), Optional.empty(), List.of());
+		this.warmUp.adopt(row(SERVING, NEW_MEMBER), 1000);
+		CellRow next = row(SERVING, NEW_MEMBER).nextEpoch(SERVING.key(), Optional.empty(), List.of());
 		this.warmUp.adopt(next, 2000);
-		assertThat(this.warmUp.share(NEWCOMER, 2000)).isWithin(1e-9).of(0.2);
+		assertThat(this.warmUp.share(NEW_MEMBER, 2000)).isWithin(1e-9).of(0.2);
 	}
 
 	@Test
@@ -65,8 +65,8 @@
 		this.warmUp.adopt(row(SERVING), 0);
 		MemberInfo again = new MemberInfo(new MemberKey(SERVING.instance(), 2), SERVING.domain(), SERVING.address(),
 				MemberPhase.ACTIVE, SERVING.backend());
-		this.warmUp.adopt(row(NEWCOMER), 1000);
-		this.warmUp.adopt(row(NEWCOMER, again), 9000);
+		this.warmUp.adopt(row(NEW_MEMBER), 1000);
+		this.warmUp.adopt(row(NEW_MEMBER, again), 9000);
 		assertThat(this.warmUp.share(again, 9000)).isWithin(1e-9).of(0.1);
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OwnershipDuty.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OwnershipDuty.java
@@ -162,7 +162,7 @@
 
 	private void tick() {
 		this.duty.reactor().delay(TICK_MILLIS, this::tick);
-		this.machine.document(this.documents.current());
+		this.machine.setDocumentVersion(this.documents.current());
 		takeWeights(this.context.documents().inForce());
 		run(this.machine.tick(now()));
 		this.links.dropSilent();
@@ -176,7 +176,7 @@
 	private void takeWeights(DocumentInForce latest) {
 		if (latest != this.weighed) {
 			this.weighed = latest;
-			this.machine.weights(latest.document().weights());
+			this.machine.setWeights(latest.document().weights());
 		}
 	}
 
@@ -207,16 +207,16 @@
 			default -> {
 			}
 		}
-		run(this.machine.received(from, message, now()));
+		run(this.machine.onMessage(from, message, now()));
 	}
 
 	private void report(RequestsReport report) {
 		switch (report) {
 			case RequestsReport.RangeDrained drained ->
-				run(this.machine.drained(drained.held(), drained.marks(), now()));
+				run(this.machine.onDrained(drained.held(), drained.marks(), now()));
 			case RequestsReport.BackendStatus status -> backend(status);
 			case RequestsReport.RangeLoads loads ->
-				run(this.machine.loads(new ControlMessage.Loads(loads.service(), loads.loads()), now()));
+				run(this.machine.reportLoads(new ControlMessage.Loads(loads.service(), loads.loads()), now()));
 		}
 	}
 
@@ -228,9 +228,9 @@
 		};
 		MemberInfo.Backend backend = new MemberInfo.Backend(status.service(), status.slots(), status.checksFences(),
 				status.coldStartMillis(), guardMillis(status.service()));
-		run(this.machine.backend(phase, Optional.of(backend), now()));
+		run(this.machine.onBackendChanged(phase, Optional.of(backend), now()));
 		if (status.state() == RequestsReport.BackendState.LOST) {
-			run(this.machine.backendLost(now()));
+			run(this.machine.onBackendLost(now()));
 		}
 	}
 
@@ -254,7 +254,8 @@
 			case OwnershipAction.WriteRow write -> write(write);
 			case OwnershipAction.Publish publish -> this.snapshot = this.publisher.snapshot(this.machine.view());
 			case OwnershipAction.Drain drain -> drain(drain);
-			case OwnershipAction.Tell tell -> this.context.events().record(tell.kind(), tell.subject(), tell.detail());
+			case OwnershipAction.RecordEvent tell ->
+				this.context.events().record(tell.kind(), tell.subject(), tell.detail());
 			case OwnershipAction.OrderDone done -> this.orders.done(done);
 			case OwnershipAction.Left left -> this.whenLeft.run();
 		}
@@ -262,17 +263,17 @@
 
 	private void read() {
 		this.tableReads.mark();
-		this.store.read(this.machine.known(), (row) -> run(row.map((known) -> this.machine.rowRead(known, now()))
-			.orElseGet(() -> this.machine.readFailed(now()))));
+		this.store.read(this.machine.known(), (row) -> run(row.map((known) -> this.machine.onRowRead(known, now()))
+			.orElseGet(() -> this.machine.onReadFailed(now()))));
 	}
 
 	private void write(OwnershipAction.WriteRow write) {
 		this.tableWrites.mark();
 		this.store.write(write.expectedVersion(), write.row(), (outcome) -> run(switch (outcome) {
-			case RowStore.Outcome.Written(long version) -> this.machine.written(version, now());
-			case RowStore.Outcome.Conflict conflict -> this.machine.writeConflict(now());
-			case RowStore.Outcome.Unknown unknown -> this.machine.writeUnknown(now());
-			case RowStore.Outcome.Failed failed -> this.machine.writeFailed(now());
+			case RowStore.Outcome.Written(long version) -> this.machine.onWritten(version, now());
+			case RowStore.Outcome.Conflict conflict -> this.machine.onWriteConflict(now());
+			case RowStore.Outcome.Unknown unknown -> this.machine.onWriteUnknown(now());
+			case RowStore.Outcome.Failed failed -> this.machine.onWriteFailed(now());
 		}));
 	}
 
@@ -280,7 +281,7 @@
 		boolean passed = this.requests.isPresent()
 				&& this.requests.get().offer(new RequestsOrder.DrainRange(drain.held()));
 		if (this.requests.isEmpty()) {
-			run(this.machine.drained(drain.held(), List.of(), now()));
+			run(this.machine.onDrained(drain.held(), List.of(), now()));
 		}
 		else if (!passed) {
 			// The ring is full: the thread of requests is behind, so ask again soon.
