--- a/core/src/main/java/org/brasspier/core/ownership/OldPairs.java
+++ b/core/src/main/java/org/brasspier/core/ownership/FormerPairs.java
@@ -6,12 +6,13 @@
 import io.vavr.collection.TreeMap;
 
 /**
- * Which lease managers of earlier epochs are known to have ended. A pair that a third
- * member took over from may only be cut off, and goes on as long as its two managers
- * confirm each other. One sign that either has stopped is enough: the other's authority
- * ends with its last confirmation. Not thread-safe.
+ * Tracks which manager pairs of earlier epochs are known to have ended. If a third member
+ * took over from a pair, the pair may only be disconnected, and it continues as long as
+ * its two managers confirm each other. Evidence that one of them has stopped is
+ * sufficient, since the other's authority ends with its last confirmation. Not
+ * thread-safe.
  */
-final class OldPairs {
+final class FormerPairs {
 
 	private final MemberKey self;
 
@@ -19,12 +20,12 @@
 
 	private SortedMap<Long, Long> stoppedAt = TreeMap.empty();
 
-	OldPairs(MemberKey self, Timing timing) {
+	FormerPairs(MemberKey self, Timing timing) {
 		this.self = self;
 		this.timing = timing;
 	}
 
-	void take(OldPairs other) {
+	void copyFrom(FormerPairs other) {
 		this.stoppedAt = other.stoppedAt;
 	}
 
@@ -32,30 +33,29 @@
 		return this.stoppedAt;
 	}
 
-	void begin() {
+	void reset() {
 		this.stoppedAt = TreeMap.empty();
 	}
 
-	// Whoever has acknowledged a later epoch, or is another process by now, confirms
-	// nobody
-	// of an old pair any more.
-	void heard(MemberKey key, long epoch, CellRow row, long now) {
+	// A member that has acknowledged a later epoch, or whose process was restarted, no
+	// longer confirms managers of a former pair.
+	void onHeartbeat(MemberKey key, long epoch, CellRow row, long now) {
 		row.unclosed()
 			.stream()
 			.filter((old) -> old.find(key.instance())
 				.filter((member) -> !member.equals(key) || epoch > old.epoch())
 				.isPresent())
-			.forEach((old) -> stopped(old, now));
+			.forEach((old) -> onManagerStopped(old, now));
 	}
 
-	void stopped(ManagerPair old, long now) {
+	void onManagerStopped(ManagerPair old, long now) {
 		if (!this.stoppedAt.containsKey(old.epoch())) {
 			this.stoppedAt = this.stoppedAt.put(old.epoch(), now);
 		}
 	}
 
 	List<ManagerPair> closed(CellRow row, long since, long now) {
-		heard(this.self, row.epoch(), row, since);
+		onHeartbeat(this.self, row.epoch(), row, since);
 		long lastResort = since + this.timing.withDrift(this.timing.withoutTable() + this.timing.authority());
 		return row.unclosed()
 			.stream()
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerChoice.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerChoice.java
@@ -5,32 +5,36 @@
 import java.util.Optional;
 
 /**
- * When a lease manager replaces the other one, and by whom.
+ * Decides when a lease manager replaces the other one, and by which member.
  *
  * @param self this process
- * @param timing the times
- * @param manager what this process knows as a lease manager
+ * @param timing the time limits
+ * @param manager the lease manager of this process
  */
 record ManagerChoice(MemberKey self, Timing timing, LeaseManager manager) {
 
-	/** How much longer a manager waits that hears less than half of the members. */
-	static final long LONELY_PERMILLE = 1500;
+	/**
+	 * Factor, in thousandths, by which a manager that hears less than half of the members
+	 * waits longer.
+	 */
+	static final long ISOLATED_FACTOR_PERMILLE = 1500;
 
-	private static final long WHOLE = 1000;
+	private static final long PERMILLE_BASE = 1000;
 
 	/**
-	 * Whether the other manager has been silent for so long that it must be replaced. Who
-	 * hears less than half of the members waits longer: it's likely the one cut off.
+	 * Returns whether the other manager has been silent for so long that it must be
+	 * replaced. A manager that hears less than half of the members waits longer, since it
+	 * is probably the disconnected one.
 	 * @param row the newest known row
-	 * @param now the time
-	 * @return true if it must
+	 * @param now current time, milliseconds
+	 * @return true if it must be replaced
 	 */
 	boolean peerSilent(CellRow row, long now) {
 		long others = row.members().size() - 2L;
 		long heard = heardMembers(row, now).size();
-		long patience = (heard * 2 >= others) ? this.timing.peerSilence()
-				: this.timing.peerSilence() * LONELY_PERMILLE / WHOLE;
-		return this.manager.peer().isPresent() && now - this.manager.authority().peerHeardAt() > patience;
+		long timeout = (heard * 2 >= others) ? this.timing.peerSilence()
+				: this.timing.peerSilence() * ISOLATED_FACTOR_PERMILLE / PERMILLE_BASE;
+		return this.manager.peer().isPresent() && now - this.manager.authority().peerHeardAt() > timeout;
 	}
 
 	private List<MemberInfo> heardMembers(CellRow row, long now) {
@@ -38,16 +42,16 @@
 			.stream()
 			.filter((member) -> !member.key().equals(this.self)
 					&& !this.manager.peer().filter(member.key()::equals).isPresent())
-			.filter((member) -> !this.manager.silent(member.key(), now)
-					&& this.manager.watch(member.key()).filter((watch) -> watch.ackedEpoch() > 0).isPresent())
+			.filter((member) -> !this.manager.isSilent(member.key(), now)
+					&& this.manager.memberRecord(member.key()).filter((watch) -> watch.ackedEpoch() > 0).isPresent())
 			.toList();
 	}
 
 	/**
-	 * Chooses another manager: one that is heard and stays, in another failure domain if
-	 * there is one, so that one fault doesn't take both.
+	 * Chooses another manager: a member that is heard and is not leaving, in another
+	 * failure domain if possible, so that one fault does not take both managers.
 	 * @param row the newest known row
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 * @return the member, empty if there is none
 	 */
 	Optional<MemberInfo> candidate(CellRow row, long now) {
@@ -61,8 +65,9 @@
 			.or(() -> heard.stream().findFirst());
 	}
 
-	// The other manager in the next epoch: the present one if it's heard again, or
-	// another.
+	// The other manager in the next epoch: the current one if it is heard again,
+	// otherwise
+	// another member.
 	Optional<MemberInfo> successor(CellRow row, long now) {
 		return this.manager.peer()
 			.filter((key) -> now - this.manager.authority().peerHeardAt() <= this.timing.peerSilence())
--- a/core/src/main/java/org/brasspier/core/ownership/OwnershipMachine.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OwnershipMachine.java
@@ -9,48 +9,49 @@
 import org.brasspier.core.placement.PlacementWeights;
 
 /**
- * Everything one process decides about ownership: it keeps its own lease, manages others'
- * where the row says so, and takes over where nobody does. Each step takes an input and
- * the time and returns what is to be done; no step waits. Times are milliseconds of one
- * monotonic clock that begins with the process. Not thread-safe; copied cheaply, so that
- * tests can follow every order of events.
+ * The ownership state machine of one process: it maintains the process's own lease,
+ * manages the leases of others if the row says so, and takes over if no manager is left.
+ * Each step takes an input and the current time and returns the actions to execute; no
+ * step blocks. Times are milliseconds of one monotonic clock that starts with the
+ * process. Not thread-safe; cheap to copy, so that tests can explore every order of
+ * events.
  */
 public final class OwnershipMachine {
 
 	/**
-	 * The number of ranges a service begins with: a few for each member of a full cell.
+	 * Initial number of ranges of a service: a few for each member of a full cell.
 	 */
 	private static final int INITIAL_RANGES = 64;
 
 	private final ProcessParts parts;
 
-	private final RowSide rows;
+	private final RowHandler rows;
 
-	private final MemberSide member;
+	private final MemberRole member;
 
-	private final ManagerSide managing;
+	private final ManagerRole managing;
 
 	/**
-	 * Creates the machine of a process that has just started.
-	 * @param me what the process says of itself
-	 * @param timing the times
-	 * @param placement decides what goes where
-	 * @param now the time
+	 * Creates the state machine of a process that has just started.
+	 * @param me the member information that the process announces
+	 * @param timing the time limits
+	 * @param placement the placement policy
+	 * @param now current time, milliseconds
 	 */
 	public OwnershipMachine(MemberInfo me, Timing timing, PlacementPolicy placement, long now) {
-		this(me, timing, new PrimaryMemory.Placement(placement, PlacementWeights.EQUAL, INITIAL_RANGES), Guards.ALL_ON,
-				now);
+		this(me, timing, new PrimaryState.Placement(placement, PlacementWeights.EQUAL, INITIAL_RANGES),
+				EnabledGuards.ALL_ON, now);
 	}
 
-	OwnershipMachine(MemberInfo me, Timing timing, PrimaryMemory.Placement placement, Guards guards, long now) {
+	OwnershipMachine(MemberInfo me, Timing timing, PrimaryState.Placement placement, EnabledGuards guards, long now) {
 		this(new ProcessParts(me, timing, placement, guards, now));
 	}
 
 	private OwnershipMachine(ProcessParts parts) {
 		this.parts = parts;
-		this.rows = new RowSide(parts);
-		this.member = new MemberSide(parts, this.rows);
-		this.managing = new ManagerSide(parts, this.rows, this.member);
+		this.rows = new RowHandler(parts);
+		this.member = new MemberRole(parts, this.rows);
+		this.managing = new ManagerRole(parts, this.rows, this.member);
 	}
 
 	OwnershipMachine copy() {
@@ -62,7 +63,7 @@
 	}
 
 	/**
-	 * What this process may serve and until when, and what it knows.
+	 * Returns what this process may serve and until when, and what it knows.
 	 * @return a view that is valid until the next step
 	 */
 	public OwnershipState view() {
@@ -70,7 +71,7 @@
 	}
 
 	/**
-	 * The newest row that this process knows.
+	 * Returns the newest row that this process knows.
 	 * @return the row, {@link VersionedRow#NONE} before it knows any
 	 */
 	public VersionedRow known() {
@@ -78,35 +79,35 @@
 	}
 
 	/**
-	 * Does what is due. Called some ten times in each heartbeat's span.
-	 * @param now the time
-	 * @return what is to be done
+	 * Performs periodic work. Called about ten times per heartbeat interval.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> tick(long now) {
 		if (this.parts.left) {
 			return List.of();
 		}
-		this.member.noteLapse(now);
+		this.member.recordLapse(now);
 		this.parts.access.settle(now).ifPresent(this.parts.out::add);
 		this.rows.readIfDue(now);
 		this.member.memberWork(now);
-		if (this.parts.manager.active()) {
+		if (this.parts.manager.isActive()) {
 			this.managing.managerWork(now);
 		}
 		else {
-			this.member.lookForManagers(now);
+			this.member.searchForManagers(now);
 		}
 		return finish(now);
 	}
 
 	/**
-	 * A message came.
-	 * @param from who sent it
+	 * Handles a message.
+	 * @param from the sender
 	 * @param message the message
-	 * @param now the time
-	 * @return what is to be done
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> received(InstanceId from, ControlMessage message, long now) {
+	public List<OwnershipAction> onMessage(InstanceId from, ControlMessage message, long now) {
 		if (!this.parts.left) {
 			handle(from, message, now);
 		}
@@ -115,32 +116,32 @@
 
 	private void handle(InstanceId from, ControlMessage message, long now) {
 		switch (message) {
-			case ControlMessage.Heartbeat heartbeat -> this.managing.heartbeat(from, heartbeat, now);
-			case ControlMessage.Renewal renewal -> this.member.renewal(from, renewal, now);
-			case ControlMessage.Beat beat -> this.managing.beat(from, beat, now);
-			case ControlMessage.BeatAnswer answer -> this.managing.beatAnswer(from, answer, now);
+			case ControlMessage.Heartbeat heartbeat -> this.managing.onHeartbeat(from, heartbeat, now);
+			case ControlMessage.Renewal renewal -> this.member.onRenewal(from, renewal, now);
+			case ControlMessage.Beat beat -> this.managing.onBeat(from, beat, now);
+			case ControlMessage.BeatAnswer answer -> this.managing.onBeatAnswer(from, answer, now);
 			case ControlMessage.RowUpdate update -> this.rows.adopt(update.row(), now);
-			case ControlMessage.RowDifference difference -> this.rows.change(from, difference.delta(), now);
-			case ControlMessage.RowRequest request -> this.rows.whole(from, request.version());
-			case ControlMessage.Announce announce -> this.managing.announce(from, announce, now);
+			case ControlMessage.RowDifference difference -> this.rows.onDelta(from, difference.delta(), now);
+			case ControlMessage.RowRequest request -> this.rows.sendWholeRow(from, request.version());
+			case ControlMessage.Announce announce -> this.managing.onAnnouncement(from, announce, now);
 			case ControlMessage.Release release -> this.member.release(release.ranges());
 			case ControlMessage.Released released ->
-				this.parts.memory.released(from, released, this.parts.lease.known().row());
-			case ControlMessage.Loads loads -> this.parts.memory.loads(loads, this.parts.lease.known().row());
+				this.parts.primaryState.onReleased(from, released, this.parts.lease.known().row());
+			case ControlMessage.Loads loads -> this.parts.primaryState.onLoads(loads, this.parts.lease.known().row());
 			case ControlMessage.Probe probe -> this.member.answerProbe(from, now);
-			case ControlMessage.ProbeAnswer answer -> this.parts.takeover.answered(from, answer, now);
-			case ControlMessage.OrderSent order -> this.managing.order(from, order, now);
+			case ControlMessage.ProbeAnswer answer -> this.parts.takeover.onProbeAnswer(from, answer, now);
+			case ControlMessage.OrderSent order -> this.managing.onOrder(from, order, now);
 			case ControlMessage.OrderAnswer answer ->
 				this.parts.out.add(new OwnershipAction.OrderDone(answer.number(), answer.accepted(), answer.detail()));
 		}
 	}
 
 	/**
-	 * An operator gave an order at this daemon.
-	 * @param number a number to recognise the answer by
+	 * Handles an operator's order that was given at this daemon.
+	 * @param number a number that identifies the answer
 	 * @param order the order
-	 * @param now the time
-	 * @return what is to be done
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> order(long number, ControlMessage.Order order, long now) {
 		Optional<ManagerPair> pair = this.parts.lease.known().row().managers();
@@ -154,118 +155,118 @@
 	}
 
 	/**
-	 * The row was read.
+	 * Handles a completed read of the row.
 	 * @param row the row, {@link VersionedRow#NONE} if there is none
-	 * @param now the time
-	 * @return what is to be done
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> rowRead(VersionedRow row, long now) {
-		this.rows.rowRead(row, now);
-		this.member.giveUpIfTableAnswers();
+	public List<OwnershipAction> onRowRead(VersionedRow row, long now) {
+		this.rows.onRowRead(row, now);
+		this.member.releaseIfTableAnswers();
 		return finish(now);
 	}
 
 	/**
-	 * The row could not be read.
-	 * @param now the time
-	 * @return what is to be done
+	 * Handles a failed read of the row.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> readFailed(long now) {
-		this.parts.access.readFailed(now);
+	public List<OwnershipAction> onReadFailed(long now) {
+		this.parts.access.onReadFailed(now);
 		return finish(now);
 	}
 
 	/**
-	 * The write took effect.
+	 * Handles a write that took effect.
 	 * @param version the row's new version
-	 * @param now the time
-	 * @return what is to be done
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> written(long version, long now) {
-		this.rows.written(version, now);
+	public List<OwnershipAction> onWritten(long version, long now) {
+		this.rows.onWritten(version, now);
 		return finish(now);
 	}
 
 	/**
-	 * The row had another version.
-	 * @param now the time
-	 * @return what is to be done
+	 * Handles a write that was rejected because the row had another version.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> writeConflict(long now) {
-		this.rows.writeConflict(now);
+	public List<OwnershipAction> onWriteConflict(long now) {
+		this.rows.onWriteConflict(now);
 		return finish(now);
 	}
 
 	/**
-	 * The write's answer was lost.
-	 * @param now the time
-	 * @return what is to be done
+	 * Handles a write whose outcome is unknown because its answer was lost.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> writeUnknown(long now) {
-		this.rows.writeUnknown(now);
+	public List<OwnershipAction> onWriteUnknown(long now) {
+		this.rows.onWriteUnknown(now);
 		return finish(now);
 	}
 
 	/**
-	 * The write certainly had no effect.
-	 * @param now the time
-	 * @return what is to be done
+	 * Handles a write that certainly had no effect.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> writeFailed(long now) {
-		this.parts.access.writeFailed(now);
+	public List<OwnershipAction> onWriteFailed(long now) {
+		this.parts.access.onWriteFailed(now);
 		return finish(now);
 	}
 
 	/**
-	 * The backend server beside this daemon changed.
-	 * @param phase what may be done with it
+	 * Handles a change of the backend server that belongs to this daemon.
+	 * @param phase the new phase of this member
 	 * @param backend the server, if there is one
-	 * @param now the time
-	 * @return what is to be done
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> backend(MemberPhase phase, Optional<MemberInfo.Backend> backend, long now) {
+	public List<OwnershipAction> onBackendChanged(MemberPhase phase, Optional<MemberInfo.Backend> backend, long now) {
 		this.parts.me = new MemberInfo(this.parts.me.key(), this.parts.me.domain(), this.parts.me.address(),
 				(this.parts.leaving) ? MemberPhase.LEAVING : phase, backend.or(this.parts.me::backend));
 		if (phase == MemberPhase.ACTIVE) {
-			this.parts.givingUpSince = Optional.empty();
+			this.parts.releasingSince = Optional.empty();
 		}
 		return finish(now);
 	}
 
 	/**
-	 * The backend server is gone: its ranges are let go of as soon as the table answers,
-	 * instead of when the primary asks for them.
-	 * @param now the time
-	 * @return what is to be done
+	 * Handles the loss of the backend server: its ranges are released as soon as the
+	 * table answers, without waiting for the primary's request.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> backendLost(long now) {
-		if (this.parts.givingUpSince.isEmpty()) {
-			this.parts.givingUpSince = Optional.of(now);
+	public List<OwnershipAction> onBackendLost(long now) {
+		if (this.parts.releasingSince.isEmpty()) {
+			this.parts.releasingSince = Optional.of(now);
 			this.rows.readIfDue(now);
 		}
 		return finish(now);
 	}
 
 	/**
-	 * Nothing of a range is in flight any more.
+	 * Reports that no request for a range is in flight any longer.
 	 * @param held the range
-	 * @param marks the marks that go with it
-	 * @param now the time
-	 * @return what is to be done
+	 * @param marks the crash marks of the range
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> drained(HeldRange held, List<CrashMark> marks, long now) {
+	public List<OwnershipAction> onDrained(HeldRange held, List<CrashMark> marks, long now) {
 		this.parts.lease.drained(held, marks);
 		this.member.sendReleased(this.parts.lease.released());
 		return finish(now);
 	}
 
 	/**
-	 * The load of the ranges held, for the primary.
+	 * Reports the load of the held ranges to the primary.
 	 * @param loads the loads
-	 * @param now the time
-	 * @return what is to be done
+	 * @param now current time, milliseconds
+	 * @return the actions to execute
 	 */
-	public List<OwnershipAction> loads(ControlMessage.Loads loads, long now) {
+	public List<OwnershipAction> reportLoads(ControlMessage.Loads loads, long now) {
 		this.parts.lease.known()
 			.row()
 			.managers()
@@ -274,14 +275,16 @@
 	}
 
 	/**
-	 * Begins to leave: what is owned is handed over, a manager's role first.
-	 * @param now the time
-	 * @return what is to be done, with {@link OwnershipAction.Left} at the end of it all
+	 * Starts to leave the cell: hands over the role of a manager first, then the owned
+	 * ranges.
+	 * @param now current time, milliseconds
+	 * @return the actions to execute, ending with {@link OwnershipAction.Left} in a later
+	 * step when everything has been handed over
 	 */
 	public List<OwnershipAction> leave(long now) {
 		this.parts.leaving = true;
 		this.parts.me = this.parts.me.in(MemberPhase.LEAVING);
-		if (!this.parts.lease.known().row().has(this.parts.me.key()) && !this.parts.manager.active()) {
+		if (!this.parts.lease.known().row().has(this.parts.me.key()) && !this.parts.manager.isActive()) {
 			this.parts.left = true;
 			this.parts.out.add(new OwnershipAction.Left());
 		}
@@ -289,19 +292,19 @@
 	}
 
 	/**
-	 * Sets the version of the configuration document that goes with heartbeats.
+	 * Sets the version of the configuration document that heartbeats report.
 	 * @param version the version in force in this process
 	 */
-	public void document(long version) {
+	public void setDocumentVersion(long version) {
 		this.parts.document = version;
 	}
 
 	/**
-	 * Sets how the operators weigh the measures.
+	 * Sets the operators' weights of the measures.
 	 * @param weights the weights of the document in force
 	 */
-	public void weights(PlacementWeights weights) {
-		this.parts.placement = this.parts.placement.weighing(weights);
+	public void setWeights(PlacementWeights weights) {
+		this.parts.placement = this.parts.placement.withWeights(weights);
 	}
 
 	private List<OwnershipAction> finish(long now) {
--- a/core/src/main/java/org/brasspier/core/ownership/PrimaryMemory.java
+++ b/core/src/main/java/org/brasspier/core/ownership/PrimaryState.java
@@ -15,21 +15,21 @@
 import org.brasspier.core.placement.PlacementWeights;
 
 /**
- * What a primary learns between two writes of the row. All of it may be forgotten with
- * the process: members repeat it until the row shows it. Not thread-safe; copied cheaply.
+ * What a primary learns between two writes of the row. It may be lost with the process,
+ * since members repeat all of it until the row shows it. Not thread-safe; cheap to copy.
  */
-final class PrimaryMemory {
+final class PrimaryState {
 
 	/**
-	 * An announcement is repeated five times in this time, so an older one is of a gone
-	 * process.
+	 * Maximum age of an announcement. Announcements are repeated five times in this time,
+	 * so an older one comes from a process that has ended.
 	 */
-	private static final long ANNOUNCEMENT_MILLIS = 1000;
+	private static final long MAX_ANNOUNCEMENT_AGE_MILLIS = 1000;
 
 	/**
-	 * How long a leaving instance keeps ranges that nobody can take, so that the next
-	 * instance of its service finds them served. Its backend server takes new work for
-	 * three seconds after it began to drain.
+	 * How long a leaving instance keeps ranges that no other instance can take, so that
+	 * they are still served when the next instance of its service starts. Its backend
+	 * server accepts new work for three seconds after it started to drain.
 	 */
 	private static final long SUCCESSOR_WAIT_MILLIS = 2500;
 
@@ -51,8 +51,8 @@
 
 	private long since;
 
-	PrimaryMemory copy() {
-		PrimaryMemory copy = new PrimaryMemory();
+	PrimaryState copy() {
+		PrimaryState copy = new PrimaryState();
 		copy.announced = this.announced;
 		copy.released = this.released;
 		copy.moves = this.moves;
@@ -70,11 +70,11 @@
 	}
 
 	/**
-	 * Begins anew with an epoch. Members that were serving before are taken as warm.
+	 * Resets the state for a new epoch. Members that were serving before count as warm.
 	 * @param row the row
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 */
-	void begin(CellRow row, long now) {
+	void startEpoch(CellRow row, long now) {
 		this.released = TreeMap.empty();
 		this.moves = List.of();
 		this.drained = Optional.empty();
@@ -97,13 +97,13 @@
 		owned.filter((held) -> held.fence().value() == known.version())
 			.forEach((held) -> this.movedAt = this.movedAt.put(held, now));
 		this.warmUp.adopt(known.row(), now);
-		noteLeavers(known.row(), now);
+		recordLeaving(known.row(), now);
 		if (this.drained.filter(known.row().drained()::equals).isPresent()) {
 			this.drained = Optional.empty();
 		}
 	}
 
-	private void noteLeavers(CellRow row, long now) {
+	private void recordLeaving(CellRow row, long now) {
 		SortedSet<MemberKey> leavers = TreeSet.ofAll(row.members()
 			.stream()
 			.filter((member) -> member.phase() != MemberPhase.ACTIVE)
@@ -114,15 +114,15 @@
 			.forEach((key) -> this.leavingSince = this.leavingSince.put(key, now));
 	}
 
-	void announced(MemberInfo member, long now) {
+	void onAnnouncement(MemberInfo member, long now) {
 		this.announced = this.announced.put(member.instance(), new Announced(member, now));
 	}
 
-	void forget(Set<MemberKey> lost) {
+	void removeAnnouncements(Set<MemberKey> lost) {
 		this.announced = this.announced.filterValues((entry) -> !lost.contains(entry.member().key()));
 	}
 
-	void released(InstanceId from, ControlMessage.Released message, CellRow row) {
+	void onReleased(InstanceId from, ControlMessage.Released message, CellRow row) {
 		boolean sameProcess = row.has(new MemberKey(from, message.incarnation()));
 		Set<HeldRange> owned = row.ownedBy(from).stream().map(RangeState::held).collect(Collectors.toSet());
 		message.ranges()
@@ -131,7 +131,7 @@
 			.forEach((range) -> this.released = this.released.put(range.held(), range.marks()));
 	}
 
-	void loads(ControlMessage.Loads message, CellRow row) {
+	void onLoads(ControlMessage.Loads message, CellRow row) {
 		for (RangeLoad load : message.loads()) {
 			row.rangesOf(message.service())
 				.stream()
@@ -156,32 +156,33 @@
 		return this.drained.orElse(row.drained());
 	}
 
-	void drain(Set<InstanceId> instances) {
+	void setDrained(Set<InstanceId> instances) {
 		this.drained = Optional.of(Set.copyOf(instances));
 	}
 
 	/**
-	 * What is to be planned from.
+	 * Returns the input of planning.
 	 * @param known the newest known row
-	 * @param manager the lease manager's side
-	 * @param placement decides what goes where
-	 * @param balance whether the policy is asked even if every range has an owner
-	 * @param now the time
-	 * @return the facts
+	 * @param manager the lease manager of this process
+	 * @param placement the placement policy and its settings
+	 * @param balance whether to ask the policy even if every range has an owner
+	 * @param now current time, milliseconds
+	 * @return the input
 	 */
 	PlanFacts facts(VersionedRow known, LeaseManager manager, Placement placement, boolean balance, long now) {
-		Set<MemberKey> lost = manager.lost(known.row(), now);
-		// By incarnation: a process that has started again isn't suspect for its silent
-		// past.
+		Set<MemberKey> lost = manager.lostMembers(known.row(), now);
+		// By incarnation: a restarted process is not suspect because its previous
+		// incarnation was silent.
 		Set<MemberKey> suspects = manager.revoking().keySet().toJavaSet();
 		List<MemberInfo> fresh = this.announced.values()
-			.filter((entry) -> now - entry.at() <= ANNOUNCEMENT_MILLIS && !lost.contains(entry.member().key()))
+			.filter((entry) -> now - entry.at() <= MAX_ANNOUNCEMENT_AGE_MILLIS && !lost.contains(entry.member().key()))
 			.map(Announced::member)
 			.toJavaList();
 		Map<HeldRange, List<CrashMark>> letGo = this.released.toJavaMap();
-		return new PlanFacts(known, now, lost, suspects, fresh, letGo, this.moves, manager.closed(known.row(), now),
-				drained(known.row()), balance, placement, this::load, (member) -> this.warmUp.share(member, now),
-				(held) -> this.movedAt.get(held).getOrElse(this.since), (member) -> awaitsSuccessor(member, now));
+		return new PlanFacts(known, now, lost, suspects, fresh, letGo, this.moves,
+				manager.closedPairs(known.row(), now), drained(known.row()), balance, placement, this::load,
+				(member) -> this.warmUp.share(member, now), (held) -> this.movedAt.get(held).getOrElse(this.since),
+				(member) -> awaitsSuccessor(member, now));
 	}
 
 	private RangeLoad load(HeldRange held) {
@@ -195,23 +196,23 @@
 	/**
 	 * An announcement.
 	 *
-	 * @param member what it said
-	 * @param at when it came
+	 * @param member the announced information
+	 * @param at when it arrived
 	 */
 	private record Announced(MemberInfo member, long at) {
 
 	}
 
 	/**
-	 * How ranges are placed.
+	 * The placement policy and its settings.
 	 *
-	 * @param policy decides what goes where
-	 * @param weights what the operators weigh
-	 * @param initialRanges how many ranges a service begins with
+	 * @param policy the placement policy
+	 * @param weights the operators' weights
+	 * @param initialRanges initial number of ranges of a service
 	 */
 	record Placement(PlacementPolicy policy, PlacementWeights weights, int initialRanges) {
 
-		Placement weighing(PlacementWeights others) {
+		Placement withWeights(PlacementWeights others) {
 			return new Placement(this.policy, others, this.initialRanges);
 		}
 
--- a/core/src/main/java/org/brasspier/core/ownership/ServicePlan.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ServicePlan.java
@@ -14,9 +14,9 @@
 import org.brasspier.core.placement.PlacementStep.MoveCause;
 
 /**
- * Takes the policy's steps for one service into the row: ranges without an owner are
- * given away at once, owned ones become moves that wait until their owner lets go. Serves
- * one plan.
+ * Applies the policy's steps for one service to the row: ranges without an owner are
+ * assigned at once, and owned ranges become moves that wait until their owners release
+ * them. Used for one plan.
  */
 final class ServicePlan {
 
@@ -50,9 +50,9 @@
 	}
 
 	void run() {
-		this.facts.placement().policy().plan(input()).forEach(this::take);
-		assignTheRest();
-		letGoOfLeavers();
+		this.facts.placement().policy().plan(input()).forEach(this::apply);
+		assignUnowned();
+		releaseLeaving();
 	}
 
 	private PlacementInput input() {
@@ -86,7 +86,7 @@
 				this.facts.movedAt().apply(range.held()));
 	}
 
-	private void take(PlacementStep step) {
+	private void apply(PlacementStep step) {
 		switch (step) {
 			case PlacementStep.Move(KeyRange range, InstanceId to, MoveCause cause) -> move(range, to, cause);
 			case PlacementStep.Split(KeyRange range, long at) -> split(range, at);
@@ -131,10 +131,11 @@
 		return this.moving.containsKey(range) || this.assigned.contains(range);
 	}
 
-	// Joins neighbours of one owner and one fence. Under two fences the owner keeps two
-	// memories of request ids, so both are first let go of and granted anew together; a
-	// later
-	// plan finds them under one fence.
+	// Merges adjacent ranges with the same owner and fence. If the fences differ, the
+	// owner
+	// keeps separate records of request ids for them, so both ranges are first released
+	// and
+	// granted again together; a later plan finds them under one fence.
 	private void merge(KeyRange first, KeyRange second) {
 		RangeState low = this.ranges.get(first);
 		RangeState high = this.ranges.get(second);
@@ -161,17 +162,17 @@
 		}
 	}
 
-	private void assignTheRest() {
+	private void assignUnowned() {
 		List<RangeState> unowned = this.ranges.values().stream().filter((range) -> range.owner().isEmpty()).toList();
 		for (RangeState range : unowned) {
-			RowPlanner.emptiest(this.placeable, RowPlanner.points(List.copyOf(this.ranges.values())))
+			RowPlanner.leastLoaded(this.placeable, RowPlanner.points(List.copyOf(this.ranges.values())))
 				.ifPresent((to) -> assign(range, to));
 		}
 	}
 
-	// Where nobody can take what a leaving instance owns, it lets go all the same after a
-	// while, or it could never stop.
-	private void letGoOfLeavers() {
+	// If no other instance can take the ranges of a leaving instance, it releases them
+	// anyway after a while; otherwise it could never stop.
+	private void releaseLeaving() {
 		if (!this.placeable.isEmpty()) {
 			return;
 		}
--- a/core/src/main/java/org/brasspier/core/ownership/Timers.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Timers.java
@@ -9,7 +9,7 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * When what is done repeatedly was done last. Not thread-safe.
+ * Records when periodic work was last done. Not thread-safe.
  */
 final class Timers {
 
@@ -19,22 +19,22 @@
 
 	private SortedMap<InstanceId, Long> pushedAt = TreeMap.empty();
 
-	private boolean leaseRan;
+	private boolean wasLeaseValid;
 
-	/** Whose turn the next heartbeat is; 0 for all. */
+	/** Index of the manager that gets the next heartbeat; 0 for all. */
 	private int turn;
 
 	Timers copy() {
 		Timers copy = new Timers();
 		copy.last.putAll(this.last);
 		copy.pushedAt = this.pushedAt;
-		copy.leaseRan = this.leaseRan;
+		copy.wasLeaseValid = this.wasLeaseValid;
 		copy.turn = this.turn;
 		return copy;
 	}
 
 	List<Object> state() {
-		return List.of(Map.copyOf(this.last), this.pushedAt, this.leaseRan, this.turn);
+		return List.of(Map.copyOf(this.last), this.pushedAt, this.wasLeaseValid, this.turn);
 	}
 
 	private boolean due(Kind kind, long now, long every) {
@@ -55,15 +55,16 @@
 	}
 
 	/**
-	 * Whether the latest heartbeat was not answered, once for each.
-	 * @param heardAt when a renewal came last
-	 * @param patience how long an answer may take
-	 * @param now the time
-	 * @return true if it's time to ask the other manager
+	 * Returns whether the latest heartbeat was not answered in time; true at most once
+	 * for each heartbeat.
+	 * @param heardAt when the last renewal arrived
+	 * @param answerTimeout how long an answer may take, milliseconds
+	 * @param now current time, milliseconds
+	 * @return true if a heartbeat to the other manager is due
 	 */
-	boolean heartbeatMissed(long heardAt, long patience, long now) {
+	boolean heartbeatMissed(long heardAt, long answerTimeout, long now) {
 		Long sentAt = this.last.get(Kind.HEARTBEAT);
-		boolean missed = sentAt != null && heardAt < sentAt && now - sentAt >= patience
+		boolean missed = sentAt != null && heardAt < sentAt && now - sentAt >= answerTimeout
 				&& !sentAt.equals(this.last.get(Kind.HEARTBEAT_AGAIN));
 		if (missed) {
 			this.last.put(Kind.HEARTBEAT_AGAIN, sentAt);
@@ -72,14 +73,14 @@
 	}
 
 	/**
-	 * Whom the next heartbeat goes to: the lease managers in turn, since one renewal in
-	 * each span is enough and a manager's traffic is what bounds the size of a cell; all
-	 * of them after a change, since they must learn soon what this member has
-	 * acknowledged.
-	 * @param renewers who may renew this member
+	 * Returns the receivers of the next heartbeat. Usually the lease managers get
+	 * heartbeats in turn, since one renewal in each interval is enough and a manager's
+	 * traffic limits the size of a cell. After a change all of them get one, since they
+	 * must soon learn what this member has acknowledged.
+	 * @param renewers the processes that may renew this member
 	 * @return one of them, or all
 	 */
-	List<MemberKey> heartbeatTurn(List<MemberKey> renewers) {
+	List<MemberKey> heartbeatReceivers(List<MemberKey> renewers) {
 		if (this.turn == 0 || renewers.isEmpty()) {
 			this.turn = 1;
 			return renewers;
@@ -133,18 +134,18 @@
 		return due;
 	}
 
-	void rowChanged() {
+	void onRowChanged() {
 		this.last.remove(Kind.BALANCE);
 		this.last.remove(Kind.HEARTBEAT);
 		this.turn = 0;
 	}
 
-	boolean leaseRan() {
-		return this.leaseRan;
+	boolean wasLeaseValid() {
+		return this.wasLeaseValid;
 	}
 
-	void leaseRuns(boolean runs) {
-		this.leaseRan = runs;
+	void setLeaseValid(boolean runs) {
+		this.wasLeaseValid = runs;
 	}
 
 	private enum Kind {
--- a/core/src/main/java/org/brasspier/core/placement/Seat.java
+++ b/core/src/main/java/org/brasspier/core/placement/MemberLoad.java
@@ -3,17 +3,17 @@
 import org.brasspier.core.placement.PlacementInput.Member;
 
 /**
- * A member that may own ranges, with the load that the plan gives it. Not thread-safe.
+ * A member that may own ranges, with its load under the plan. Not thread-safe.
  */
-final class Seat {
+final class MemberLoad {
 
 	private final Member member;
 
 	private double load;
 
-	private int pieces;
+	private int rangeCount;
 
-	Seat(Member member) {
+	MemberLoad(Member member) {
 		this.member = member;
 	}
 
@@ -25,8 +25,8 @@
 		return this.load;
 	}
 
-	int pieces() {
-		return this.pieces;
+	int rangeCount() {
+		return this.rangeCount;
 	}
 
 	double capacity() {
@@ -43,12 +43,12 @@
 
 	void add(double weight) {
 		this.load += weight;
-		this.pieces++;
+		this.rangeCount++;
 	}
 
 	void remove(double weight) {
 		this.load -= weight;
-		this.pieces--;
+		this.rangeCount--;
 	}
 
 }
