--- a/bench/src/main/java/org/brasspier/bench/capacity/DocumentSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/DocumentSlopes.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 
 import org.brasspier.core.document.Document;
-import org.brasspier.core.document.DocumentCheck;
+import org.brasspier.core.document.DocumentValidator;
 import org.brasspier.core.document.FieldPath;
 import org.brasspier.wire.document.DocumentCodec;
 import org.brasspier.wire.document.StoredDocument;
@@ -28,7 +28,7 @@
 				SlopeSuite.over("configuration document, reading and checking", "services", "us", SERVICES,
 						(services) -> {
 							byte[] body = encoded(services);
-							return Probe.nanosEach(() -> DocumentCheck.faults(decoded(body))) / MICRO;
+							return Probe.nanosEach(() -> DocumentValidator.validate(decoded(body))) / MICRO;
 						}),
 				SlopeSuite.over("configuration document, memory", "services", "bytes", SERVICES, (services) -> {
 					byte[] body = encoded(services);
--- a/bench/src/main/java/org/brasspier/bench/policy/Callers.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/Callers.java
@@ -100,7 +100,7 @@
 	private void failed(Attempt attempt, Failure failure) {
 		long pause = tried().resendAfter(failure.retryAfter().toNanos());
 		boolean allowed = tried().resendsAll() || failure.kind() != ErrorKind.OUTCOME_UNKNOWN
-				|| attempt.call().requestClass().idempotent();
+				|| attempt.call().requestClass().isIdempotent();
 		boolean inTime = tried().resendsAll() || this.time.now() + pause < attempt.deadlineNanos();
 		if (attempt.resends() < MOST_RESENDS && allowed && inTime) {
 			this.time.after(pause, () -> send(attempt.call(), attempt.resends() + 1));
--- a/bench/src/main/java/org/brasspier/bench/policy/Outcomes.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/Outcomes.java
@@ -67,7 +67,7 @@
 	}
 
 	void ran(CallerCall call) {
-		if (call.requestClass().idempotent()) {
+		if (call.requestClass().isIdempotent()) {
 			return;
 		}
 		this.ranTwice += this.ranOnce.get(call.number()) ? 1 : 0;
--- a/cli/src/main/java/org/brasspier/cli/internal/FormCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/FormCommand.java
@@ -115,10 +115,10 @@
 		List<FieldValue> message = new ArrayList<>();
 		for (Field field : form.fields()) {
 			@Nullable String value = draft.document().value(form.path(subject, field.name())).orElse(null);
-			table.row(field.name(), (value != null) ? value : "(%s)".formatted(field.usual()), field.unit(),
-					field.rule().allowed(), field.meaning());
-			message.add(new FieldValue(form.path(subject, field.name()).text(), value, field.usual(), field.unit(),
-					field.rule().allowed()));
+			table.row(field.name(), (value != null) ? value : "(%s)".formatted(field.defaultValue()), field.unit(),
+					field.rule().description(), field.meaning());
+			message.add(new FieldValue(form.path(subject, field.name()).text(), value, field.defaultValue(),
+					field.unit(), field.rule().description()));
 		}
 		List<String> lines = new ArrayList<>(table.lines());
 		lines.add("");
--- a/cli/src/main/java/org/brasspier/cli/internal/FormDialog.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/FormDialog.java
@@ -41,12 +41,12 @@
 	private Draft ask(Draft draft, Field field) {
 		String present = draft.document()
 			.value(this.form.path(this.subject, field.name()))
-			.orElseGet(() -> "(" + field.usual() + ")");
+			.orElseGet(() -> "(" + field.defaultValue() + ")");
 		String unit = (field.unit().isEmpty()) ? "" : " in " + field.unit();
 		this.terminal.progress("");
 		this.terminal.progress("%s: %s".formatted(field.name(), field.meaning()));
 		while (true) {
-			@Nullable String typed = this.terminal.ask("  %s%s [%s]: ".formatted(field.rule().allowed(), unit, present));
+			@Nullable String typed = this.terminal.ask("  %s%s [%s]: ".formatted(field.rule().description(), unit, present));
 			if (typed == null || typed.isEmpty()) {
 				return draft;
 			}
--- a/cli/src/main/java/org/brasspier/cli/internal/HelpText.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/HelpText.java
@@ -91,9 +91,9 @@
 
 	private static void field(StringBuilder text, Field field) {
 		String unit = (field.unit().isEmpty()) ? "" : " in " + field.unit();
-		String usual = (field.usual().isEmpty()) ? "" : ", usually " + field.usual();
-		text.append("  --%s%n      %s%n      %s%s%s%n".formatted(field.name(), field.meaning(), field.rule().allowed(),
-				unit, usual));
+		String usual = (field.defaultValue().isEmpty()) ? "" : ", usually " + field.defaultValue();
+		text.append("  --%s%n      %s%n      %s%s%s%n".formatted(field.name(), field.meaning(),
+				field.rule().description(), unit, usual));
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/Fence.java
+++ b/core/src/main/java/org/brasspier/core/Fence.java
@@ -27,7 +27,7 @@
 	 * @param other the fence to compare with
 	 * @return true if this one was granted earlier
 	 */
-	public boolean olderThan(Fence other) {
+	public boolean isOlderThan(Fence other) {
 		return this.value < other.value;
 	}
 
--- a/core/src/main/java/org/brasspier/core/RequestClass.java
+++ b/core/src/main/java/org/brasspier/core/RequestClass.java
@@ -31,7 +31,7 @@
 	 * Whether a second run of the same request does no harm.
 	 * @return false for postings
 	 */
-	public boolean idempotent() {
+	public boolean isIdempotent() {
 		return this.idempotent;
 	}
 
--- a/core/src/main/java/org/brasspier/core/choosing/BackendChooser.java
+++ b/core/src/main/java/org/brasspier/core/choosing/BackendChooser.java
@@ -189,7 +189,7 @@
 	private Optional<Candidate> trial(List<Candidate> candidates, Optional<Candidate> quickest,
 			RequestClass requestClass, long now) {
 		// A posting that fails on trial can't be sent again, so it is no trial.
-		if (!requestClass.idempotent()) {
+		if (!requestClass.isIdempotent()) {
 			return Optional.empty();
 		}
 		this.trialAllowance = Math.min(1, this.trialAllowance + TRIAL_SHARE);
--- a/core/src/main/java/org/brasspier/core/document/Document.java
+++ b/core/src/main/java/org/brasspier/core/document/Document.java
@@ -18,8 +18,8 @@
 
 /**
  * The configuration document: a value at each place that a form has filled in. Whether it
- * may take effect is for {@link DocumentCheck} to say; what reads values here takes the
- * field's usual value where the document has none. Immutable and thread-safe.
+ * may take effect is for {@link DocumentValidator} to say; what reads values here takes
+ * the field's usual value where the document has none. Immutable and thread-safe.
  */
 public final class Document {
 
@@ -104,13 +104,13 @@
 			limits.put(requestClass, new ServicePolicy.ClassLimit(whole(Form.LIMITS, name, key + "-deadline-millis"),
 					whole(Form.LIMITS, name, key + "-share-percent")));
 		}
-		Map<CallerId, Integer> shares = ValueRule.Entry.list(read(Form.LIMITS, name, "caller-shares"))
+		Map<CallerId, Integer> shares = ValueRule.Entry.parseList(read(Form.LIMITS, name, "caller-shares"))
 			.orElse(List.of())
 			.stream()
 			.collect(
 					Collectors.toMap((entry) -> new CallerId(entry.name()), (entry) -> Integer.valueOf(entry.value())));
-		ServicePolicy.Division division = (read(Form.SERVICE, name, "divided-by-key").equals("no"))
-				? ServicePolicy.Division.BY_REQUEST_ID : ServicePolicy.Division.BY_KEY;
+		ServicePolicy.Sharding division = (read(Form.SERVICE, name, "divided-by-key").equals("no"))
+				? ServicePolicy.Sharding.BY_REQUEST_ID : ServicePolicy.Sharding.BY_KEY;
 		return new ServicePolicy(division, limits, shares, whole(Form.LIMITS, name, "max-body-bytes"),
 				whole(Form.SERVICE, name, "run-limit-millis"), whole(Form.SERVICE, name, "guard-millis"));
 	}
@@ -138,7 +138,7 @@
 	 * @return the region's name by failure domain
 	 */
 	public Map<FailureDomain, String> regions() {
-		return ValueRule.Entry.list(read(Form.DOMAINS, "", "regions"))
+		return ValueRule.Entry.parseList(read(Form.DOMAINS, "", "regions"))
 			.orElse(List.of())
 			.stream()
 			.collect(Collectors.toMap((entry) -> new FailureDomain(entry.name()), ValueRule.Entry::value));
@@ -167,7 +167,7 @@
 	}
 
 	private String read(Form form, String subject, String field) {
-		return value(form.path(subject, field)).orElseGet(() -> form.field(field).orElseThrow().usual());
+		return value(form.path(subject, field)).orElseGet(() -> form.field(field).orElseThrow().defaultValue());
 	}
 
 	@Override
--- a/core/src/main/java/org/brasspier/core/document/DocumentInForce.java
+++ b/core/src/main/java/org/brasspier/core/document/DocumentInForce.java
@@ -4,11 +4,11 @@
  * A version of the document with its contents. Immutable and thread-safe.
  *
  * @param version the version; 0 if none is known
- * @param read whether it's known which version is in force, or that none ever was
+ * @param known whether it's known which version is in force, or that none ever was
  * @param document the document
  * @param catalog the document's services
  */
-public record DocumentInForce(long version, boolean read, Document document, ServiceCatalog catalog) {
+public record DocumentInForce(long version, boolean known, Document document, ServiceCatalog catalog) {
 
 	/** No document was ever in force. */
 	public static final DocumentInForce NONE = new DocumentInForce(0, true, Document.EMPTY, ServiceCatalog.OPEN);
@@ -18,7 +18,7 @@
 	 * peer. It serves nothing: with the usual limits it would revert what the document in
 	 * force says.
 	 */
-	public static final DocumentInForce UNREAD = new DocumentInForce(0, false, Document.EMPTY, ServiceCatalog.UNREAD);
+	public static final DocumentInForce UNKNOWN = new DocumentInForce(0, false, Document.EMPTY, ServiceCatalog.UNKNOWN);
 
 	/**
 	 * A version with its contents.
--- a/core/src/main/java/org/brasspier/core/document/DocumentCheck.java
+++ b/core/src/main/java/org/brasspier/core/document/DocumentValidator.java
@@ -15,14 +15,14 @@
  * Says what keeps a document from taking effect: all faults at once, so that an operator
  * mends them in one go. Stateless and thread-safe.
  */
-public final class DocumentCheck {
+public final class DocumentValidator {
 
 	/** Some 3,500 daemons hold the document in 32 MB each beside everything else. */
 	private static final int MAX_FIELDS = 10_000;
 
 	private static final int ALL_SLOTS_PERCENT = 100;
 
-	private DocumentCheck() {
+	private DocumentValidator() {
 	}
 
 	/**
@@ -30,7 +30,7 @@
 	 * @param document the document
 	 * @return all faults, in the order of their places; empty if it may take effect
 	 */
-	public static List<Fault> faults(Document document) {
+	public static List<Fault> validate(Document document) {
 		List<Fault> single = document.values().entrySet().stream().flatMap((entry) -> field(entry).stream()).toList();
 		// Rules over several fields read numbers, which only holds where each is one.
 		return (single.isEmpty()) ? whole(document) : single;
@@ -43,7 +43,7 @@
 			return Optional.of(new Fault(place, entry.getValue(), "no form has this field: take it out"));
 		}
 		return (field.get().rule().allows(entry.getValue())) ? Optional.empty()
-				: Optional.of(new Fault(place, entry.getValue(), "enter " + field.get().rule().allowed()));
+				: Optional.of(new Fault(place, entry.getValue(), "enter " + field.get().rule().description()));
 	}
 
 	private static List<Fault> whole(Document document) {
@@ -110,7 +110,7 @@
 	private static Stream<Fault> weights(Document document) {
 		boolean anyWeight = Form.WEIGHTS.fields()
 			.stream()
-			.map((field) -> document.value(Form.WEIGHTS.path("", field.name())).orElse(field.usual()))
+			.map((field) -> document.value(Form.WEIGHTS.path("", field.name())).orElse(field.defaultValue()))
 			.anyMatch((value) -> Double.parseDouble(value) > 0);
 		return (anyWeight) ? Stream.empty()
 				: Stream.of(new Fault(Form.WEIGHTS.key(), "0", "give at least one of the three a weight above 0"));
--- a/core/src/main/java/org/brasspier/core/document/Draft.java
+++ b/core/src/main/java/org/brasspier/core/document/Draft.java
@@ -54,7 +54,7 @@
 			return refused("\"%s\" is no service's name".formatted(subject));
 		}
 		if (value.isPresent() && !field.get().rule().allows(value.get())) {
-			return refused("%s \"%s\" must be %s".formatted(fieldName, value.get(), field.get().rule().allowed()));
+			return refused("%s \"%s\" must be %s".formatted(fieldName, value.get(), field.get().rule().description()));
 		}
 		return Either.right(with(new FieldChange(form.path(subject, fieldName), value)));
 	}
--- a/core/src/main/java/org/brasspier/core/document/Field.java
+++ b/core/src/main/java/org/brasspier/core/document/Field.java
@@ -6,9 +6,9 @@
  * @param name its name, also that of the flag
  * @param unit the unit of its value, empty if it has none
  * @param rule which values it allows
- * @param usual the value that holds where the document says nothing; empty if none
+ * @param defaultValue the value that holds where the document says nothing; empty if none
  * @param meaning what it does, for a person
  */
-public record Field(String name, String unit, ValueRule rule, String usual, String meaning) {
+public record Field(String name, String unit, ValueRule rule, String defaultValue, String meaning) {
 
 }
--- a/core/src/main/java/org/brasspier/core/document/Form.java
+++ b/core/src/main/java/org/brasspier/core/document/Form.java
@@ -61,11 +61,11 @@
 						"whether each key has one owner; if not, request ids are divided instead"),
 				// 10 minutes is the longest deadline that docs/API.md lets a caller ask
 				// for.
-				new Field("run-limit-millis", "ms", new ValueRule.Whole(1, 600_000), "10000",
+				new Field("run-limit-millis", "ms", new ValueRule.WholeNumber(1, 600_000), "10000",
 						"how long a request may run at most"),
 				// Below 10 ms a garbage collection alone breaks the guard; beyond 5 s a
 				// loss would leave keys unserved for longer than any caller waits.
-				new Field("guard-millis", "ms", new ValueRule.Whole(10, 5000), "200",
+				new Field("guard-millis", "ms", new ValueRule.WholeNumber(10, 5000), "200",
 						"how long a lost server's ranges rest where it checks no fences"));
 	}
 
@@ -73,15 +73,16 @@
 		Stream<Field> classes = Stream.of(RequestClass.values()).flatMap((requestClass) -> {
 			String name = requestClass.name().toLowerCase(Locale.ROOT);
 			return Stream.of(
-					new Field(name + "-deadline-millis", "ms", new ValueRule.Whole(1, 600_000), deadline(requestClass),
+					new Field(name + "-deadline-millis", "ms", new ValueRule.WholeNumber(1, 600_000),
+							deadline(requestClass),
 							"deadline of " + name + " requests that name none, and the longest they may name"),
-					new Field(name + "-share-percent", "%", new ValueRule.Whole(0, 100), share(requestClass),
+					new Field(name + "-share-percent", "%", new ValueRule.WholeNumber(0, 100), share(requestClass),
 							"slot time that " + name + " requests are sure of, if more than what is built in"));
 		});
 		Stream<Field> rest = Stream.of(
-				new Field("caller-shares", "%", new ValueRule.Shares(new ValueRule.Whole(1, 100)), "",
+				new Field("caller-shares", "%", new ValueRule.Shares(new ValueRule.WholeNumber(1, 100)), "",
 						"the most of the service that one caller may hold while others wait"),
-				new Field("max-body-bytes", "bytes", new ValueRule.Whole(1, 64 << 20), "1048576",
+				new Field("max-body-bytes", "bytes", new ValueRule.WholeNumber(1, 64 << 20), "1048576",
 						"largest body of a request"));
 		return Stream.concat(classes, rest).toList();
 	}
--- a/core/src/main/java/org/brasspier/core/document/ServiceCatalog.java
+++ b/core/src/main/java/org/brasspier/core/document/ServiceCatalog.java
@@ -25,7 +25,7 @@
 	public static final ServiceCatalog OPEN = new ServiceCatalog(Map.of(), Optional.of(usual()));
 
 	/** Nobody knows yet which document is in force: nothing is served. */
-	public static final ServiceCatalog UNREAD = new ServiceCatalog(Map.of(), Optional.empty());
+	public static final ServiceCatalog UNKNOWN = new ServiceCatalog(Map.of(), Optional.empty());
 
 	private final Map<ServiceName, ServicePolicy> policies;
 
@@ -40,7 +40,7 @@
 		ServiceName any = new ServiceName("any");
 		FieldChange listed = new FieldChange(Form.SERVICE.path(any.value(), "divided-by-key"), Optional.of("yes"));
 		ServicePolicy policy = Document.EMPTY.with(listed).catalog().find(any).orElseThrow();
-		return new ServicePolicy(ServicePolicy.Division.BY_KEY_IF_GIVEN, policy.limits(), policy.callerShares(),
+		return new ServicePolicy(ServicePolicy.Sharding.BY_KEY_IF_GIVEN, policy.limits(), policy.callerShares(),
 				policy.maxBodyBytes(), policy.runLimitMillis(), policy.guardMillis());
 	}
 
@@ -55,7 +55,7 @@
 	 * or isn't known yet
 	 */
 	public Either<Failure, ServicePolicy> policy(ServiceName service) {
-		if (this == UNREAD) {
+		if (this == UNKNOWN) {
 			return Either.left(new Failure(ErrorKind.NO_OWNER,
 					"this daemon does not know yet which configuration is in force (see TROUBLESHOOTING.md#document-unread)",
 					UNREAD_PAUSE));
@@ -81,8 +81,8 @@
 	 * @param service the service
 	 * @return false also if nothing is known of the service
 	 */
-	public boolean dividedByRequestId(ServiceName service) {
-		return find(service).filter((policy) -> policy.division() == ServicePolicy.Division.BY_REQUEST_ID).isPresent();
+	public boolean isShardedByRequestId(ServiceName service) {
+		return find(service).filter((policy) -> policy.sharding() == ServicePolicy.Sharding.BY_REQUEST_ID).isPresent();
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/document/ServicePolicy.java
+++ b/core/src/main/java/org/brasspier/core/document/ServicePolicy.java
@@ -10,7 +10,7 @@
  * What the document says of one service, as the way of a request needs it. Immutable and
  * thread-safe.
  *
- * @param division what is divided among owners
+ * @param sharding what is divided among owners
  * @param limits the limit of each class
  * @param callerShares the most of the service that a caller may hold while others wait,
  * in percent; callers that aren't named have no limit of their own
@@ -19,7 +19,7 @@
  * @param guardMillis how long a lost server's ranges rest where it checks no fences, in
  * milliseconds
  */
-public record ServicePolicy(Division division, Map<RequestClass, ClassLimit> limits,
+public record ServicePolicy(Sharding sharding, Map<RequestClass, ClassLimit> limits,
 		Map<CallerId, Integer> callerShares, int maxBodyBytes, int runLimitMillis, int guardMillis) {
 
 	/**
@@ -56,7 +56,7 @@
 	/**
 	 * What is divided among owners.
 	 */
-	public enum Division {
+	public enum Sharding {
 
 		/** Keys: a request without one is refused. */
 		BY_KEY,
--- a/core/src/main/java/org/brasspier/core/document/ValueRule.java
+++ b/core/src/main/java/org/brasspier/core/document/ValueRule.java
@@ -18,14 +18,14 @@
 	 */
 	default boolean allows(String value) {
 		return switch (this) {
-			case Whole whole -> whole.holds(value);
+			case WholeNumber whole -> whole.holds(value);
 			case Decimal decimal -> decimal.holds(value);
 			case Choice choice -> choice.values().contains(value);
 			case Names names -> value.isEmpty() || Arrays.stream(value.split(",", -1)).allMatch(Text::isName);
-			case Shares shares -> value.isEmpty() || Entry.list(value)
+			case Shares shares -> value.isEmpty() || Entry.parseList(value)
 				.filter((entries) -> entries.stream().allMatch((entry) -> shares.share().holds(entry.value())))
 				.isPresent();
-			case Pairs pairs -> value.isEmpty() || Entry.list(value)
+			case Pairs pairs -> value.isEmpty() || Entry.parseList(value)
 				.filter((entries) -> entries.stream().allMatch((entry) -> Text.isName(entry.value())))
 				.isPresent();
 		};
@@ -35,13 +35,13 @@
 	 * The allowed values in words.
 	 * @return the text for forms and faults
 	 */
-	default String allowed() {
+	default String description() {
 		return switch (this) {
-			case Whole whole -> "a whole number from %d to %d".formatted(whole.min(), whole.max());
+			case WholeNumber whole -> "a whole number from %d to %d".formatted(whole.min(), whole.max());
 			case Decimal decimal -> "a number from %s to %s".formatted(decimal.min(), decimal.max());
 			case Choice choice -> String.join(" or ", choice.values());
 			case Names names -> "names by comma, or nothing";
-			case Shares shares -> "NAME=N by comma, each N %s, or nothing".formatted(shares.share().allowed());
+			case Shares shares -> "NAME=N by comma, each N %s, or nothing".formatted(shares.share().description());
 			case Pairs pairs -> pairs.left() + "=" + pairs.right() + " by comma, or nothing";
 		};
 	}
@@ -52,7 +52,7 @@
 	 * @param min the least
 	 * @param max the largest
 	 */
-	record Whole(long min, long max) implements ValueRule {
+	record WholeNumber(long min, long max) implements ValueRule {
 
 		boolean holds(String value) {
 			return value.matches("[0-9]{1,12}") && Long.parseLong(value) >= this.min
@@ -105,7 +105,7 @@
 	 *
 	 * @param share what each number may be
 	 */
-	record Shares(Whole share) implements ValueRule {
+	record Shares(WholeNumber share) implements ValueRule {
 
 	}
 
@@ -132,7 +132,7 @@
 		 * @param text {@code NAME=VALUE} by comma
 		 * @return the entries, or empty if the text is no such list or names one twice
 		 */
-		static Optional<List<Entry>> list(String text) {
+		static Optional<List<Entry>> parseList(String text) {
 			if (text.isEmpty()) {
 				return Optional.of(List.of());
 			}
--- a/core/src/main/java/org/brasspier/core/measure/ChurnMeter.java
+++ b/core/src/main/java/org/brasspier/core/measure/ChurnMeter.java
@@ -17,7 +17,7 @@
  */
 public final class ChurnMeter {
 
-	private final Map<ServiceName, TreeMap<Long, Owned>> last = new HashMap<>();
+	private final Map<ServiceName, TreeMap<Long, OwnedRange>> last = new HashMap<>();
 
 	/**
 	 * Takes the next view of a service.
@@ -25,11 +25,11 @@
 	 * @param ranges its ranges, in order
 	 * @return how many points have another owner than the last one they had
 	 */
-	public long next(ServiceName service, List<Owned> ranges) {
-		TreeMap<Long, Owned> before = this.last.getOrDefault(service, new TreeMap<>());
-		TreeMap<Long, Owned> after = new TreeMap<>();
+	public long update(ServiceName service, List<OwnedRange> ranges) {
+		TreeMap<Long, OwnedRange> before = this.last.getOrDefault(service, new TreeMap<>());
+		TreeMap<Long, OwnedRange> after = new TreeMap<>();
 		long moved = 0;
-		for (Owned range : ranges) {
+		for (OwnedRange range : ranges) {
 			moved += moved(before, range);
 			remember(before, range, after);
 		}
@@ -37,7 +37,7 @@
 		return moved;
 	}
 
-	private static long moved(TreeMap<Long, Owned> before, Owned range) {
+	private static long moved(TreeMap<Long, OwnedRange> before, OwnedRange range) {
 		return (range.owner().isEmpty()) ? 0
 				: before.values()
 					.stream()
@@ -46,7 +46,7 @@
 					.sum();
 	}
 
-	private static void remember(TreeMap<Long, Owned> before, Owned range, TreeMap<Long, Owned> after) {
+	private static void remember(TreeMap<Long, OwnedRange> before, OwnedRange range, TreeMap<Long, OwnedRange> after) {
 		if (range.owner().isPresent()) {
 			after.put(range.range().low(), range);
 			return;
@@ -54,7 +54,7 @@
 		before.values()
 			.stream()
 			.filter((earlier) -> overlap(earlier.range(), range.range()) > 0)
-			.map((earlier) -> new Owned(new KeyRange(Math.max(earlier.range().low(), range.range().low()),
+			.map((earlier) -> new OwnedRange(new KeyRange(Math.max(earlier.range().low(), range.range().low()),
 					Math.min(earlier.range().high(), range.range().high())), earlier.owner()))
 			.forEach((part) -> after.put(part.range().low(), part));
 	}
@@ -69,7 +69,7 @@
 	 * @param range the points
 	 * @param owner who owns them, if anybody does
 	 */
-	public record Owned(KeyRange range, Optional<InstanceId> owner) {
+	public record OwnedRange(KeyRange range, Optional<InstanceId> owner) {
 
 	}
 
--- a/core/src/main/java/org/brasspier/core/measure/Measured.java
+++ b/core/src/main/java/org/brasspier/core/measure/MeasureSummary.java
@@ -13,7 +13,8 @@
  * @param unavailableSecondsADay the seconds of a day in which callers were turned away
  * @param targets what they must not exceed
  */
-public record Measured(double imbalanceRatio, double churnPercentADay, double unavailableSecondsADay, Targets targets) {
+public record MeasureSummary(double imbalanceRatio, double churnPercentADay, double unavailableSecondsADay,
+		Targets targets) {
 
 	private static final double MILLIS_A_DAY = 86_400_000;
 
@@ -26,9 +27,9 @@
 	 * @param targets what the measures must not exceed
 	 * @return the measures
 	 */
-	public static Measured of(MeasureSums sums, long millis, Targets targets) {
+	public static MeasureSummary of(MeasureSums sums, long millis, Targets targets) {
 		double days = Math.max(1, millis) / MILLIS_A_DAY;
-		return new Measured(sums.imbalance(), sums.movedPoints() * PERCENT / KeyHash.SPACE / days,
+		return new MeasureSummary(sums.imbalance(), sums.movedPoints() * PERCENT / KeyHash.SPACE / days,
 				sums.unavailableSeconds() / days, targets);
 	}
 
@@ -36,7 +37,7 @@
 	 * Whether no measure exceeds its target.
 	 * @return true if the targets are met
 	 */
-	public boolean met() {
+	public boolean targetsMet() {
 		return this.imbalanceRatio <= this.targets.imbalanceRatio()
 				&& this.churnPercentADay <= this.targets.churnPercentADay()
 				&& this.unavailableSecondsADay <= this.targets.unavailableSecondsADay();
--- a/core/src/main/java/org/brasspier/core/request/RequestLedger.java
+++ b/core/src/main/java/org/brasspier/core/request/RequestLedger.java
@@ -86,7 +86,7 @@
 			return Optional.of(refused(ErrorKind.TICKET_REQUIRED,
 					"the ticket is for service %s; send with the one in this answer".formatted(ticket.service())));
 		}
-		if (ticket.fence().olderThan(posting.fence())) {
+		if (ticket.fence().isOlderThan(posting.fence())) {
 			return Optional.of(possiblyRan(firstSend, "the owner has changed since the ticket was issued"));
 		}
 		if (!ticket.fence().equals(posting.fence()) || ticket.issuer() != this.issuer) {
--- a/core/src/main/java/org/brasspier/core/request/Ticket.java
+++ b/core/src/main/java/org/brasspier/core/request/Ticket.java
@@ -45,7 +45,7 @@
 	 * @return false if an owner may admit it
 	 */
 	public boolean isStaleUnder(Fence present) {
-		return this.fence.olderThan(present);
+		return this.fence.isOlderThan(present);
 	}
 
 	/**
--- a/core/src/main/java/org/brasspier/core/retry/RetryPolicy.java
+++ b/core/src/main/java/org/brasspier/core/retry/RetryPolicy.java
@@ -55,7 +55,7 @@
 	 * @return true if it must be sent again now
 	 */
 	public boolean mayRetry(RequestClass requestClass, Ran ran, Duration remaining) {
-		boolean harmless = ran == Ran.NOT_RUN || requestClass.idempotent() && ran == Ran.UNKNOWN;
+		boolean harmless = ran == Ran.NOT_RUN || requestClass.isIdempotent() && ran == Ran.UNKNOWN;
 		boolean inTime = remaining.compareTo(this.times.percentile(50)) > 0;
 		return harmless && inTime && !remaining.isZero();
 	}
@@ -68,7 +68,8 @@
 	 * @return the pause after the first copy; empty if there must be no second
 	 */
 	public Optional<Duration> hedgeDelay(RequestClass requestClass, Duration remaining) {
-		if (!requestClass.idempotent() || requestClass == RequestClass.AUDIT || this.times.count() < FEWEST_OBSERVED) {
+		if (!requestClass.isIdempotent() || requestClass == RequestClass.AUDIT
+				|| this.times.count() < FEWEST_OBSERVED) {
 			return Optional.empty();
 		}
 		Duration pause = this.times.percentile(HEDGE_PERCENTILE);
--- a/core/src/test/java/org/brasspier/core/document/DocumentCheckTests.java
+++ b/core/src/test/java/org/brasspier/core/document/DocumentValidatorTests.java
@@ -10,19 +10,19 @@
 /**
  * A document is checked as a whole before it can take effect.
  */
-class DocumentCheckTests {
+class DocumentValidatorTests {
 
 	private final Map<FieldPath, String> values = new TreeMap<>(Map.of(new FieldPath("service/hullbook/divided-by-key"),
 			"yes", new FieldPath("domains/regions"), "duluth=great-lakes,milwaukee=great-lakes"));
 
 	@Test
 	void aDocumentWithOneServiceAndItsFailureDomainsMayTakeEffect() {
-		assertThat(DocumentCheck.faults(Document.of(this.values))).isEmpty();
+		assertThat(DocumentValidator.validate(Document.of(this.values))).isEmpty();
 	}
 
 	@Test
 	void theEmptyDocumentMayNot() {
-		assertThat(DocumentCheck.faults(Document.EMPTY).stream().map(Fault::place)).containsExactly("service",
+		assertThat(DocumentValidator.validate(Document.EMPTY).stream().map(Fault::place)).containsExactly("service",
 				"domains/regions");
 	}
 
@@ -31,7 +31,7 @@
 		put("service/hullbook/run-limit-millis", "0");
 		put("weights/churn", "much");
 		put("service/hullbook/colour", "red");
-		assertThat(DocumentCheck.faults(Document.of(this.values)))
+		assertThat(DocumentValidator.validate(Document.of(this.values)))
 			.containsExactly(new Fault("service/hullbook/colour", "red", "no form has this field: take it out"),
 					new Fault("service/hullbook/run-limit-millis", "0", "enter a whole number from 1 to 600000"),
 					new Fault("weights/churn", "much", "enter a number from 0.0 to 1000.0"))
@@ -46,14 +46,14 @@
 		put("weights/imbalance", "0");
 		put("weights/unavailable", "0");
 		put("secrets/operators-retiring", "spring");
-		assertThat(DocumentCheck.faults(Document.of(this.values)).stream().map(Fault::place)).containsExactly(
+		assertThat(DocumentValidator.validate(Document.of(this.values)).stream().map(Fault::place)).containsExactly(
 				"limits/divecal/max-body-bytes", "limits/hullbook", "weights", "secrets/operators-current");
 	}
 
 	@Test
 	void aListThatNamesOneTwiceIsRefused() {
 		put("limits/hullbook/caller-shares", "duluth-office=40,duluth-office=50");
-		assertThat(DocumentCheck.faults(Document.of(this.values))).hasSize(1);
+		assertThat(DocumentValidator.validate(Document.of(this.values))).hasSize(1);
 	}
 
 	private void put(String path, String value) {
--- a/core/src/test/java/org/brasspier/core/document/ServiceCatalogTests.java
+++ b/core/src/test/java/org/brasspier/core/document/ServiceCatalogTests.java
@@ -20,7 +20,7 @@
 	@Test
 	void beforeAnyDocumentEachServiceIsServedWithTheUsualLimits() {
 		ServicePolicy policy = ServiceCatalog.OPEN.find(HULLBOOK).orElseThrow();
-		assertThat(policy.division()).isEqualTo(ServicePolicy.Division.BY_KEY_IF_GIVEN);
+		assertThat(policy.sharding()).isEqualTo(ServicePolicy.Sharding.BY_KEY_IF_GIVEN);
 		assertThat(policy.limit(RequestClass.LOOKUP).deadlineMillis()).isEqualTo(1000);
 	}
 
@@ -31,14 +31,14 @@
 					new FieldPath("limits/hullbook/caller-shares"), "duluth-office=40"))
 			.catalog();
 		ServicePolicy policy = catalog.find(HULLBOOK).orElseThrow();
-		assertThat(policy.division()).isEqualTo(ServicePolicy.Division.BY_REQUEST_ID);
+		assertThat(policy.sharding()).isEqualTo(ServicePolicy.Sharding.BY_REQUEST_ID);
 		assertThat(policy.callerShares()).containsExactly(new CallerId("duluth-office"), 40);
 		assertThat(catalog.find(new ServiceName("divecal"))).isEmpty();
 	}
 
 	@Test
 	void aProcessThatDoesNotKnowTheDocumentYetServesNothing() {
-		assertThat(ServiceCatalog.UNREAD.policy(HULLBOOK).getLeft().kind()).isEqualTo(ErrorKind.NO_OWNER);
+		assertThat(ServiceCatalog.UNKNOWN.policy(HULLBOOK).getLeft().kind()).isEqualTo(ErrorKind.NO_OWNER);
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/measure/MeasureTests.java
+++ b/core/src/test/java/org/brasspier/core/measure/MeasureTests.java
@@ -66,19 +66,19 @@
 	@Test
 	void measuresAreHeldAgainstTheTargets() {
 		MeasureSums sums = new MeasureSums(1000, 4, 4, HALF, 1000, 1200);
-		Measured twoDays = Measured.of(sums, 2 * 86_400_000L, new Targets(1.3, 25, 5));
+		MeasureSummary twoDays = MeasureSummary.of(sums, 2 * 86_400_000L, new Targets(1.3, 25, 5));
 		assertThat(twoDays.churnPercentADay()).isWithin(1e-9).of(25);
 		assertThat(twoDays.unavailableSecondsADay()).isWithin(1e-9).of(2);
-		assertThat(twoDays.met()).isTrue();
-		assertThat(Measured.of(sums, 86_400_000L, new Targets(1.3, 25, 5)).met()).isFalse();
+		assertThat(twoDays.targetsMet()).isTrue();
+		assertThat(MeasureSummary.of(sums, 86_400_000L, new Targets(1.3, 25, 5)).targetsMet()).isFalse();
 	}
 
-	private long next(ChurnMeter.Owned... ranges) {
-		return this.churn.next(HULLBOOK, List.of(ranges));
+	private long next(ChurnMeter.OwnedRange... ranges) {
+		return this.churn.update(HULLBOOK, List.of(ranges));
 	}
 
-	private static ChurnMeter.Owned owned(long low, long high, String owner) {
-		return new ChurnMeter.Owned(new KeyRange(low, high),
+	private static ChurnMeter.OwnedRange owned(long low, long high, String owner) {
+		return new ChurnMeter.OwnedRange(new KeyRange(low, high),
 				Optional.of(owner).filter((name) -> !name.isEmpty()).map(InstanceId::new));
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendClient.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendClient.java
@@ -102,7 +102,7 @@
 	 * @return its run
 	 */
 	public BackendRun run(BackendOrder order) {
-		BackendConnection connection = order.request().requestClass().idempotent() ? connection() : lately();
+		BackendConnection connection = order.request().requestClass().isIdempotent() ? connection() : lately();
 		Run run = new Run(order, connection);
 		try {
 			run.begin(message(order), order.waitMillis());
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/GrantRenewal.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/GrantRenewal.java
@@ -178,7 +178,7 @@
 	// it
 	// is divided by key, only what is held here.
 	private Set<HeldRange> wanted(BackendAnnouncement server, OwnershipSnapshot snapshot) {
-		boolean byId = this.catalog.get().dividedByRequestId(server.service());
+		boolean byId = this.catalog.get().isShardedByRequestId(server.service());
 		List<Assignment> own = snapshot.held().assignments(server.service());
 		Stream<Assignment> others = snapshot.routes()
 			.assignments(server.service())
--- a/daemon/src/main/java/org/brasspier/daemon/internal/caller/RequestReader.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/caller/RequestReader.java
@@ -122,7 +122,7 @@
 	}
 
 	private static boolean byKey(ServicePolicy policy, Optional<String> key) {
-		return switch (policy.division()) {
+		return switch (policy.sharding()) {
 			case BY_KEY -> true;
 			case BY_REQUEST_ID -> false;
 			case BY_KEY_IF_GIVEN -> key.isPresent();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentFollower.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentFollower.java
@@ -79,7 +79,7 @@
 	}
 
 	private Duration period() {
-		boolean often = this.managing.getAsBoolean() || !this.holder.inForce().read();
+		boolean often = this.managing.getAsBoolean() || !this.holder.inForce().known();
 		Duration period = (often) ? MANAGER_PERIOD : SILENT_PERIOD;
 		// Daemons that were started together must not read together for ever after.
 		return period.multipliedBy(ThreadLocalRandom.current().nextLong(75, 100)).dividedBy(100);
@@ -112,7 +112,7 @@
 	 * @param version the version
 	 */
 	void seen(InstanceId peer, long version) {
-		if (!this.managing.getAsBoolean() && this.holder.inForce().read()) {
+		if (!this.managing.getAsBoolean() && this.holder.inForce().known()) {
 			// Heartbeats carry versions, so the row need not be read.
 			this.nextReadNanos = this.nanoTime.getAsLong() + SILENT_PERIOD.toNanos();
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentHolder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentHolder.java
@@ -17,7 +17,7 @@
 
 	private final EventLog events;
 
-	private volatile DocumentInForce inForce = DocumentInForce.UNREAD;
+	private volatile DocumentInForce inForce = DocumentInForce.UNKNOWN;
 
 	private volatile Optional<Held> held = Optional.empty();
 
@@ -51,7 +51,7 @@
 	 * The store has answered that no version was ever in force.
 	 */
 	public synchronized void offerNone() {
-		if (!this.inForce.read()) {
+		if (!this.inForce.known()) {
 			this.inForce = DocumentInForce.NONE;
 		}
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/Submitter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/Submitter.java
@@ -10,7 +10,7 @@
 import io.activej.promise.Promises;
 import org.brasspier.core.ErrorKind;
 import org.brasspier.core.Failure;
-import org.brasspier.core.document.DocumentCheck;
+import org.brasspier.core.document.DocumentValidator;
 import org.brasspier.core.document.Fault;
 import org.brasspier.core.event.EventKind;
 import org.brasspier.daemon.internal.event.EventLog;
@@ -61,7 +61,7 @@
 	 * @return what became of it; never an exception
 	 */
 	Promise<SubmitOutcome> submit(Submission submission) {
-		List<Fault> faults = DocumentCheck.faults(submission.document());
+		List<Fault> faults = DocumentValidator.validate(submission.document());
 		if (!faults.isEmpty()) {
 			return Promise.of(refused(submission, new SubmitOutcome.Invalid(faults)));
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureRecorder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureRecorder.java
@@ -98,12 +98,12 @@
 			return;
 		}
 		this.viewVersion = view.version();
-		Map<ServiceName, List<ChurnMeter.Owned>> services = view.ranges()
+		Map<ServiceName, List<ChurnMeter.OwnedRange>> services = view.ranges()
 			.stream()
 			.collect(Collectors.groupingBy(CellView.Range::service, TreeMap::new, Collectors
-				.mapping((range) -> new ChurnMeter.Owned(range.range(), range.owner()), Collectors.toList())));
+				.mapping((range) -> new ChurnMeter.OwnedRange(range.range(), range.owner()), Collectors.toList())));
 		services.forEach(
-				(service, ranges) -> this.moved.merge(service.value(), this.churn.next(service, ranges), Long::sum));
+				(service, ranges) -> this.moved.merge(service.value(), this.churn.update(service, ranges), Long::sum));
 	}
 
 	private Promise<Void> keep(long today) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/CellCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/CellCalls.java
@@ -57,7 +57,7 @@
 			.sum();
 		return Promise.of(Answers.ok(new StatusAnswer(snapshot.self().value(),
 				this.context.settings().failureDomain().value(), this.context.settings().cell(),
-				this.context.documents().inForce().version(), this.context.documents().inForce().read(),
+				this.context.documents().inForce().version(), this.context.documents().inForce().known(),
 				(valid) ? TimeUnit.NANOSECONDS.toMillis(snapshot.leaseEndNanos() - now) : 0, (int) ((valid) ? held : 0),
 				this.context.events().lostInAll(),
 				this.gate.get().classes().stream().map(CellCalls::render).toList())));
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/DocumentCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/DocumentCalls.java
@@ -9,7 +9,7 @@
 import org.brasspier.core.ErrorKind;
 import org.brasspier.core.Failure;
 import org.brasspier.core.document.Document;
-import org.brasspier.core.document.DocumentCheck;
+import org.brasspier.core.document.DocumentValidator;
 import org.brasspier.core.event.EventKind;
 import org.brasspier.daemon.internal.document.DocumentHolder;
 import org.brasspier.daemon.internal.document.DocumentService;
@@ -58,7 +58,7 @@
 
 	Promise<HttpResponse> check(HttpRequest request) {
 		return submitted(request).map((read) -> read.flatMap((submit) -> document(submit))
-			.fold(Answers::failed, (document) -> Answers.ok(new FaultsAnswer(DocumentCheck.faults(document)))));
+			.fold(Answers::failed, (document) -> Answers.ok(new FaultsAnswer(DocumentValidator.validate(document)))));
 	}
 
 	Promise<HttpResponse> submit(HttpRequest request) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/MeasureCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/MeasureCalls.java
@@ -12,8 +12,8 @@
 import io.activej.http.HttpResponse;
 import io.activej.promise.Promise;
 import org.brasspier.core.document.Targets;
+import org.brasspier.core.measure.MeasureSummary;
 import org.brasspier.core.measure.MeasureSums;
-import org.brasspier.core.measure.Measured;
 import org.brasspier.daemon.internal.DaemonContext;
 import org.brasspier.daemon.internal.measure.MeasureRecorder;
 import org.brasspier.wire.operator.MeasuresAnswer;
@@ -65,15 +65,15 @@
 				services.entrySet()
 					.stream()
 					.map((entry) -> service(entry.getKey(), entry.getValue(),
-							Measured.of(entry.getValue(), to - from, targets)))
+							MeasureSummary.of(entry.getValue(), to - from, targets)))
 					.toList()));
 	}
 
-	private static MeasuresAnswer.Service service(String name, MeasureSums sums, Measured measured) {
+	private static MeasuresAnswer.Service service(String name, MeasureSums sums, MeasureSummary measured) {
 		Targets targets = measured.targets();
 		return new MeasuresAnswer.Service(name, sums.requests(), sums.turnedAway(), measured.imbalanceRatio(),
 				targets.imbalanceRatio(), measured.churnPercentADay(), targets.churnPercentADay(),
-				measured.unavailableSecondsADay(), targets.unavailableSecondsADay(), measured.met());
+				measured.unavailableSecondsADay(), targets.unavailableSecondsADay(), measured.targetsMet());
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardClient.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardClient.java
@@ -110,7 +110,7 @@
 		SettablePromise<Void> over = new SettablePromise<>();
 		outcome.whenResult((end) -> {
 			long authorityEnd = leaseEndNanos + this.guards.nanos(order.request().service());
-			boolean read = !order.request().sharded() && order.request().requestClass().idempotent();
+			boolean read = !order.request().sharded() && order.request().requestClass().isIdempotent();
 			long until = read ? order.deadlineNanos() : Math.min(order.deadlineNanos(), authorityEnd);
 			long rest = (until - System.nanoTime()) / NANOS_PER_MILLI;
 			boolean certain = !(end instanceof Outcome.Failed failed) || failed.certainlyNotRun();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardServer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ForwardServer.java
@@ -111,7 +111,7 @@
 			.find(request.service(), request.keyHash())
 			.map((route) -> route.fence())
 			.orElse(Fence.NONE);
-		if (message.fence().olderThan(known)) {
+		if (message.fence().isOlderThan(known)) {
 			return Promise.of(Outcome.failed(new Failure(ErrorKind.NO_OWNER,
 					"the id's range has a newer owner than the one who sent this", RETRY_SOON)));
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestRouter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestRouter.java
@@ -182,7 +182,7 @@
 		// one this daemon went by; so stale routes never make a request go in circles.
 		private boolean movedOn(Outcome.Owner sentTo, Outcome.Failed failed) {
 			return failed.failure().kind() == ErrorKind.NOT_OWNER && !this.redirected
-					&& failed.owner().filter((owner) -> sentTo.fence().olderThan(owner.fence())).isPresent();
+					&& failed.owner().filter((owner) -> sentTo.fence().isOlderThan(owner.fence())).isPresent();
 		}
 
 		private static boolean mayFindAnotherOwner(Outcome.Failed failed) {
@@ -196,7 +196,7 @@
 		// under the same id and ticket: the owner remembers whether it ran.
 		private boolean mayBeSentAgain(Outcome.Failed failed) {
 			boolean lost = failed.failure().kind() == ErrorKind.OUTCOME_UNKNOWN;
-			boolean harmless = this.request.requestClass().idempotent() || !failed.backendLost();
+			boolean harmless = this.request.requestClass().isIdempotent() || !failed.backendLost();
 			return lost && harmless && !this.resent;
 		}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
@@ -134,7 +134,7 @@
 	// itself, and for a read where no key is owned.
 	private boolean mayOutlastLease() {
 		return this.checksFences
-				|| (!this.order.request().sharded() && this.order.request().requestClass().idempotent());
+				|| (!this.order.request().sharded() && this.order.request().requestClass().isIdempotent());
 	}
 
 	// A server that checks no fences may freeze with the order and wake after the range
@@ -267,7 +267,7 @@
 		this.cancelled = true;
 		this.runner.calls().cancel(this.order.request().id());
 		this.runner.record(EventKind.REQUEST_CANCELLED, this.order, "the caller is gone");
-		if (this.order.request().requestClass().idempotent()) {
+		if (this.order.request().requestClass().isIdempotent()) {
 			this.runner.reactor()
 				.delay(CANCEL_WAIT, () -> this.run.ifPresent((current) -> current.abandon("cancelled")));
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerChoice.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerChoice.java
@@ -60,7 +60,7 @@
 
 	OrderRun run(OwnerGate.Admitted admitted) {
 		Order order = admitted.order();
-		boolean anyServer = this.catalog.get().dividedByRequestId(order.request().service());
+		boolean anyServer = this.catalog.get().isShardedByRequestId(order.request().service());
 		return anyServer ? choose(admitted) : this.own.run(order, admitted.cancellation());
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
@@ -138,7 +138,7 @@
 	 * @return false if no grant of it is valid any more
 	 */
 	boolean granted(HeldRange held) {
-		boolean byId = this.catalog.get().dividedByRequestId(held.service());
+		boolean byId = this.catalog.get().isShardedByRequestId(held.service());
 		boolean checksFences = this.watch.announcement().filter(BackendAnnouncement::checksFences).isPresent();
 		return checksFences && !byId && !this.watch.gone() && this.grants.remainingNanos(held, System.nanoTime()) > 0;
 	}
--- a/daemon/src/test/java/org/brasspier/daemon/internal/document/DocumentFollowerTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/document/DocumentFollowerTests.java
@@ -86,7 +86,7 @@
 	void aRestartDuringAnOutageServesNothingUntilAPeerTellsTheVersion() {
 		this.platform.down = true;
 		this.follower.tick();
-		assertThat(this.self.inForce().read()).isFalse();
+		assertThat(this.self.inForce().known()).isFalse();
 		offer(this.peer, 2);
 		this.follower.seen(PEER, 2);
 		assertThat(this.self.inForce().version()).isEqualTo(2);
@@ -136,7 +136,7 @@
 		for (int second = 0; second < 5; second++) {
 			tickAfter(Duration.ofSeconds(2));
 		}
-		assertThat(this.self.inForce().read()).isFalse();
+		assertThat(this.self.inForce().known()).isFalse();
 		assertThat(this.events.after(0).stream().filter((event) -> event.kind() == EventKind.DOCUMENT_UNREADABLE))
 			.hasSize(1);
 	}
