--- a/core/src/main/java/org/brasspier/core/document/Document.java
+++ b/core/src/main/java/org/brasspier/core/document/Document.java
@@ -17,16 +17,17 @@
 import org.brasspier.core.placement.PlacementWeights;
 
 /**
- * The configuration document: a value at each place that a form has filled in. Whether it
- * may take effect is for {@link DocumentValidator} to say; what reads values here takes
- * the field's usual value where the document has none. Immutable and thread-safe.
+ * The configuration document: a map from field paths to the values that were entered in
+ * the forms. Its contents are checked by {@link DocumentValidator}, not here. The typed
+ * accessors use a field's default value where the document has none. Immutable and
+ * thread-safe.
  */
 public final class Document {
 
-	/** The newest format that this build reads, and the one it writes. */
+	/** The newest format that this build can read, and the format that it writes. */
 	public static final int FORMAT = 1;
 
-	/** The document in which no form was filled in yet. */
+	/** The document without any values. */
 	public static final Document EMPTY = new Document(new TreeMap<>());
 
 	private final SortedMap<FieldPath, String> values;
@@ -36,16 +37,16 @@
 	}
 
 	/**
-	 * Makes a document of values.
-	 * @param values the value at each place
-	 * @return the document, not checked
+	 * Creates a document.
+	 * @param values the values by path
+	 * @return the document, not validated
 	 */
 	public static Document of(Map<FieldPath, String> values) {
 		return new Document(new TreeMap<>(values));
 	}
 
 	/**
-	 * This document with one change.
+	 * Returns a copy of this document with one change applied.
 	 * @param change the change
 	 * @return the changed document
 	 */
@@ -57,25 +58,25 @@
 	}
 
 	/**
-	 * All values by place.
-	 * @return sorted by place, unmodifiable
+	 * Returns all values by path.
+	 * @return an unmodifiable map, sorted by path
 	 */
 	public SortedMap<FieldPath, String> values() {
 		return this.values;
 	}
 
 	/**
-	 * The value at a place.
-	 * @param path the place
-	 * @return empty if the document has none there
+	 * Returns the value at a path.
+	 * @param path the path
+	 * @return the value, or empty if the document has none at this path
 	 */
 	public Optional<String> value(FieldPath path) {
 		return Optional.ofNullable(this.values.get(path));
 	}
 
 	/**
-	 * The names of the services that a form describes.
-	 * @return sorted
+	 * Returns the names of the services that the document configures.
+	 * @return the names, sorted
 	 */
 	public List<ServiceName> services() {
 		return this.values.keySet()
@@ -88,7 +89,7 @@
 	}
 
 	/**
-	 * The services as the way of a request needs them.
+	 * Returns the settings of all services, as request processing needs them.
 	 * @return the catalog
 	 */
 	public ServiceCatalog catalog() {
@@ -101,72 +102,73 @@
 		Map<RequestClass, ServicePolicy.ClassLimit> limits = new EnumMap<>(RequestClass.class);
 		for (RequestClass requestClass : RequestClass.values()) {
 			String key = requestClass.name().toLowerCase(java.util.Locale.ROOT);
-			limits.put(requestClass, new ServicePolicy.ClassLimit(whole(Form.LIMITS, name, key + "-deadline-millis"),
-					whole(Form.LIMITS, name, key + "-share-percent")));
+			limits.put(requestClass, new ServicePolicy.ClassLimit(intValue(Form.LIMITS, name, key + "-deadline-millis"),
+					intValue(Form.LIMITS, name, key + "-share-percent")));
 		}
-		Map<CallerId, Integer> shares = ValueRule.Entry.parseList(read(Form.LIMITS, name, "caller-shares"))
+		Map<CallerId, Integer> shares = ValueRule.Entry.parseList(valueOrDefault(Form.LIMITS, name, "caller-shares"))
 			.orElse(List.of())
 			.stream()
 			.collect(
 					Collectors.toMap((entry) -> new CallerId(entry.name()), (entry) -> Integer.valueOf(entry.value())));
-		ServicePolicy.Sharding division = (read(Form.SERVICE, name, "divided-by-key").equals("no"))
+		ServicePolicy.Sharding sharding = (valueOrDefault(Form.SERVICE, name, "divided-by-key").equals("no"))
 				? ServicePolicy.Sharding.BY_REQUEST_ID : ServicePolicy.Sharding.BY_KEY;
-		return new ServicePolicy(division, limits, shares, whole(Form.LIMITS, name, "max-body-bytes"),
-				whole(Form.SERVICE, name, "run-limit-millis"), whole(Form.SERVICE, name, "guard-millis"));
+		return new ServicePolicy(sharding, limits, shares, intValue(Form.LIMITS, name, "max-body-bytes"),
+				intValue(Form.SERVICE, name, "run-limit-millis"), intValue(Form.SERVICE, name, "guard-millis"));
 	}
 
 	/**
-	 * How the three measures weigh against each other.
+	 * Returns the relative weights of the three measures.
 	 * @return the weights
 	 */
 	public PlacementWeights weights() {
-		return new PlacementWeights(decimal(Form.WEIGHTS, "imbalance"), decimal(Form.WEIGHTS, "churn"),
-				decimal(Form.WEIGHTS, "unavailable"));
+		return new PlacementWeights(doubleValue(Form.WEIGHTS, "imbalance"), doubleValue(Form.WEIGHTS, "churn"),
+				doubleValue(Form.WEIGHTS, "unavailable"));
 	}
 
 	/**
-	 * What the measures must not exceed.
+	 * Returns the upper limits of the measures.
 	 * @return the targets
 	 */
 	public Targets targets() {
-		return new Targets(decimal(Form.TARGETS, "imbalance-ratio"), decimal(Form.TARGETS, "churn-percent-a-day"),
-				decimal(Form.TARGETS, "unavailable-seconds-a-day"));
+		return new Targets(doubleValue(Form.TARGETS, "imbalance-ratio"),
+				doubleValue(Form.TARGETS, "churn-percent-a-day"),
+				doubleValue(Form.TARGETS, "unavailable-seconds-a-day"));
 	}
 
 	/**
-	 * The failure domains and the region of each.
-	 * @return the region's name by failure domain
+	 * Returns the region of each failure domain.
+	 * @return the names of the regions by failure domain
 	 */
 	public Map<FailureDomain, String> regions() {
-		return ValueRule.Entry.parseList(read(Form.DOMAINS, "", "regions"))
+		return ValueRule.Entry.parseList(valueOrDefault(Form.DOMAINS, "", "regions"))
 			.orElse(List.of())
 			.stream()
 			.collect(Collectors.toMap((entry) -> new FailureDomain(entry.name()), ValueRule.Entry::value));
 	}
 
 	/**
-	 * The names of the operators' secrets that are accepted.
-	 * @return empty if the document names none, which accepts each that a daemon was
-	 * given
+	 * Returns the names of the operators' secrets that are accepted.
+	 * @return the names; empty if the document lists none, in which case every secret
+	 * that a daemon was given is accepted
 	 */
 	public List<String> acceptedSecrets() {
 		return List.of("operators-current", "operators-retiring")
 			.stream()
-			.map((field) -> read(Form.SECRETS, "", field))
+			.map((field) -> valueOrDefault(Form.SECRETS, "", field))
 			.filter((names) -> !names.isEmpty())
 			.flatMap((names) -> List.of(names.split(",")).stream())
 			.toList();
 	}
 
-	private int whole(Form form, String subject, String field) {
-		return Integer.parseInt(read(form, subject, field));
+	private int intValue(Form form, String subject, String field) {
+		return Integer.parseInt(valueOrDefault(form, subject, field));
 	}
 
-	private double decimal(Form form, String field) {
-		return Double.parseDouble(read(form, "", field));
+	private double doubleValue(Form form, String field) {
+		return Double.parseDouble(valueOrDefault(form, "", field));
 	}
 
-	private String read(Form form, String subject, String field) {
+	private String valueOrDefault(Form form, String subject, String field) {
 		return value(form.path(subject, field)).orElseGet(() -> form.field(field).orElseThrow().defaultValue());
 	}
 
--- a/core/src/main/java/org/brasspier/core/document/DocumentDiff.java
+++ b/core/src/main/java/org/brasspier/core/document/DocumentDiff.java
@@ -5,9 +5,9 @@
 import java.util.stream.Stream;
 
 /**
- * What differs between two documents, field by field. Immutable and thread-safe.
+ * The differences between two documents, field by field. Immutable and thread-safe.
  *
- * @param differences one for each place whose value differs, in the order of places
+ * @param differences one entry for each path whose value differs, sorted by path
  */
 public record DocumentDiff(List<Difference> differences) {
 
@@ -20,9 +20,9 @@
 
 	/**
 	 * Compares two documents.
-	 * @param before the older one
-	 * @param after the newer one
-	 * @return what differs
+	 * @param before the older document
+	 * @param after the newer document
+	 * @return the differences
 	 */
 	public static DocumentDiff between(Document before, Document after) {
 		return new DocumentDiff(Stream.concat(before.values().keySet().stream(), after.values().keySet().stream())
@@ -34,11 +34,11 @@
 	}
 
 	/**
-	 * One place whose value differs.
+	 * A path whose value differs.
 	 *
-	 * @param path the place
-	 * @param before the older value, if there was one
-	 * @param after the newer value, if there is one
+	 * @param path the path
+	 * @param before the older value, if any
+	 * @param after the newer value, if any
 	 */
 	public record Difference(FieldPath path, Optional<String> before, Optional<String> after) {
 
--- a/core/src/main/java/org/brasspier/core/document/DocumentInForce.java
+++ b/core/src/main/java/org/brasspier/core/document/DocumentInForce.java
@@ -1,30 +1,32 @@
 package org.brasspier.core.document;
 
 /**
- * A version of the document with its contents. Immutable and thread-safe.
+ * The version of the document that is in force, with its contents. Immutable and
+ * thread-safe.
  *
- * @param version the version; 0 if none is known
- * @param known whether it's known which version is in force, or that none ever was
+ * @param version the version; 0 if none is known or none was ever in force
+ * @param known whether it is known which version is in force, or that none ever was
  * @param document the document
- * @param catalog the document's services
+ * @param catalog the settings of the document's services
  */
 public record DocumentInForce(long version, boolean known, Document document, ServiceCatalog catalog) {
 
-	/** No document was ever in force. */
+	/** Known: no document was ever in force. */
 	public static final DocumentInForce NONE = new DocumentInForce(0, true, Document.EMPTY, ServiceCatalog.OPEN);
 
 	/**
-	 * A process that has just started and has heard neither from the store nor from a
-	 * peer. It serves nothing: with the usual limits it would revert what the document in
-	 * force says.
+	 * The state of a process that has just started and has received the document neither
+	 * from the store nor from a peer. It serves no requests: serving with the default
+	 * limits would revert the settings of the document in force.
 	 */
 	public static final DocumentInForce UNKNOWN = new DocumentInForce(0, false, Document.EMPTY, ServiceCatalog.UNKNOWN);
 
 	/**
-	 * A version with its contents.
+	 * Creates the record of a known version.
 	 * @param version the version, at least 1
 	 * @param document the document
-	 * @return the pair
+	 * @return the version with its contents
+	 * @throws IllegalArgumentException if the version is less than 1
 	 */
 	public static DocumentInForce of(long version, Document document) {
 		if (version < 1) {
--- a/core/src/main/java/org/brasspier/core/document/DocumentValidator.java
+++ b/core/src/main/java/org/brasspier/core/document/DocumentValidator.java
@@ -12,31 +12,40 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * Says what keeps a document from taking effect: all faults at once, so that an operator
- * mends them in one go. Stateless and thread-safe.
+ * Validates a document before it takes effect. Reports all faults at once, so that an
+ * operator can correct them in one pass. Stateless and thread-safe.
  */
 public final class DocumentValidator {
 
-	/** Some 3,500 daemons hold the document in 32 MB each beside everything else. */
+	/**
+	 * Bounds the memory for the document: some 3,500 daemons keep it, each with 32 MB for
+	 * everything.
+	 */
 	private static final int MAX_FIELDS = 10_000;
 
-	private static final int ALL_SLOTS_PERCENT = 100;
+	private static final int MAX_RESERVED_PERCENT = 100;
 
 	private DocumentValidator() {
 	}
 
 	/**
-	 * Checks a document as a whole.
+	 * Validates a whole document.
 	 * @param document the document
-	 * @return all faults, in the order of their places; empty if it may take effect
+	 * @return all faults, in the order of their places; empty if the document may take
+	 * effect
 	 */
 	public static List<Fault> validate(Document document) {
-		List<Fault> single = document.values().entrySet().stream().flatMap((entry) -> field(entry).stream()).toList();
-		// Rules over several fields read numbers, which only holds where each is one.
-		return (single.isEmpty()) ? whole(document) : single;
+		List<Fault> single = document.values()
+			.entrySet()
+			.stream()
+			.flatMap((entry) -> fieldFault(entry).stream())
+			.toList();
+		// Rules over several fields parse numbers, so they need every single value to be
+		// valid.
+		return (single.isEmpty()) ? crossFieldFaults(document) : single;
 	}
 
-	private static Optional<Fault> field(Map.Entry<FieldPath, String> entry) {
+	private static Optional<Fault> fieldFault(Map.Entry<FieldPath, String> entry) {
 		Optional<Field> field = Form.fieldAt(entry.getKey());
 		String place = entry.getKey().text();
 		if (field.isEmpty()) {
@@ -46,9 +55,9 @@
 				: Optional.of(new Fault(place, entry.getValue(), "enter " + field.get().rule().description()));
 	}
 
-	private static List<Fault> whole(Document document) {
+	private static List<Fault> crossFieldFaults(Document document) {
 		return Stream
-			.of(size(document), services(document), limitsOfNoService(document), reservedSlots(document),
+			.of(size(document), services(document), limitsOfUnknownServices(document), reservedSlots(document),
 					domains(document), weights(document), secrets(document))
 			.flatMap((faults) -> faults)
 			.toList();
@@ -57,7 +66,7 @@
 	private static Stream<Fault> size(Document document) {
 		int fields = document.values().size();
 		return (fields <= MAX_FIELDS) ? Stream.empty() : Stream
-			.of(new Fault("document", fields + " fields", "take fields out until there are %d".formatted(MAX_FIELDS)));
+			.of(new Fault("document", fields + " fields", "remove fields until there are %d".formatted(MAX_FIELDS)));
 	}
 
 	private static Stream<Fault> services(Document document) {
@@ -68,10 +77,11 @@
 			.stream()
 			.map((service) -> Form.SERVICE.path(service.value(), "divided-by-key"))
 			.filter((path) -> document.value(path).isEmpty())
-			.map((path) -> new Fault(path.text(), "", "say yes or no: keys of this service have one owner or not"));
+			.map((path) -> new Fault(path.text(), "",
+					"enter yes or no: whether each key of this service has one owner"));
 	}
 
-	private static Stream<Fault> limitsOfNoService(Document document) {
+	private static Stream<Fault> limitsOfUnknownServices(Document document) {
 		Set<ServiceName> services = Set.copyOf(document.services());
 		return document.values()
 			.entrySet()
@@ -79,7 +89,7 @@
 			.filter((entry) -> entry.getKey().parts().getFirst().equals(Form.LIMITS.key()))
 			.filter((entry) -> !services.contains(new ServiceName(entry.getKey().parts().get(1))))
 			.map((entry) -> new Fault(entry.getKey().text(), entry.getValue(),
-					"no form describes this service: fill in its service form or take the limit out"));
+					"no form describes this service: fill in its service form or remove the limit"));
 	}
 
 	private static Stream<Fault> reservedSlots(Document document) {
@@ -88,7 +98,7 @@
 			int reserved = Arrays.stream(RequestClass.values())
 				.mapToInt((requestClass) -> catalog.find(service).orElseThrow().limit(requestClass).sharePercent())
 				.sum();
-			return (reserved <= ALL_SLOTS_PERCENT) ? Stream.empty()
+			return (reserved <= MAX_RESERVED_PERCENT) ? Stream.empty()
 					: Stream.of(new Fault(Form.LIMITS.key() + "/" + service, reserved + " %",
 							"reserve at most 100 % over the classes " + classes()));
 		});
@@ -113,7 +123,7 @@
 			.map((field) -> document.value(Form.WEIGHTS.path("", field.name())).orElse(field.defaultValue()))
 			.anyMatch((value) -> Double.parseDouble(value) > 0);
 		return (anyWeight) ? Stream.empty()
-				: Stream.of(new Fault(Form.WEIGHTS.key(), "0", "give at least one of the three a weight above 0"));
+				: Stream.of(new Fault(Form.WEIGHTS.key(), "0", "set at least one of the three weights above 0"));
 	}
 
 	private static Stream<Fault> secrets(Document document) {
@@ -121,7 +131,7 @@
 		String retiring = document.value(Form.SECRETS.path("", "operators-retiring")).orElse("");
 		return (!current.isEmpty() || retiring.isEmpty()) ? Stream.empty()
 				: Stream.of(new Fault(Form.SECRETS.path("", "operators-current").text(), "",
-						"name the secret that takes over from " + retiring));
+						"name the secret that replaces " + retiring));
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/document/Draft.java
+++ b/core/src/main/java/org/brasspier/core/document/Draft.java
@@ -10,13 +10,14 @@
 import org.brasspier.core.Failure;
 
 /**
- * What an operator's forms have changed since a version of the document. It's submitted
- * on the condition that this version is still in force, so of two operators who began
- * from the same version one wins and the other is told. Immutable and thread-safe.
+ * Changes that an operator has made to a version of the document and not yet submitted.
+ * The submission is accepted only if this version is still in force. If two operators
+ * start from the same version, the first submission is accepted and the second one fails
+ * with a conflict. Immutable and thread-safe.
  *
- * @param baseVersion the version that the draft began from; 0 if none was in force
+ * @param baseVersion the version that the draft is based on; 0 if none was in force
  * @param base the document of that version
- * @param changes the changes, at most one for each place
+ * @param changes the changes, at most one for each path
  */
 public record Draft(long baseVersion, Document base, List<FieldChange> changes) {
 
@@ -28,22 +29,22 @@
 	}
 
 	/**
-	 * Begins a draft.
+	 * Creates a draft without changes.
 	 * @param version the version in force
 	 * @param document its document
-	 * @return a draft without changes
+	 * @return the draft
 	 */
 	public static Draft from(long version, Document document) {
 		return new Draft(version, document, List.of());
 	}
 
 	/**
-	 * Fills in one field, checked as it's entered.
+	 * Sets or removes the value of one field, after validating it.
 	 * @param form the form
 	 * @param subject the service's name, or empty for a form without subject
 	 * @param fieldName the field
-	 * @param value the value; empty to take it out
-	 * @return the draft with the change, or why the field doesn't allow it
+	 * @param value the value; empty to remove it
+	 * @return the draft with the change, or the reason why the value is not allowed
 	 */
 	public Either<Failure, Draft> fill(Form form, String subject, String fieldName, Optional<String> value) {
 		Optional<Field> field = form.field(fieldName);
@@ -51,7 +52,7 @@
 			return refused("form %s has no field \"%s\"".formatted(form.key(), fieldName));
 		}
 		if (form.hasSubject() && !ValueRule.Text.isName(subject)) {
-			return refused("\"%s\" is no service's name".formatted(subject));
+			return refused("\"%s\" is not a valid service name".formatted(subject));
 		}
 		if (value.isPresent() && !field.get().rule().allows(value.get())) {
 			return refused("%s \"%s\" must be %s".formatted(fieldName, value.get(), field.get().rule().description()));
@@ -72,8 +73,8 @@
 	}
 
 	/**
-	 * The document as it would be after submission.
-	 * @return the base with all changes
+	 * Returns the document that a submission would produce.
+	 * @return the base with all changes applied
 	 */
 	public Document document() {
 		Document document = this.base;
@@ -84,11 +85,11 @@
 	}
 
 	/**
-	 * Moves the draft's changes onto a newer version. Where both changed a place, the
-	 * draft's value stays, and the place is listed for the operator to decide.
+	 * Rebases the draft onto a newer version. Where both changed the value at a path, the
+	 * draft keeps its own value, and the path is listed for the operator to decide.
 	 * @param version the newer version
 	 * @param newer its document
-	 * @return the moved draft and the places that both changed to different values
+	 * @return the rebased draft and the paths that both changed to different values
 	 */
 	public Rebased rebase(long version, Document newer) {
 		List<DocumentDiff.Difference> theirs = DocumentDiff.between(this.base, newer).differences();
@@ -107,10 +108,11 @@
 	}
 
 	/**
-	 * A draft on a newer version.
+	 * A draft that was rebased onto a newer version.
 	 *
 	 * @param draft the draft
-	 * @param overlaps what both changed: the newer version's value and the draft's
+	 * @param overlaps the paths that both changed, with the value of the newer version
+	 * and that of the draft
 	 */
 	public record Rebased(Draft draft, List<DocumentDiff.Difference> overlaps) {
 
--- a/core/src/main/java/org/brasspier/core/document/FieldChange.java
+++ b/core/src/main/java/org/brasspier/core/document/FieldChange.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * What a form changes at one place. Immutable and thread-safe.
+ * A change of one value of the document. Immutable and thread-safe.
  *
- * @param path the place
- * @param value the new value; empty to take the value out
+ * @param path the path of the value
+ * @param value the new value; empty to remove the value
  */
 public record FieldChange(FieldPath path, Optional<String> value) {
 
--- a/core/src/main/java/org/brasspier/core/document/FieldPath.java
+++ b/core/src/main/java/org/brasspier/core/document/FieldPath.java
@@ -4,8 +4,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The place of one value in the document, {@code FORM/FIELD} or
- * {@code FORM/SUBJECT/FIELD}. Immutable and thread-safe.
+ * The path of a value in the document, {@code FORM/FIELD} or {@code FORM/SUBJECT/FIELD}.
+ * Immutable and thread-safe.
  *
  * @param text the parts, joined by slashes
  */
@@ -14,8 +14,8 @@
 	private static final Pattern VALID = Pattern.compile("[a-z-]{1,32}(/[A-Za-z0-9._-]{1,64}){1,2}");
 
 	/**
-	 * Checks the text.
-	 * @throws IllegalArgumentException if the text is no path
+	 * Validates the text.
+	 * @throws IllegalArgumentException if the text is not a valid path
 	 */
 	public FieldPath {
 		if (!VALID.matcher(text).matches()) {
@@ -26,8 +26,8 @@
 	}
 
 	/**
-	 * The parts.
-	 * @return two or three
+	 * Returns the parts of the path.
+	 * @return two or three parts
 	 */
 	public List<String> parts() {
 		return List.of(this.text.split("/"));
--- a/core/src/main/java/org/brasspier/core/document/Form.java
+++ b/core/src/main/java/org/brasspier/core/document/Form.java
@@ -8,15 +8,15 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * The forms that contribute to the document. Each knows its fields; the command line's
- * interactive forms and flags are both made from them.
+ * The forms that make up the document. Each form defines its fields; the interactive
+ * forms and the flags of the command line tool are both generated from these definitions.
  */
 public enum Form {
 
-	/** What a service is. One form for each service. */
+	/** Basic settings of a service. One form for each service. */
 	SERVICE(true, serviceFields()),
 
-	/** How much a service admits. One form for each service. */
+	/** Admission limits of a service. One form for each service. */
 	LIMITS(true, limitFields()),
 
 	/** The failure domains and their regions. */
@@ -24,18 +24,21 @@
 			List.of(new Field("regions", "", new ValueRule.Pairs("DOMAIN", "REGION"), "",
 					"each failure domain and the region it is in"))),
 
-	/** What the measures must not exceed; they decide the renewal. */
+	/** Upper limits of the measures; whether they are met decides the renewal. */
 	TARGETS(false, targetFields()),
 
-	/** How the three measures weigh against each other when ranges are placed. */
+	/** Relative weights of the three measures for the placement of ranges. */
 	WEIGHTS(false,
 			Stream
-				.of(new Field("imbalance", "", weight(), "1", "the price of load that is spread unevenly"),
-						new Field("churn", "", weight(), "1", "the price of moving warm state"),
-						new Field("unavailable", "", weight(), "1", "the price of time in which a range isn't served"))
+				.of(new Field("imbalance", "", weight(), "1", "weight of unevenly distributed load"),
+						new Field("churn", "", weight(), "1", "weight of moving warm state between servers"),
+						new Field("unavailable", "", weight(), "1",
+								"weight of the time in which a range is not served"))
 				.toList()),
 
-	/** Which of the operators' secrets are accepted, by name; never the secrets. */
+	/**
+	 * Names of the operators' secrets that are accepted; never the secrets themselves.
+	 */
 	SECRETS(false,
 			List.of(new Field("operators-current", "", new ValueRule.Names(), "",
 					"names of the operators' secrets in use"),
@@ -58,15 +61,17 @@
 	private static List<Field> serviceFields() {
 		return List.of(
 				new Field("divided-by-key", "", new ValueRule.Choice(List.of("yes", "no")), "",
-						"whether each key has one owner; if not, request ids are divided instead"),
-				// 10 minutes is the longest deadline that docs/API.md lets a caller ask
-				// for.
+						"whether each key has one owner; if not, the service is sharded by request id"),
+				// 10 minutes is the longest deadline that docs/API.md allows a caller to
+				// request.
 				new Field("run-limit-millis", "ms", new ValueRule.WholeNumber(1, 600_000), "10000",
-						"how long a request may run at most"),
-				// Below 10 ms a garbage collection alone breaks the guard; beyond 5 s a
-				// loss would leave keys unserved for longer than any caller waits.
+						"maximum run time of a request"),
+				// Below 10 ms, a garbage collection pause alone can exceed the guard
+				// time; above 5 s,
+				// the loss of an instance leaves keys unserved for longer than any caller
+				// waits.
 				new Field("guard-millis", "ms", new ValueRule.WholeNumber(10, 5000), "200",
-						"how long a lost server's ranges rest where it checks no fences"));
+						"how long the ranges of a lost server that checks no fences stay unassigned"));
 	}
 
 	private static List<Field> limitFields() {
@@ -75,15 +80,15 @@
 			return Stream.of(
 					new Field(name + "-deadline-millis", "ms", new ValueRule.WholeNumber(1, 600_000),
 							deadline(requestClass),
-							"deadline of " + name + " requests that name none, and the longest they may name"),
+							"deadline of " + name + " requests that specify none, and the longest they may specify"),
 					new Field(name + "-share-percent", "%", new ValueRule.WholeNumber(0, 100), share(requestClass),
-							"slot time that " + name + " requests are sure of, if more than what is built in"));
+							"guaranteed share of slot time for " + name + " requests, if above the built-in share"));
 		});
 		Stream<Field> rest = Stream.of(
 				new Field("caller-shares", "%", new ValueRule.Shares(new ValueRule.WholeNumber(1, 100)), "",
-						"the most of the service that one caller may hold while others wait"),
+						"maximum share of the service that one caller may use while others wait"),
 				new Field("max-body-bytes", "bytes", new ValueRule.WholeNumber(1, 64 << 20), "1048576",
-						"largest body of a request"));
+						"maximum size of a request body"));
 		return Stream.concat(classes, rest).toList();
 	}
 
@@ -97,68 +102,69 @@
 	}
 
 	private static String share(RequestClass requestClass) {
-		// Internal calls keep a fifth: the outer calls that wait for them can't fill it.
+		// A fifth is reserved for internal calls, so that the outer calls that wait for
+		// them cannot use up all slots.
 		return (requestClass == RequestClass.INTERNAL) ? "20" : "0";
 	}
 
 	private static List<Field> targetFields() {
 		return List.of(
 				new Field("imbalance-ratio", "", new ValueRule.Decimal(1, 100), "1.3",
-						"busiest server's load over the mean"),
+						"load of the busiest server divided by the mean load"),
 				new Field("churn-percent-a-day", "%", new ValueRule.Decimal(0, 100_000), "20",
-						"share of the key space that changes its owner in a day"),
+						"share of the hash space that changes its owner in a day"),
 				new Field("unavailable-seconds-a-day", "s", new ValueRule.Decimal(0, 86_400), "5",
-						"time in a day in which callers were turned away for want of an owner"));
+						"time in a day in which requests were refused because no owner was available"));
 	}
 
 	/**
-	 * The form's fields.
-	 * @return the fields in the order in which they're shown
+	 * Returns the fields of the form.
+	 * @return the fields in display order
 	 */
 	public List<Field> fields() {
 		return this.fields;
 	}
 
 	/**
-	 * Whether there is one form for each of something, as for each service.
-	 * @return true if places have the subject's name in the middle
+	 * Returns whether there is one form for each subject, such as a service.
+	 * @return true if the paths of this form contain the name of the subject
 	 */
 	public boolean hasSubject() {
 		return this.hasSubject;
 	}
 
 	/**
-	 * The form's name in places and commands.
-	 * @return lower case
+	 * Returns the name of the form in paths and commands.
+	 * @return the name in lower case
 	 */
 	public String key() {
 		return name().toLowerCase(Locale.ROOT);
 	}
 
 	/**
-	 * Finds a field.
-	 * @param name its name
-	 * @return empty if the form has none of that name
+	 * Finds a field by its name.
+	 * @param name the name of the field
+	 * @return the field, or empty if the form has none of this name
 	 */
 	public Optional<Field> field(String name) {
 		return this.fields.stream().filter((field) -> field.name().equals(name)).findFirst();
 	}
 
 	/**
-	 * The place of a field of this form.
+	 * Returns the path of a field of this form.
 	 * @param subject the service's name, or empty for a form without subject
 	 * @param field the field's name
-	 * @return the place
-	 * @throws IllegalArgumentException if the subject is no name
+	 * @return the path
+	 * @throws IllegalArgumentException if the subject is not a valid name
 	 */
 	public FieldPath path(String subject, String field) {
 		return new FieldPath((this.hasSubject) ? key() + "/" + subject + "/" + field : key() + "/" + field);
 	}
 
 	/**
-	 * Finds the field that a place belongs to.
-	 * @param path the place
-	 * @return empty if no form has such a field
+	 * Finds the field at a path.
+	 * @param path the path
+	 * @return the field, or empty if no form has such a field
 	 */
 	public static Optional<Field> fieldAt(FieldPath path) {
 		List<String> parts = path.parts();
--- a/core/src/main/java/org/brasspier/core/document/ServicePolicy.java
+++ b/core/src/main/java/org/brasspier/core/document/ServicePolicy.java
@@ -7,17 +7,17 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * What the document says of one service, as the way of a request needs it. Immutable and
+ * The settings of one service, as request processing needs them. Immutable and
  * thread-safe.
  *
- * @param sharding what is divided among owners
- * @param limits the limit of each class
- * @param callerShares the most of the service that a caller may hold while others wait,
- * in percent; callers that aren't named have no limit of their own
- * @param maxBodyBytes the largest body of a request, in bytes
- * @param runLimitMillis how long a request may run at most, in milliseconds
- * @param guardMillis how long a lost server's ranges rest where it checks no fences, in
- * milliseconds
+ * @param sharding what the service is sharded by
+ * @param limits the limits by request class
+ * @param callerShares the maximum share of the service that a caller may use while others
+ * wait, in percent; callers that are not listed have no limit of their own
+ * @param maxBodyBytes the maximum size of a request body, in bytes
+ * @param runLimitMillis the maximum run time of a request, in milliseconds
+ * @param guardMillis how long the ranges of a lost server that checks no fences stay
+ * unassigned, in milliseconds
  */
 public record ServicePolicy(Sharding sharding, Map<RequestClass, ClassLimit> limits,
 		Map<CallerId, Integer> callerShares, int maxBodyBytes, int runLimitMillis, int guardMillis) {
@@ -31,9 +31,9 @@
 	}
 
 	/**
-	 * The limit of a class.
+	 * Returns the limits of a request class.
 	 * @param requestClass the class
-	 * @return its limit
+	 * @return its limits
 	 */
 	public ClassLimit limit(RequestClass requestClass) {
 		ClassLimit limit = this.limits.get(requestClass);
@@ -44,7 +44,7 @@
 	}
 
 	/**
-	 * The share of slot time that each class is to be sure of.
+	 * Returns the guaranteed share of slot time of each class.
 	 * @return the shares, in percent
 	 */
 	public Map<RequestClass, Integer> sharePercents() {
@@ -54,30 +54,32 @@
 	}
 
 	/**
-	 * What is divided among owners.
+	 * What the requests of a service are sharded by.
 	 */
 	public enum Sharding {
 
-		/** Keys: a request without one is refused. */
+		/** By key. A request without a key is refused. */
 		BY_KEY,
 
-		/** Request ids. */
+		/** By request id. */
 		BY_REQUEST_ID,
 
 		/**
-		 * Keys where the request carries one, else request ids: no document says more.
+		 * By key if the request has one, otherwise by request id. Applies while no
+		 * document is in force.
 		 */
 		BY_KEY_IF_GIVEN
 
 	}
 
 	/**
-	 * The limit of one class.
+	 * The limits of one request class.
 	 *
-	 * @param deadlineMillis the deadline of requests that name none, and the longest that
-	 * they may name, in milliseconds
-	 * @param sharePercent the share of slot time that the class is sure of while others
-	 * want more, in percent; below what is built in it has no effect
+	 * @param deadlineMillis the deadline of requests that specify none, and the longest
+	 * that they may specify, in milliseconds
+	 * @param sharePercent the guaranteed share of slot time of the class while other
+	 * classes have waiting requests, in percent; values below the built-in share have no
+	 * effect
 	 */
 	public record ClassLimit(int deadlineMillis, int sharePercent) {
 
--- a/core/src/main/java/org/brasspier/core/document/Targets.java
+++ b/core/src/main/java/org/brasspier/core/document/Targets.java
@@ -1,13 +1,14 @@
 package org.brasspier.core.document;
 
 /**
- * What the measures must not exceed. Immutable and thread-safe.
+ * Upper limits of the measures. Immutable and thread-safe.
  *
- * @param imbalanceRatio the busiest server's load over the mean, at least 1
- * @param churnPercentADay the share of the key space that changes its owner in a day, in
+ * @param imbalanceRatio the load of the busiest server divided by the mean load, at least
+ * 1
+ * @param churnPercentADay the share of the hash space that changes its owner in a day, in
  * percent
- * @param unavailableSecondsADay the time in a day in which callers were turned away for
- * want of an owner, in seconds
+ * @param unavailableSecondsADay the time in a day in which requests were refused because
+ * no owner was available, in seconds
  */
 public record Targets(double imbalanceRatio, double churnPercentADay, double unavailableSecondsADay) {
 
--- a/core/src/main/java/org/brasspier/core/document/ValueRule.java
+++ b/core/src/main/java/org/brasspier/core/document/ValueRule.java
@@ -7,14 +7,14 @@
 import java.util.stream.Collectors;
 
 /**
- * Which values a field allows. Immutable and thread-safe.
+ * Rule that the values of a field must satisfy. Immutable and thread-safe.
  */
 public sealed interface ValueRule {
 
 	/**
-	 * Checks a value as it's entered.
+	 * Checks a value.
 	 * @param value the value
-	 * @return whether the field allows it
+	 * @return true if the field allows it
 	 */
 	default boolean allows(String value) {
 		return switch (this) {
@@ -32,17 +32,18 @@
 	}
 
 	/**
-	 * The allowed values in words.
-	 * @return the text for forms and faults
+	 * Describes the allowed values.
+	 * @return the description for forms and error messages
 	 */
 	default String description() {
 		return switch (this) {
 			case WholeNumber whole -> "a whole number from %d to %d".formatted(whole.min(), whole.max());
 			case Decimal decimal -> "a number from %s to %s".formatted(decimal.min(), decimal.max());
 			case Choice choice -> String.join(" or ", choice.values());
-			case Names names -> "names by comma, or nothing";
-			case Shares shares -> "NAME=N by comma, each N %s, or nothing".formatted(shares.share().description());
-			case Pairs pairs -> pairs.left() + "=" + pairs.right() + " by comma, or nothing";
+			case Names names -> "comma-separated names, or nothing";
+			case Shares shares ->
+				"comma-separated NAME=N, each N %s, or nothing".formatted(shares.share().description());
+			case Pairs pairs -> pairs.left() + "=" + pairs.right() + ", comma-separated, or nothing";
 		};
 	}
 
@@ -77,7 +78,7 @@
 	}
 
 	/**
-	 * One of a few words.
+	 * One of a fixed set of words.
 	 *
 	 * @param values the words
 	 */
@@ -94,33 +95,33 @@
 	}
 
 	/**
-	 * Names by comma.
+	 * A comma-separated list of names.
 	 */
 	record Names() implements ValueRule {
 
 	}
 
 	/**
-	 * A number for each of some names, as {@code NAME=N} by comma.
+	 * A number for each of several names, as a comma-separated list of {@code NAME=N}.
 	 *
-	 * @param share what each number may be
+	 * @param share the rule for each number
 	 */
 	record Shares(WholeNumber share) implements ValueRule {
 
 	}
 
 	/**
-	 * A name for each of some names, as {@code NAME=NAME} by comma.
+	 * A name for each of several names, as a comma-separated list of {@code NAME=NAME}.
 	 *
-	 * @param left what stands before the sign, for forms
-	 * @param right what stands after it, for forms
+	 * @param left placeholder for the part before the equals sign, shown in forms
+	 * @param right placeholder for the part after the equals sign, shown in forms
 	 */
 	record Pairs(String left, String right) implements ValueRule {
 
 	}
 
 	/**
-	 * One {@code NAME=VALUE} of a list.
+	 * One {@code NAME=VALUE} entry of a list.
 	 *
 	 * @param name the name
 	 * @param value the value
@@ -128,9 +129,10 @@
 	record Entry(String name, String value) {
 
 		/**
-		 * Reads a list.
-		 * @param text {@code NAME=VALUE} by comma
-		 * @return the entries, or empty if the text is no such list or names one twice
+		 * Parses a list.
+		 * @param text comma-separated entries {@code NAME=VALUE}
+		 * @return the entries, or empty if the text is not a valid list or contains a
+		 * name twice
 		 */
 		static Optional<List<Entry>> parseList(String text) {
 			if (text.isEmpty()) {
@@ -148,7 +150,7 @@
 	}
 
 	/**
-	 * The rule for names, the same as for services and instances.
+	 * The syntax of names, the same as for services and instances.
 	 */
 	final class Text {
 
--- a/core/src/main/java/org/brasspier/core/document/package-info.java
+++ b/core/src/main/java/org/brasspier/core/document/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The configuration document: its fields, forms, drafts, checks and differences.
+ * The configuration document: its fields, forms, drafts, validation and differences.
  */
 @NullMarked
 package org.brasspier.core.document;
--- a/core/src/test/java/org/brasspier/core/document/DocumentValidatorTests.java
+++ b/core/src/test/java/org/brasspier/core/document/DocumentValidatorTests.java
@@ -8,7 +8,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * A document is checked as a whole before it can take effect.
+ * Validation of a whole document before it can take effect.
  */
 class DocumentValidatorTests {
 
@@ -16,18 +16,18 @@
 			"yes", new FieldPath("domains/regions"), "duluth=great-lakes,milwaukee=great-lakes"));
 
 	@Test
-	void aDocumentWithOneServiceAndItsFailureDomainsMayTakeEffect() {
+	void aDocumentWithOneServiceAndItsFailureDomainsIsValid() {
 		assertThat(DocumentValidator.validate(Document.of(this.values))).isEmpty();
 	}
 
 	@Test
-	void theEmptyDocumentMayNot() {
+	void theEmptyDocumentIsInvalid() {
 		assertThat(DocumentValidator.validate(Document.EMPTY).stream().map(Fault::place)).containsExactly("service",
 				"domains/regions");
 	}
 
 	@Test
-	void allFaultsAreListedAtOnceEachWithPlaceValueAndRemedy() {
+	void allFaultsAreReportedTogetherWithPlaceValueAndRemedy() {
 		put("service/hullbook/run-limit-millis", "0");
 		put("weights/churn", "much");
 		put("service/hullbook/colour", "red");
@@ -39,7 +39,7 @@
 	}
 
 	@Test
-	void rulesOverSeveralFieldsAreCheckedTogether() {
+	void rulesOverSeveralFieldsAreAllChecked() {
 		put("limits/divecal/max-body-bytes", "1000");
 		put("limits/hullbook/lookup-share-percent", "90");
 		put("weights/churn", "0");
@@ -51,7 +51,7 @@
 	}
 
 	@Test
-	void aListThatNamesOneTwiceIsRefused() {
+	void aListThatContainsANameTwiceIsInvalid() {
 		put("limits/hullbook/caller-shares", "duluth-office=40,duluth-office=50");
 		assertThat(DocumentValidator.validate(Document.of(this.values))).hasSize(1);
 	}
--- a/core/src/test/java/org/brasspier/core/document/DraftTests.java
+++ b/core/src/test/java/org/brasspier/core/document/DraftTests.java
@@ -8,7 +8,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Forms contribute to one draft, which begins from a version.
+ * Changes made with several forms are collected in one draft, which is based on a
+ * version.
  */
 class DraftTests {
 
@@ -18,7 +19,7 @@
 	private final Draft draft = Draft.from(7, this.inForce);
 
 	@Test
-	void aFieldIsCheckedAsItIsEntered() {
+	void anInvalidFieldIsRejectedWhenItIsSet() {
 		assertThat(this.draft.fill(Form.WEIGHTS, "", "churn", Optional.of("-1")).getLeft().kind())
 			.isEqualTo(ErrorKind.BAD_REQUEST);
 		assertThat(this.draft.fill(Form.WEIGHTS, "", "colour", Optional.of("1")).isLeft()).isTrue();
@@ -26,7 +27,7 @@
 	}
 
 	@Test
-	void theDraftsDocumentHasAllItsChanges() {
+	void theDocumentOfADraftContainsAllItsChanges() {
 		Draft changed = fill(fill(this.draft, Form.WEIGHTS, "", "churn", "3"), Form.LIMITS, "hullbook",
 				"max-body-bytes", "2000");
 		assertThat(DocumentDiff.between(this.inForce, changed.document()).differences().toString())
@@ -34,16 +35,16 @@
 	}
 
 	@Test
-	void aFieldFilledInAsItWasIsNoChange() {
-		Draft there = fill(this.draft, Form.WEIGHTS, "", "churn", "3");
-		assertThat(fill(there, Form.WEIGHTS, "", "churn", "2").changes()).isEmpty();
+	void settingAFieldToItsBaseValueIsNoChange() {
+		Draft changed = fill(this.draft, Form.WEIGHTS, "", "churn", "3");
+		assertThat(fill(changed, Form.WEIGHTS, "", "churn", "2").changes()).isEmpty();
 	}
 
 	@Test
-	void aRebasedDraftKeepsItsChangesAndListsWhatBothChanged() {
+	void aRebasedDraftKeepsItsChangesAndListsConflictingPaths() {
 		Draft changed = fill(fill(this.draft, Form.WEIGHTS, "", "churn", "3"), Form.WEIGHTS, "", "imbalance", "5");
-		Document theirs = this.inForce.with(change("weights/churn", "4")).with(change("weights/unavailable", "9"));
-		Draft.Rebased rebased = changed.rebase(8, theirs);
+		Document newer = this.inForce.with(change("weights/churn", "4")).with(change("weights/unavailable", "9"));
+		Draft.Rebased rebased = changed.rebase(8, newer);
 		assertThat(rebased.draft().baseVersion()).isEqualTo(8);
 		assertThat(rebased.overlaps().toString()).isEqualTo("[weights/churn: 4 -> 3]");
 		assertThat(rebased.draft().document().weights().unavailable()).isEqualTo(9);
--- a/core/src/test/java/org/brasspier/core/document/ServiceCatalogTests.java
+++ b/core/src/test/java/org/brasspier/core/document/ServiceCatalogTests.java
@@ -11,21 +11,21 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * What the way of a request reads from the document.
+ * The settings of services that request processing reads from the document.
  */
 class ServiceCatalogTests {
 
 	private static final ServiceName HULLBOOK = new ServiceName("hullbook");
 
 	@Test
-	void beforeAnyDocumentEachServiceIsServedWithTheUsualLimits() {
+	void withoutADocumentEveryServiceIsServedWithTheDefaultLimits() {
 		ServicePolicy policy = ServiceCatalog.OPEN.find(HULLBOOK).orElseThrow();
 		assertThat(policy.sharding()).isEqualTo(ServicePolicy.Sharding.BY_KEY_IF_GIVEN);
 		assertThat(policy.limit(RequestClass.LOOKUP).deadlineMillis()).isEqualTo(1000);
 	}
 
 	@Test
-	void onceADocumentIsInForceOnlyItsServicesAreServed() {
+	void withADocumentInForceOnlyItsServicesAreServed() {
 		ServiceCatalog catalog = Document
 			.of(Map.of(new FieldPath("service/hullbook/divided-by-key"), "no",
 					new FieldPath("limits/hullbook/caller-shares"), "duluth-office=40"))
@@ -37,7 +37,7 @@
 	}
 
 	@Test
-	void aProcessThatDoesNotKnowTheDocumentYetServesNothing() {
+	void aProcessThatDoesNotKnowTheDocumentYetServesNoService() {
 		assertThat(ServiceCatalog.UNKNOWN.policy(HULLBOOK).getLeft().kind()).isEqualTo(ErrorKind.NO_OWNER);
 	}
 
