--- a/core/src/main/java/org/brasspier/core/event/HybridClock.java
+++ b/core/src/main/java/org/brasspier/core/event/HybridClock.java
@@ -3,25 +3,27 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stamps events so that an effect is never stamped earlier than its cause, though each
- * process has a wall clock of its own. Each message between processes carries the
- * sender's stamp; the receiver's clock then goes on from there. Thread-safe.
+ * A hybrid logical clock. Assigns timestamps to events such that an effect never has an
+ * earlier timestamp than its cause, although each process has its own wall clock. Each
+ * message between processes carries the sender's timestamp, and the receiver's clock
+ * continues from it. Thread-safe.
  */
 public final class HybridClock {
 
 	/**
-	 * A stamp further ahead of this process's wall clock is not taken over: one process
-	 * with a wildly wrong clock would else drag the time line of all into the future. An
-	 * hour is more than any clock that is kept by the usual protocol errs.
+	 * Received timestamps that are further ahead of the local wall clock are ignored.
+	 * Otherwise one process with a wildly wrong clock would move the time line of all
+	 * processes into the future. One hour is more than the error of any clock that is
+	 * synchronized by the usual protocol.
 	 */
 	private static final long MAX_AHEAD_MILLIS = 3_600_000;
 
 	private final AtomicLong last = new AtomicLong();
 
 	/**
-	 * Stamps an event of this process, or a message it sends.
-	 * @param wallMillis the wall clock, in milliseconds since 1970
-	 * @return a stamp later than each that this clock has given or taken
+	 * Returns the timestamp for an event of this process or a message that it sends.
+	 * @param wallMillis the wall clock time, in milliseconds since 1970
+	 * @return a timestamp later than all that this clock has returned or accepted
 	 */
 	public HybridTime tick(long wallMillis) {
 		long wall = wallMillis << HybridTime.COUNTER_BITS;
@@ -29,9 +31,9 @@
 	}
 
 	/**
-	 * Takes over the stamp of a message that was received.
-	 * @param wallMillis the wall clock, in milliseconds since 1970
-	 * @param received the sender's stamp
+	 * Advances the clock to the timestamp of a received message.
+	 * @param wallMillis the wall clock time, in milliseconds since 1970
+	 * @param received the sender's timestamp
 	 */
 	public void receive(long wallMillis, HybridTime received) {
 		long ahead = received.millis() - wallMillis;
--- a/core/src/main/java/org/brasspier/core/event/HybridTime.java
+++ b/core/src/main/java/org/brasspier/core/event/HybridTime.java
@@ -1,19 +1,19 @@
 package org.brasspier.core.event;
 
 /**
- * A time that is never earlier than that of any event which caused this one: the wall
- * clock's milliseconds in the upper 48 bits and a counter in the lower 16. Comparing two
- * gives an order over all processes that respects cause and effect. Immutable and
- * thread-safe.
+ * A timestamp of a hybrid logical clock, never earlier than that of any event which
+ * caused this one. The upper 48 bits contain the wall clock time in milliseconds, the
+ * lower 16 bits a counter. Comparing timestamps orders events of all processes
+ * consistently with cause and effect. Immutable and thread-safe.
  *
- * @param packed both parts, as they travel in messages
+ * @param packed both parts, as sent in messages
  */
 public record HybridTime(long packed) implements Comparable<HybridTime> {
 
 	static final int COUNTER_BITS = 16;
 
 	/**
-	 * The wall clock's part.
+	 * Returns the wall clock part.
 	 * @return milliseconds since 1970
 	 */
 	public long millis() {
--- a/core/src/main/java/org/brasspier/core/event/package-info.java
+++ b/core/src/main/java/org/brasspier/core/event/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The numbered events that make up the time line. docs/EVENTS.md is the catalogue.
+ * The kinds of events on the time line, and the clock that orders them. docs/EVENTS.md is
+ * the catalogue.
  */
 @NullMarked
 package org.brasspier.core.event;
--- a/core/src/test/java/org/brasspier/core/event/HybridClockTests.java
+++ b/core/src/test/java/org/brasspier/core/event/HybridClockTests.java
@@ -5,12 +5,12 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * The time line's order respects cause and effect.
+ * Timestamps order events consistently with cause and effect.
  */
 class HybridClockTests {
 
 	@Test
-	void anEffectIsStampedLaterThanItsCauseThoughTheReceiversClockIsBehind() {
+	void anEffectHasALaterTimestampThanItsCauseEvenIfTheReceiversClockIsBehind() {
 		HybridClock sender = new HybridClock();
 		HybridClock receiver = new HybridClock();
 		HybridTime cause = sender.tick(10_000);
@@ -19,7 +19,7 @@
 	}
 
 	@Test
-	void stampsGrowWithinOneMillisecondAndWhenTheClockIsSetBack() {
+	void timestampsIncreaseWithinAMillisecondAndWhenTheClockIsSetBack() {
 		HybridClock clock = new HybridClock();
 		HybridTime first = clock.tick(10_000);
 		HybridTime second = clock.tick(10_000);
@@ -29,7 +29,7 @@
 	}
 
 	@Test
-	void aWildlyWrongClockElsewhereIsNotTakenOver() {
+	void aTimestampFarInTheFutureIsIgnored() {
 		HybridClock clock = new HybridClock();
 		clock.receive(10_000, new HybridTime(9_000_000_000_000L << HybridTime.COUNTER_BITS));
 		assertThat(clock.tick(10_001).millis()).isEqualTo(10_001);
