--- a/core/src/main/java/org/brasspier/core/measure/ChurnMeter.java
+++ b/core/src/main/java/org/brasspier/core/measure/ChurnMeter.java
@@ -11,29 +11,29 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * Counts the points that change their owner from one view of a cell to the next. Points
- * without owner keep their last one in memory, so a loss counts once, when another
- * instance takes over. Not thread-safe.
+ * Counts the points whose owner changes between consecutive views of a cell. For points
+ * without an owner, the last owner is remembered, so that a loss counts once, when
+ * another instance takes over. Not thread-safe.
  */
 public final class ChurnMeter {
 
-	private final Map<ServiceName, TreeMap<Long, OwnedRange>> last = new HashMap<>();
+	private final Map<ServiceName, TreeMap<Long, OwnedRange>> lastOwners = new HashMap<>();
 
 	/**
-	 * Takes the next view of a service.
+	 * Processes the next view of a service.
 	 * @param service the service
 	 * @param ranges its ranges, in order
-	 * @return how many points have another owner than the last one they had
+	 * @return the number of points whose owner differs from their last owner
 	 */
 	public long update(ServiceName service, List<OwnedRange> ranges) {
-		TreeMap<Long, OwnedRange> before = this.last.getOrDefault(service, new TreeMap<>());
+		TreeMap<Long, OwnedRange> before = this.lastOwners.getOrDefault(service, new TreeMap<>());
 		TreeMap<Long, OwnedRange> after = new TreeMap<>();
 		long moved = 0;
 		for (OwnedRange range : ranges) {
 			moved += moved(before, range);
 			remember(before, range, after);
 		}
-		this.last.put(service, after);
+		this.lastOwners.put(service, after);
 		return moved;
 	}
 
@@ -66,8 +66,8 @@
 	/**
 	 * A range with its owner.
 	 *
-	 * @param range the points
-	 * @param owner who owns them, if anybody does
+	 * @param range the range
+	 * @param owner the owner, or empty if there is none
 	 */
 	public record OwnedRange(KeyRange range, Optional<InstanceId> owner) {
 
--- a/core/src/main/java/org/brasspier/core/measure/MeasureSummary.java
+++ b/core/src/main/java/org/brasspier/core/measure/MeasureSummary.java
@@ -4,14 +4,15 @@
 import org.brasspier.core.document.Targets;
 
 /**
- * The three measures over some time, beside the targets of the document. Immutable and
- * thread-safe.
+ * The three measures of a service over a period, together with the targets of the
+ * document. Immutable and thread-safe.
  *
- * @param imbalanceRatio the busiest server's load over the mean
- * @param churnPercentADay the share of the key space that changed its owner in a day, in
+ * @param imbalanceRatio the load of the busiest server divided by the mean load
+ * @param churnPercentADay the share of the hash space that changed its owner in a day, in
  * percent
- * @param unavailableSecondsADay the seconds of a day in which callers were turned away
- * @param targets what they must not exceed
+ * @param unavailableSecondsADay the seconds of a day in which requests were refused
+ * through no fault of the caller
+ * @param targets the upper limits of the measures
  */
 public record MeasureSummary(double imbalanceRatio, double churnPercentADay, double unavailableSecondsADay,
 		Targets targets) {
@@ -21,10 +22,10 @@
 	private static final double PERCENT = 100;
 
 	/**
-	 * Works the measures out.
-	 * @param sums what was measured
-	 * @param millis over how long, in milliseconds, at least 1
-	 * @param targets what the measures must not exceed
+	 * Calculates the measures from sums.
+	 * @param sums the sums of the period
+	 * @param millis the length of the period, in milliseconds, at least 1
+	 * @param targets the upper limits of the measures
 	 * @return the measures
 	 */
 	public static MeasureSummary of(MeasureSums sums, long millis, Targets targets) {
@@ -34,7 +35,7 @@
 	}
 
 	/**
-	 * Whether no measure exceeds its target.
+	 * Returns whether no measure exceeds its target.
 	 * @return true if the targets are met
 	 */
 	public boolean targetsMet() {
--- a/core/src/main/java/org/brasspier/core/measure/MeasureSums.java
+++ b/core/src/main/java/org/brasspier/core/measure/MeasureSums.java
@@ -3,27 +3,28 @@
 import java.util.Collection;
 
 /**
- * Measures of one service over some time. They add up, so the sums of hours give those of
- * days and quarters. Immutable and thread-safe.
+ * Sums of the measures of one service over a period. Sums of shorter periods can be
+ * added, so the sums of hours give those of days and quarters. Immutable and thread-safe.
  *
- * @param requests how many requests were answered or turned away
- * @param turnedAway how many of them were turned away through no fault of the caller
- * @param unavailableSeconds in how many seconds at least one was
- * @param movedPoints how many points of the hash space changed their owner
- * @param busyMillis how long requests ran, summed up, in milliseconds
+ * @param requests the number of requests that were answered or refused
+ * @param turnedAway the number of these that were refused through no fault of the caller
+ * @param unavailableSeconds the number of seconds in which at least one was so refused
+ * @param movedPoints the number of points of the hash space that changed their owner
+ * @param busyMillis the total run time of requests, in milliseconds
  * @param weightedImbalance the sum over all minutes of the minute's imbalance times its
- * busy time, so that quiet minutes, whose imbalance is mostly chance, count little
+ * busy time, so that minutes with little load, whose imbalance is mostly random, have
+ * little weight
  */
 public record MeasureSums(long requests, long turnedAway, long unavailableSeconds, long movedPoints, long busyMillis,
 		double weightedImbalance) {
 
-	/** Nothing happened. */
+	/** The sums of a period in which nothing happened. */
 	public static final MeasureSums ZERO = new MeasureSums(0, 0, 0, 0, 0, 0);
 
 	/**
-	 * Adds up.
-	 * @param other the measures of another time of the same service
-	 * @return the measures of both times
+	 * Adds the sums of another period.
+	 * @param other the sums of another period of the same service
+	 * @return the sums of both periods
 	 */
 	public MeasureSums plus(MeasureSums other) {
 		return new MeasureSums(this.requests + other.requests, this.turnedAway + other.turnedAway,
@@ -32,26 +33,27 @@
 	}
 
 	/**
-	 * The busiest server's load over the mean, on average over the busy time.
-	 * @return 1 if load was even or there was none
+	 * Returns the load of the busiest server divided by the mean load, averaged over the
+	 * busy time.
+	 * @return the ratio; 1 if the load was even or there was none
 	 */
 	public double imbalance() {
 		return (this.busyMillis > 0) ? this.weightedImbalance / this.busyMillis : 1;
 	}
 
 	/**
-	 * Measures of moves alone.
-	 * @param points how many points changed their owner
-	 * @return the measures
+	 * Creates sums that count only moved points.
+	 * @param points the number of points that changed their owner
+	 * @return the sums
 	 */
 	public static MeasureSums moved(long points) {
 		return new MeasureSums(0, 0, 0, points, 0, 0);
 	}
 
 	/**
-	 * Sums up what all daemons of a cell counted of one service in one minute.
+	 * Combines the reports of all daemons of a cell about one service and one minute.
 	 * @param reports the reports, one from each instance
-	 * @return the measures of the minute
+	 * @return the sums of the minute
 	 */
 	public static MeasureSums ofMinute(Collection<MinuteReport> reports) {
 		long seconds = reports.stream().mapToLong(MinuteReport::turnedAwaySeconds).reduce(0, (a, b) -> a | b);
--- a/core/src/main/java/org/brasspier/core/measure/package-info.java
+++ b/core/src/main/java/org/brasspier/core/measure/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What decides the renewal: imbalance, churn and unavailable time, from what daemons
- * counted.
+ * The measures that decide the renewal: imbalance, churn and unavailable time, calculated
+ * from the daemons' counters.
  */
 @NullMarked
 package org.brasspier.core.measure;
--- a/core/src/test/java/org/brasspier/core/measure/MeasureTests.java
+++ b/core/src/test/java/org/brasspier/core/measure/MeasureTests.java
@@ -24,7 +24,7 @@
 	private final ChurnMeter churn = new ChurnMeter();
 
 	@Test
-	void aSecondInWhichSeveralDaemonsTurnedCallersAwayCountsOnce() {
+	void aSecondInWhichSeveralDaemonsRefusedRequestsCountsOnce() {
 		MeasureSums sums = MeasureSums.ofMinute(List.of(report("a", 5, 2, 0b0011, 0), report("b", 5, 1, 0b0110, 0)));
 		assertThat(sums.unavailableSeconds()).isEqualTo(3);
 		assertThat(sums.turnedAway()).isEqualTo(3);
@@ -41,30 +41,30 @@
 	}
 
 	@Test
-	void aMoveCountsThePointsThatMoved() {
-		next(owned(0, KeyHash.SPACE, "a"));
-		assertThat(next(owned(0, HALF, "a"), owned(HALF, KeyHash.SPACE, "b"))).isEqualTo(HALF);
-		assertThat(next(owned(0, HALF, "a"), owned(HALF, KeyHash.SPACE, "b"))).isEqualTo(0);
+	void churnCountsThePointsThatMoved() {
+		update(owned(0, KeyHash.SPACE, "a"));
+		assertThat(update(owned(0, HALF, "a"), owned(HALF, KeyHash.SPACE, "b"))).isEqualTo(HALF);
+		assertThat(update(owned(0, HALF, "a"), owned(HALF, KeyHash.SPACE, "b"))).isEqualTo(0);
 	}
 
-	// An instance is lost: its range first has no owner, then another one. Callers see
-	// one change of owner, and so must the measure.
+	// After the loss of an instance, its range first has no owner and then a new one.
+	// Callers see one change of owner, so it must be counted once.
 	@Test
 	void aLossCountsOnceWhenAnotherInstanceTakesOver() {
-		next(owned(0, HALF, "a"), owned(HALF, KeyHash.SPACE, "b"));
-		assertThat(next(owned(0, HALF, "a"), owned(HALF, KeyHash.SPACE, ""))).isEqualTo(0);
-		assertThat(next(owned(0, KeyHash.SPACE, "a"))).isEqualTo(HALF);
+		update(owned(0, HALF, "a"), owned(HALF, KeyHash.SPACE, "b"));
+		assertThat(update(owned(0, HALF, "a"), owned(HALF, KeyHash.SPACE, ""))).isEqualTo(0);
+		assertThat(update(owned(0, KeyHash.SPACE, "a"))).isEqualTo(HALF);
 	}
 
 	@Test
-	void anOwnerThatComesBackToItsRangeMovesNothing() {
-		next(owned(0, KeyHash.SPACE, "a"));
-		next(owned(0, KeyHash.SPACE, ""));
-		assertThat(next(owned(0, KeyHash.SPACE, "a"))).isEqualTo(0);
+	void anOwnerThatReturnsToItsRangeCausesNoChurn() {
+		update(owned(0, KeyHash.SPACE, "a"));
+		update(owned(0, KeyHash.SPACE, ""));
+		assertThat(update(owned(0, KeyHash.SPACE, "a"))).isEqualTo(0);
 	}
 
 	@Test
-	void measuresAreHeldAgainstTheTargets() {
+	void measuresAreComparedWithTheTargets() {
 		MeasureSums sums = new MeasureSums(1000, 4, 4, HALF, 1000, 1200);
 		MeasureSummary twoDays = MeasureSummary.of(sums, 2 * 86_400_000L, new Targets(1.3, 25, 5));
 		assertThat(twoDays.churnPercentADay()).isWithin(1e-9).of(25);
@@ -73,7 +73,7 @@
 		assertThat(MeasureSummary.of(sums, 86_400_000L, new Targets(1.3, 25, 5)).targetsMet()).isFalse();
 	}
 
-	private long next(ChurnMeter.OwnedRange... ranges) {
+	private long update(ChurnMeter.OwnedRange... ranges) {
 		return this.churn.update(HULLBOOK, List.of(ranges));
 	}
 
