--- a/core/src/test/java/org/brasspier/core/pages/PagesTests.java
+++ b/core/src/test/java/org/brasspier/core/pages/PagesTests.java
@@ -20,7 +20,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * The pages say what the code does.
+ * Checks that the tables and anchors in the documentation match the code.
  */
 class PagesTests {
 
@@ -35,7 +35,7 @@
 	private static final Pattern ANCHOR = Pattern.compile("TROUBLESHOOTING\\.md#([a-z0-9-]+)");
 
 	@Test
-	void theCatalogueOfEventsIsThatOfTheCode() {
+	void theCatalogueOfEventsMatchesTheCode() {
 		List<String> listed = matches(EVENT, page("EVENTS.md")).map((row) -> row.group(1) + " " + row.group(2))
 			.toList();
 		List<String> known = Stream.of(EventKind.values()).map((kind) -> kind.number() + " " + kind.name()).toList();
@@ -44,12 +44,12 @@
 	}
 
 	@Test
-	void noNumberOfAnEventIsUsedTwice() {
+	void eventNumbersAreUnique() {
 		assertThat(Stream.of(EventKind.values()).map(EventKind::number).toList()).containsNoDuplicates();
 	}
 
 	@Test
-	void theTableOfErrorsIsThatOfTheCode() {
+	void theTableOfErrorsMatchesTheCode() {
 		List<String> listed = matches(ERROR, page("API.md"))
 			.map((row) -> String.join(" ", row.group(1), row.group(2), row.group(3), row.group(4)))
 			.toList();
@@ -61,7 +61,7 @@
 	}
 
 	@Test
-	void eachAnchorThatAMessageNamesIsThere() {
+	void everyAnchorInAMessageExistsInTroubleshooting() {
 		Set<String> headings = page("TROUBLESHOOTING.md").lines()
 			.filter((line) -> line.startsWith("## "))
 			.map((line) -> line.substring(3).strip())
