--- a/core/src/main/java/org/brasspier/core/CallerId.java
+++ b/core/src/main/java/org/brasspier/core/CallerId.java
@@ -1,7 +1,7 @@
 package org.brasspier.core;
 
 /**
- * The name under which a caller's share of a service is counted. Immutable and
+ * Name of a caller, under which its share of a service is accounted. Immutable and
  * thread-safe.
  *
  * @param value the text, of one to 64 characters from {@code a-z}, {@code A-Z},
@@ -10,7 +10,7 @@
 public record CallerId(String value) implements Comparable<CallerId> {
 
 	/**
-	 * Checks the text.
+	 * Validates the text.
 	 * @throws IllegalArgumentException if the text is not a valid name
 	 */
 	public CallerId {
--- a/core/src/main/java/org/brasspier/core/ErrorKind.java
+++ b/core/src/main/java/org/brasspier/core/ErrorKind.java
@@ -1,12 +1,13 @@
 package org.brasspier.core;
 
 /**
- * The closed list of errors, each with the answer it gets. docs/API.md has the same table
- * for callers; a test holds the two equal.
+ * All errors that a request can end with, each with its HTTP status, whether the request
+ * was run, and the exit code of the command line tool. docs/API.md has the same table for
+ * callers; a test checks that the two are equal.
  */
 public enum ErrorKind {
 
-	/** The request lacks something or carries something malformed. */
+	/** A required part of the request is missing, or a part is malformed. */
 	BAD_REQUEST(400, Ran.NOT_RUN, 2),
 
 	/** The secret or its proof is wrong or missing. */
@@ -21,61 +22,63 @@
 	/** The head of the request is larger than the limit. */
 	HEAD_TOO_LARGE(431, Ran.NOT_RUN, 2),
 
-	/** The request did not come whole in time. */
+	/** The request was not received completely in time. */
 	REQUEST_TIMEOUT(408, Ran.NOT_RUN, 7),
 
-	/** No route of the configuration takes the request. */
+	/** No route of the configuration matches the request. */
 	NO_ROUTE(404, Ran.NOT_RUN, 4),
 
 	/** No configuration is known yet. */
 	NO_CONFIGURATION(503, Ran.NOT_RUN, 6),
 
-	/** A posting came without a ticket; the answer carries one. */
+	/** A posting was sent without a ticket; the response contains one. */
 	TICKET_REQUIRED(428, Ran.NOT_RUN, 2),
 
-	/** The same request id is being run now. */
+	/** A request with the same id is running. */
 	IN_PROGRESS(409, Ran.UNKNOWN, 5),
 
-	/** The request id was seen with other contents. */
+	/** The request id was already used with other contents. */
 	ID_REUSED(422, Ran.NOT_RUN, 2),
 
 	/** The queue or the caller's share is full, or the deadline can't be met. */
 	OVERLOADED(503, Ran.NOT_RUN, 6),
 
-	/** No slot is free, and the request was not to wait for one. */
+	/** No slot is free, and the request may not wait for one. */
 	NO_FREE_SLOT(503, Ran.NOT_RUN, 6),
 
-	/** Nobody holds the range just now. */
+	/** The range has no owner at present. */
 	NO_OWNER(503, Ran.NOT_RUN, 6),
 
-	/** This daemon does not hold the range; the answer names who does. */
+	/** This daemon does not own the range; the response names the owner. */
 	NOT_OWNER(421, Ran.NOT_RUN, 6),
 
-	/** The service has no backend server that can take the request. */
+	/** The service has no backend server that can run the request. */
 	NO_BACKEND(503, Ran.NOT_RUN, 6),
 
-	/** The deadline passed before the request was handed to a backend server. */
+	/** The deadline passed before the request was sent to a backend server. */
 	DEADLINE_PASSED(504, Ran.NOT_RUN, 7),
 
 	/** The deadline passed while the request ran. */
 	TIMED_OUT(504, Ran.UNKNOWN, 7),
 
-	/** The connection to the backend server or the owner broke while the request ran. */
+	/**
+	 * The connection to the backend server or the owner was lost while the request ran.
+	 */
 	OUTCOME_UNKNOWN(502, Ran.UNKNOWN, 8),
 
-	/** The backend server answered with something that is not HTTP or was cut short. */
+	/** The response of the backend server is not HTTP or is truncated. */
 	BAD_ANSWER(502, Ran.UNKNOWN, 8),
 
 	/** An earlier owner may have run this posting; it was not run again. */
 	POSSIBLY_RAN_BEFORE(409, Ran.UNKNOWN, 8),
 
-	/** This request crashed backend servers and is kept away from the others. */
+	/** This request crashed backend servers and is not sent to the others. */
 	CRASHED_BACKENDS(422, Ran.UNKNOWN, 9),
 
-	/** The document has faults; the answer lists them all. */
+	/** The document has faults; the response lists all of them. */
 	DOCUMENT_INVALID(422, Ran.NOT_RUN, 10),
 
-	/** Another submission won; the answer shows what changed. */
+	/** Another submission was accepted first; the response shows what changed. */
 	DOCUMENT_CONFLICT(409, Ran.NOT_RUN, 11),
 
 	/** The platform's store did not answer; the write may have taken effect. */
@@ -84,16 +87,19 @@
 	/** The platform's store is down or slow. */
 	STORE_UNAVAILABLE(503, Ran.NOT_RUN, 12),
 
-	/** Stored state is damaged or of a newer version. */
+	/** Stored state is corrupt or written by a newer version. */
 	STATE_UNREADABLE(500, Ran.NOT_RUN, 13),
 
-	/** The operator's order does not fit the present state. */
+	/** The operator's order is not possible in the current state. */
 	ORDER_REFUSED(409, Ran.NOT_RUN, 14),
 
-	/** No daemon answered the command line tool; no daemon says this itself. */
+	/**
+	 * No daemon answered the command line tool. Only the tool reports this error, never a
+	 * daemon.
+	 */
 	DAEMON_UNREACHABLE(503, Ran.UNKNOWN, 15),
 
-	/** A fault in the daemon itself. */
+	/** An internal fault of the daemon. */
 	INTERNAL_ERROR(500, Ran.UNKNOWN, 1);
 
 	private final int status;
@@ -109,7 +115,7 @@
 	}
 
 	/**
-	 * The HTTP status of the answer.
+	 * Returns the HTTP status of the response.
 	 * @return the status code
 	 */
 	public int status() {
@@ -117,16 +123,16 @@
 	}
 
 	/**
-	 * Whether the request ran.
-	 * @return what the answer says of it
+	 * Returns whether the request was run.
+	 * @return what the response states about it
 	 */
 	public Ran ran() {
 		return this.ran;
 	}
 
 	/**
-	 * The exit code of the command line tool.
-	 * @return 1 to 127
+	 * Returns the exit code of the command line tool.
+	 * @return a code from 1 to 127
 	 */
 	public int exitCode() {
 		return this.exitCode;
--- a/core/src/main/java/org/brasspier/core/Failure.java
+++ b/core/src/main/java/org/brasspier/core/Failure.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /**
- * One error as it's passed inside a process, the left side of Vavr's {@code Either}.
+ * An error as it is passed within a process, the left side of Vavr's {@code Either}.
  * Immutable and thread-safe.
  *
  * @param kind what went wrong
- * @param detail one sentence for a person, without secrets
- * @param retryAfter when a resend makes sense; zero if at once or never
+ * @param detail one sentence for a human reader, without secrets
+ * @param retryAfter delay after which a retry makes sense; zero if at once or never
  */
 public record Failure(ErrorKind kind, String detail, Duration retryAfter) {
 
 	/**
-	 * Checks the pause.
-	 * @throws IllegalArgumentException if the pause is negative
+	 * Validates the delay.
+	 * @throws IllegalArgumentException if the delay is negative
 	 */
 	public Failure {
 		if (retryAfter.isNegative()) {
@@ -23,9 +23,9 @@
 	}
 
 	/**
-	 * An error with no hint when to resend.
+	 * Creates a failure without a delay for the retry.
 	 * @param kind what went wrong
-	 * @param detail one sentence for a person
+	 * @param detail one sentence for a human reader
 	 * @return the failure
 	 */
 	public static Failure of(ErrorKind kind, String detail) {
--- a/core/src/main/java/org/brasspier/core/FailureDomain.java
+++ b/core/src/main/java/org/brasspier/core/FailureDomain.java
@@ -3,8 +3,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The name of a failure domain, the set of instances that one fault may take together.
- * Immutable and thread-safe.
+ * Name of a failure domain, a set of instances that a single fault can bring down
+ * together. Immutable and thread-safe.
  *
  * @param value the text, of one to 64 characters from {@code a-z}, {@code A-Z},
  * {@code 0-9}, dot, underscore and hyphen
@@ -12,7 +12,7 @@
 public record FailureDomain(String value) implements Comparable<FailureDomain> {
 
 	/**
-	 * Checks the text.
+	 * Validates the text.
 	 * @throws IllegalArgumentException if the text is not a valid name
 	 */
 	public FailureDomain {
@@ -29,8 +29,8 @@
 		return this.value;
 	}
 
-	// Written out: generated ones go through method handles, which take milliseconds to
-	// set up in a process that has just started.
+	// Implemented by hand: the generated methods use method handles, which take
+	// milliseconds to set up in a process that has just started.
 	@Override
 	public boolean equals(@Nullable Object other) {
 		return other instanceof FailureDomain that && this.value.equals(that.value);
--- a/core/src/main/java/org/brasspier/core/Fence.java
+++ b/core/src/main/java/org/brasspier/core/Fence.java
@@ -1,19 +1,19 @@
 package org.brasspier.core;
 
 /**
- * A number that grows each time a range gets another owner or another incarnation of the
- * same owner. Whoever has seen a higher fence refuses a lower one. Immutable and
- * thread-safe.
+ * Fencing token: a number that increases each time a range gets another owner or another
+ * incarnation of the same owner. A component that has seen a higher fence rejects a lower
+ * one. Immutable and thread-safe.
  *
- * @param value the number, at least 1; 0 stands for "none yet"
+ * @param value the number, at least 1; 0 means that none has been granted yet
  */
 public record Fence(long value) implements Comparable<Fence> {
 
-	/** Older than each fence that was ever granted. */
+	/** Older than every fence that is ever granted. */
 	public static final Fence NONE = new Fence(0);
 
 	/**
-	 * Checks the number.
+	 * Validates the number.
 	 * @throws IllegalArgumentException if the number is negative
 	 */
 	public Fence {
@@ -23,7 +23,7 @@
 	}
 
 	/**
-	 * Whether this fence is older than the other.
+	 * Returns whether this fence is older than another one.
 	 * @param other the fence to compare with
 	 * @return true if this one was granted earlier
 	 */
--- a/core/src/main/java/org/brasspier/core/InstanceId.java
+++ b/core/src/main/java/org/brasspier/core/InstanceId.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The identity of an instance: one daemon and the backend server beside it. Immutable and
+ * Identity of an instance: one daemon and its local backend server. Immutable and
  * thread-safe.
  *
  * @param value the text, of one to 64 characters from {@code a-z}, {@code A-Z},
@@ -12,7 +12,7 @@
 public record InstanceId(String value) implements Comparable<InstanceId> {
 
 	/**
-	 * Checks the text.
+	 * Validates the text.
 	 * @throws IllegalArgumentException if the text is not a valid name
 	 */
 	public InstanceId {
@@ -29,8 +29,8 @@
 		return this.value;
 	}
 
-	// Written out: generated ones go through method handles, which take milliseconds to
-	// set up in a process that has just started.
+	// Implemented by hand: the generated methods use method handles, which take
+	// milliseconds to set up in a process that has just started.
 	@Override
 	public boolean equals(@Nullable Object other) {
 		return other instanceof InstanceId that && this.value.equals(that.value);
--- a/core/src/main/java/org/brasspier/core/KeyHash.java
+++ b/core/src/main/java/org/brasspier/core/KeyHash.java
@@ -3,9 +3,10 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * The place of a key in the hash space. The space has 2^32 points so that a bound of a
- * range takes five bytes on the wire at most; at 2.9 billion keys points collide, which
- * is harmless, since a point and not a key is what is owned. Immutable and thread-safe.
+ * Position of a key in the hash space. The space has 2^32 points so that a bound of a
+ * range takes at most five bytes on the wire. With 2.9 billion keys, some share a point;
+ * this is harmless, because ownership is assigned by point, not by key. Immutable and
+ * thread-safe.
  *
  * @param point the point, from 0 to 2^32 - 1
  */
@@ -15,8 +16,8 @@
 	public static final long SPACE = 1L << 32;
 
 	/**
-	 * Checks the point.
-	 * @throws IllegalArgumentException if the point lies outside the hash space
+	 * Validates the point.
+	 * @throws IllegalArgumentException if the point is outside the hash space
 	 */
 	public KeyHash {
 		if (point < 0 || point >= SPACE) {
@@ -25,8 +26,8 @@
 	}
 
 	/**
-	 * Hashes a key or a request id. Every daemon and every version must agree on this
-	 * function, so it never changes.
+	 * Hashes a key or a request id. All daemons of all versions must agree on this
+	 * function, so it must never change.
 	 * @param key the text to hash, by its UTF-16 code units
 	 * @return the point of the key
 	 */
--- a/core/src/main/java/org/brasspier/core/KeyRange.java
+++ b/core/src/main/java/org/brasspier/core/KeyRange.java
@@ -4,19 +4,20 @@
 import java.util.stream.LongStream;
 
 /**
- * A run of points of the hash space, the unit of ownership. Immutable and thread-safe.
+ * A contiguous range of points in the hash space, the unit of ownership. Immutable and
+ * thread-safe.
  *
  * @param low the first point
- * @param high the point after the last
+ * @param high the point after the last one (exclusive)
  */
 public record KeyRange(long low, long high) implements Comparable<KeyRange> {
 
-	/** All points. */
+	/** The whole hash space. */
 	public static final KeyRange ALL = new KeyRange(0, KeyHash.SPACE);
 
 	/**
-	 * Checks the bounds.
-	 * @throws IllegalArgumentException if the range is empty or leaves the hash space
+	 * Validates the bounds.
+	 * @throws IllegalArgumentException if the range is empty or exceeds the hash space
 	 */
 	public KeyRange {
 		if (low < 0 || high > KeyHash.SPACE || low >= high) {
@@ -27,7 +28,7 @@
 
 	/**
 	 * Splits the hash space into equal ranges.
-	 * @param count how many, at least 1
+	 * @param count the number of ranges, at least 1
 	 * @return the ranges in order
 	 */
 	public static List<KeyRange> split(int count) {
@@ -41,7 +42,7 @@
 	}
 
 	/**
-	 * Whether a point lies in this range.
+	 * Returns whether a point lies in this range.
 	 * @param hash the point
 	 * @return true if it does
 	 */
@@ -50,7 +51,7 @@
 	}
 
 	/**
-	 * The number of points of this range.
+	 * Returns the number of points in this range.
 	 * @return at least 1
 	 */
 	public long size() {
--- a/core/src/main/java/org/brasspier/core/Names.java
+++ b/core/src/main/java/org/brasspier/core/Names.java
@@ -3,7 +3,7 @@
 import java.util.regex.Pattern;
 
 /**
- * The one rule for names that travel in headers, tables and logs.
+ * Validates names that appear in headers, tables and logs.
  */
 final class Names {
 
--- a/core/src/main/java/org/brasspier/core/Ran.java
+++ b/core/src/main/java/org/brasspier/core/Ran.java
@@ -1,17 +1,17 @@
 package org.brasspier.core;
 
 /**
- * What is known of a request when its answer is given.
+ * Whether a request was run, as far as is known when it is answered.
  */
 public enum Ran {
 
-	/** It certainly did not run and will not. */
+	/** It was not run and never will be. */
 	NOT_RUN,
 
-	/** It ran. */
+	/** It was run. */
 	RAN,
 
-	/** It may have run. */
+	/** It may or may not have been run. */
 	UNKNOWN
 
 }
--- a/core/src/main/java/org/brasspier/core/RequestClass.java
+++ b/core/src/main/java/org/brasspier/core/RequestClass.java
@@ -1,18 +1,19 @@
 package org.brasspier.core;
 
 /**
- * What a request is worth when not all can run at once, and whether it may run twice. The
- * order of the constants is the order in which waiting requests are taken.
+ * Priority class of a request, which also determines whether the request may run twice.
+ * Waiting requests are dequeued in the order of the constants. The ordinals are part of
+ * the wire format.
  */
 public enum RequestClass {
 
 	/**
-	 * A call of one service to another. Everything above it waits for it, so it is taken
-	 * first and has slots that no outer request may use.
+	 * A call from one service to another. Outer requests wait for such calls, so they are
+	 * dequeued first and have reserved slots that no outer request may use.
 	 */
 	INTERNAL(true),
 
-	/** A read that somebody waits for. Idempotent. */
+	/** An interactive read. Idempotent. */
 	LOOKUP(true),
 
 	/** A booking, completion or return instruction. Not idempotent. */
@@ -28,7 +29,7 @@
 	}
 
 	/**
-	 * Whether a second run of the same request does no harm.
+	 * Returns whether running the same request a second time is harmless.
 	 * @return false for postings
 	 */
 	public boolean isIdempotent() {
--- a/core/src/main/java/org/brasspier/core/RequestId.java
+++ b/core/src/main/java/org/brasspier/core/RequestId.java
@@ -3,8 +3,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The identity that a caller gives to one request and repeats on each resend of it.
- * Immutable and thread-safe.
+ * Identity that a caller assigns to a request and repeats on each retry of it. Immutable
+ * and thread-safe.
  *
  * @param value 1 to 128 visible ASCII characters
  */
@@ -13,7 +13,7 @@
 	private static final Pattern VALID = Pattern.compile("[\\x21-\\x7e]{1,128}");
 
 	/**
-	 * Checks the text.
+	 * Validates the text.
 	 * @throws IllegalArgumentException if the text is not a valid request id
 	 */
 	public RequestId {
--- a/core/src/main/java/org/brasspier/core/ServiceName.java
+++ b/core/src/main/java/org/brasspier/core/ServiceName.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The name of a service that operators describe and callers ask for. Immutable and
+ * Name of a service, as operators configure it and callers address it. Immutable and
  * thread-safe.
  *
  * @param value the text, of one to 64 characters from {@code a-z}, {@code A-Z},
@@ -12,7 +12,7 @@
 public record ServiceName(String value) implements Comparable<ServiceName> {
 
 	/**
-	 * Checks the text.
+	 * Validates the text.
 	 * @throws IllegalArgumentException if the text is not a valid name
 	 */
 	public ServiceName {
@@ -29,8 +29,8 @@
 		return this.value;
 	}
 
-	// Written out: generated ones go through method handles, which take milliseconds to
-	// set up in a process that has just started.
+	// Implemented by hand: the generated methods use method handles, which take
+	// milliseconds to set up in a process that has just started.
 	@Override
 	public boolean equals(@Nullable Object other) {
 		return other instanceof ServiceName that && this.value.equals(that.value);
--- a/core/src/main/java/org/brasspier/core/package-info.java
+++ b/core/src/main/java/org/brasspier/core/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Names, identifiers and the closed lists (errors, events, request classes) that every
- * other package speaks in. Nothing here performs input or output.
+ * Names, identifiers, errors and request classes that all other packages use. Nothing
+ * here performs input or output.
  */
 @NullMarked
 package org.brasspier.core;
--- a/core/src/test/java/org/brasspier/core/CoreBoundaryTests.java
+++ b/core/src/test/java/org/brasspier/core/CoreBoundaryTests.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Decisions perform no input or output and read no clock: time and randomness are passed
- * in, so that every decision can be repeated from its inputs.
+ * Checks that the core module performs no input or output and reads no clock: time and
+ * randomness are passed in, so that every decision can be reproduced from its inputs.
  */
 class CoreBoundaryTests {
 
@@ -16,7 +16,7 @@
 		.importPackages("org.brasspier.core");
 
 	@Test
-	void coreDoesNoInputOrOutput() {
+	void corePerformsNoInputOrOutput() {
 		ArchRuleDefinition.noClasses()
 			.should()
 			.dependOnClassesThat()
@@ -38,7 +38,7 @@
 	}
 
 	@Test
-	void coreStartsNoThread() {
+	void coreStartsNoThreads() {
 		ArchRuleDefinition.noClasses().should().dependOnClassesThat().areAssignableTo(Thread.class).check(this.core);
 	}
 
--- a/core/src/test/java/org/brasspier/core/ValueTypesTests.java
+++ b/core/src/test/java/org/brasspier/core/ValueTypesTests.java
@@ -15,8 +15,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Records whose equality is written out: a component that it leaves out would make two
- * values one.
+ * Checks records with a hand-written {@code equals}: if it omitted a component, two
+ * different values would be equal.
  */
 class ValueTypesTests {
 
@@ -24,19 +24,22 @@
 
 	private static final InstanceId TWO = new InstanceId("two");
 
-	private static final BackendIncarnation LIFE = new BackendIncarnation("server", 1);
+	private static final BackendIncarnation INCARNATION = new BackendIncarnation("server", 1);
 
 	private static final FailureDomain NEAR = new FailureDomain("near");
 
-	/** The first two are equal; each other differs from them in one component. */
+	/**
+	 * The first two values are equal; each of the others differs from them in one
+	 * component.
+	 */
 	private static Stream<List<Object>> values() {
 		return Stream.of(List.of(ONE, new InstanceId("one"), TWO),
 				List.of(new ServiceName("one"), new ServiceName("one"), new ServiceName("two")),
 				List.of(NEAR, new FailureDomain("near"), new FailureDomain("far")),
-				List.of(LIFE, new BackendIncarnation("server", 1), new BackendIncarnation("other", 1),
+				List.of(INCARNATION, new BackendIncarnation("server", 1), new BackendIncarnation("other", 1),
 						new BackendIncarnation("server", 2)),
-				List.of(new KeyHolder(ONE, LIFE), new KeyHolder(ONE, LIFE), new KeyHolder(TWO, LIFE),
-						new KeyHolder(ONE, new BackendIncarnation("server", 2))),
+				List.of(new KeyHolder(ONE, INCARNATION), new KeyHolder(ONE, INCARNATION),
+						new KeyHolder(TWO, INCARNATION), new KeyHolder(ONE, new BackendIncarnation("server", 2))),
 				List.of(new Deputy(ONE, 1), new Deputy(ONE, 1), new Deputy(TWO, 1), new Deputy(ONE, 2)),
 				List.of(new KeySpan(1, 3), new KeySpan(1, 3), new KeySpan(2, 3), new KeySpan(1, 4)),
 				List.of(new KnownRows(1, 2), new KnownRows(1, 2), new KnownRows(3, 2), new KnownRows(1, 3)),
@@ -48,7 +51,7 @@
 
 	@ParameterizedTest
 	@MethodSource("values")
-	void valuesAreEqualWhereAllTheirComponentsAre(List<Object> values) {
+	void valuesAreEqualOnlyIfAllComponentsAreEqual(List<Object> values) {
 		Object first = values.get(0);
 		assertThat(values.get(1)).isEqualTo(first);
 		assertThat(values.get(1).hashCode()).isEqualTo(first.hashCode());
