--- a/core/src/main/java/org/brasspier/core/document/ValueRule.java
+++ b/core/src/main/java/org/brasspier/core/document/ValueRule.java
@@ -7,42 +7,43 @@
 import java.util.stream.Collectors;
 
 /**
- * Which values a field allows. Immutable and thread-safe.
+ * Rule that the values of a field must satisfy. Immutable and thread-safe.
  */
 public sealed interface ValueRule {
 
 	/**
-	 * Checks a value as it's entered.
+	 * Checks a value.
 	 * @param value the value
-	 * @return whether the field allows it
+	 * @return true if the field allows it
 	 */
 	default boolean allows(String value) {
 		return switch (this) {
-			case Whole whole -> whole.holds(value);
+			case WholeNumber whole -> whole.holds(value);
 			case Decimal decimal -> decimal.holds(value);
 			case Choice choice -> choice.values().contains(value);
 			case Names names -> value.isEmpty() || Arrays.stream(value.split(",", -1)).allMatch(Text::isName);
-			case Shares shares -> value.isEmpty() || Entry.list(value)
+			case Shares shares -> value.isEmpty() || Entry.parseList(value)
 				.filter((entries) -> entries.stream().allMatch((entry) -> shares.share().holds(entry.value())))
 				.isPresent();
-			case Pairs pairs -> value.isEmpty() || Entry.list(value)
+			case Pairs pairs -> value.isEmpty() || Entry.parseList(value)
 				.filter((entries) -> entries.stream().allMatch((entry) -> Text.isName(entry.value())))
 				.isPresent();
 		};
 	}
 
 	/**
-	 * The allowed values in words.
-	 * @return the text for forms and faults
+	 * Describes the allowed values.
+	 * @return the description for forms and error messages
 	 */
-	default String allowed() {
+	default String description() {
 		return switch (this) {
-			case Whole whole -> "a whole number from %d to %d".formatted(whole.min(), whole.max());
+			case WholeNumber whole -> "a whole number from %d to %d".formatted(whole.min(), whole.max());
 			case Decimal decimal -> "a number from %s to %s".formatted(decimal.min(), decimal.max());
 			case Choice choice -> String.join(" or ", choice.values());
-			case Names names -> "names by comma, or nothing";
-			case Shares shares -> "NAME=N by comma, each N %s, or nothing".formatted(shares.share().allowed());
-			case Pairs pairs -> pairs.left() + "=" + pairs.right() + " by comma, or nothing";
+			case Names names -> "comma-separated names, or nothing";
+			case Shares shares ->
+				"comma-separated NAME=N, each N %s, or nothing".formatted(shares.share().description());
+			case Pairs pairs -> pairs.left() + "=" + pairs.right() + ", comma-separated, or nothing";
 		};
 	}
 
@@ -52,7 +53,7 @@
 	 * @param min the least
 	 * @param max the largest
 	 */
-	record Whole(long min, long max) implements ValueRule {
+	record WholeNumber(long min, long max) implements ValueRule {
 
 		boolean holds(String value) {
 			return value.matches("[0-9]{1,12}") && Long.parseLong(value) >= this.min
@@ -77,7 +78,7 @@
 	}
 
 	/**
-	 * One of a few words.
+	 * One of a fixed set of words.
 	 *
 	 * @param values the words
 	 */
@@ -94,33 +95,33 @@
 	}
 
 	/**
-	 * Names by comma.
+	 * A comma-separated list of names.
 	 */
 	record Names() implements ValueRule {
 
 	}
 
 	/**
-	 * A number for each of some names, as {@code NAME=N} by comma.
+	 * A number for each of several names, as a comma-separated list of {@code NAME=N}.
 	 *
-	 * @param share what each number may be
+	 * @param share the rule for each number
 	 */
-	record Shares(Whole share) implements ValueRule {
+	record Shares(WholeNumber share) implements ValueRule {
 
 	}
 
 	/**
-	 * A name for each of some names, as {@code NAME=NAME} by comma.
+	 * A name for each of several names, as a comma-separated list of {@code NAME=NAME}.
 	 *
-	 * @param left what stands before the sign, for forms
-	 * @param right what stands after it, for forms
+	 * @param left placeholder for the part before the equals sign, shown in forms
+	 * @param right placeholder for the part after the equals sign, shown in forms
 	 */
 	record Pairs(String left, String right) implements ValueRule {
 
 	}
 
 	/**
-	 * One {@code NAME=VALUE} of a list.
+	 * One {@code NAME=VALUE} entry of a list.
 	 *
 	 * @param name the name
 	 * @param value the value
@@ -128,11 +129,12 @@
 	record Entry(String name, String value) {
 
 		/**
-		 * Reads a list.
-		 * @param text {@code NAME=VALUE} by comma
-		 * @return the entries, or empty if the text is no such list or names one twice
+		 * Parses a list.
+		 * @param text comma-separated entries {@code NAME=VALUE}
+		 * @return the entries, or empty if the text is not a valid list or contains a
+		 * name twice
 		 */
-		static Optional<List<Entry>> list(String text) {
+		static Optional<List<Entry>> parseList(String text) {
 			if (text.isEmpty()) {
 				return Optional.of(List.of());
 			}
@@ -148,7 +150,7 @@
 	}
 
 	/**
-	 * The rule for names, the same as for services and instances.
+	 * The syntax of names, the same as for services and instances.
 	 */
 	final class Text {
 
--- a/core/src/main/java/org/brasspier/core/measure/ChurnMeter.java
+++ b/core/src/main/java/org/brasspier/core/measure/ChurnMeter.java
@@ -11,33 +11,33 @@
 import org.brasspier.core.ServiceName;
 
 /**
- * Counts the points that change their owner from one view of a cell to the next. Points
- * without owner keep their last one in memory, so a loss counts once, when another
- * instance takes over. Not thread-safe.
+ * Counts the points whose owner changes between consecutive views of a cell. For points
+ * without an owner, the last owner is remembered, so that a loss counts once, when
+ * another instance takes over. Not thread-safe.
  */
 public final class ChurnMeter {
 
-	private final Map<ServiceName, TreeMap<Long, Owned>> last = new HashMap<>();
+	private final Map<ServiceName, TreeMap<Long, OwnedRange>> lastOwners = new HashMap<>();
 
 	/**
-	 * Takes the next view of a service.
+	 * Processes the next view of a service.
 	 * @param service the service
 	 * @param ranges its ranges, in order
-	 * @return how many points have another owner than the last one they had
+	 * @return the number of points whose owner differs from their last owner
 	 */
-	public long next(ServiceName service, List<Owned> ranges) {
-		TreeMap<Long, Owned> before = this.last.getOrDefault(service, new TreeMap<>());
-		TreeMap<Long, Owned> after = new TreeMap<>();
+	public long update(ServiceName service, List<OwnedRange> ranges) {
+		TreeMap<Long, OwnedRange> before = this.lastOwners.getOrDefault(service, new TreeMap<>());
+		TreeMap<Long, OwnedRange> after = new TreeMap<>();
 		long moved = 0;
-		for (Owned range : ranges) {
+		for (OwnedRange range : ranges) {
 			moved += moved(before, range);
 			remember(before, range, after);
 		}
-		this.last.put(service, after);
+		this.lastOwners.put(service, after);
 		return moved;
 	}
 
-	private static long moved(TreeMap<Long, Owned> before, Owned range) {
+	private static long moved(TreeMap<Long, OwnedRange> before, OwnedRange range) {
 		return (range.owner().isEmpty()) ? 0
 				: before.values()
 					.stream()
@@ -46,7 +46,7 @@
 					.sum();
 	}
 
-	private static void remember(TreeMap<Long, Owned> before, Owned range, TreeMap<Long, Owned> after) {
+	private static void remember(TreeMap<Long, OwnedRange> before, OwnedRange range, TreeMap<Long, OwnedRange> after) {
 		if (range.owner().isPresent()) {
 			after.put(range.range().low(), range);
 			return;
@@ -54,7 +54,7 @@
 		before.values()
 			.stream()
 			.filter((earlier) -> overlap(earlier.range(), range.range()) > 0)
-			.map((earlier) -> new Owned(new KeyRange(Math.max(earlier.range().low(), range.range().low()),
+			.map((earlier) -> new OwnedRange(new KeyRange(Math.max(earlier.range().low(), range.range().low()),
 					Math.min(earlier.range().high(), range.range().high())), earlier.owner()))
 			.forEach((part) -> after.put(part.range().low(), part));
 	}
@@ -66,10 +66,10 @@
 	/**
 	 * A range with its owner.
 	 *
-	 * @param range the points
-	 * @param owner who owns them, if anybody does
+	 * @param range the range
+	 * @param owner the owner, or empty if there is none
 	 */
-	public record Owned(KeyRange range, Optional<InstanceId> owner) {
+	public record OwnedRange(KeyRange range, Optional<InstanceId> owner) {
 
 	}
 
--- a/core/src/main/java/org/brasspier/core/retry/RetryPolicy.java
+++ b/core/src/main/java/org/brasspier/core/retry/RetryPolicy.java
@@ -55,7 +55,7 @@
 	 * @return true if it must be retried now
 	 */
 	public boolean mayRetry(RequestClass requestClass, Ran ran, Duration remaining) {
-		boolean safeToRepeat = ran == Ran.NOT_RUN || requestClass.idempotent() && ran == Ran.UNKNOWN;
+		boolean safeToRepeat = ran == Ran.NOT_RUN || requestClass.isIdempotent() && ran == Ran.UNKNOWN;
 		boolean inTime = remaining.compareTo(this.latencies.percentile(50)) > 0;
 		return safeToRepeat && inTime && !remaining.isZero();
 	}
@@ -69,7 +69,7 @@
 	 * @return the delay after the first copy; empty if there must be no second one
 	 */
 	public Optional<Duration> hedgeDelay(RequestClass requestClass, Duration remaining) {
-		if (!requestClass.idempotent() || requestClass == RequestClass.AUDIT
+		if (!requestClass.isIdempotent() || requestClass == RequestClass.AUDIT
 				|| this.latencies.count() < MIN_OBSERVATIONS) {
 			return Optional.empty();
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestRouter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestRouter.java
@@ -188,7 +188,7 @@
 		// loop.
 		private boolean shouldRedirect(Outcome.Owner sentTo, Outcome.Failed failed) {
 			return failed.failure().kind() == ErrorKind.NOT_OWNER && !this.redirected
-					&& failed.owner().filter((owner) -> sentTo.fence().olderThan(owner.fence())).isPresent();
+					&& failed.owner().filter((owner) -> sentTo.fence().isOlderThan(owner.fence())).isPresent();
 		}
 
 		private static boolean mayFindAnotherOwner(Outcome.Failed failed) {
@@ -202,7 +202,7 @@
 		// with the same id and ticket: the owner remembers whether it ran.
 		private boolean mayRetry(Outcome.Failed failed) {
 			boolean lost = failed.failure().kind() == ErrorKind.OUTCOME_UNKNOWN;
-			boolean harmless = this.request.requestClass().idempotent() || !failed.backendLost();
+			boolean harmless = this.request.requestClass().isIdempotent() || !failed.backendLost();
 			return lost && harmless && !this.retried;
 		}
 
