--- a/bench/src/main/java/org/brasspier/bench/capacity/FrameSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/FrameSlopes.java
@@ -42,7 +42,7 @@
 	private static ForwardMessage passed(ForwardMessage message) {
 		try {
 			return ForwardCodec
-				.decode(new FrameDecoder(MAX_FRAME_BYTES).accept(ForwardCodec.encode(message, STAMP)).getFirst())
+				.decode(new FrameDecoder(MAX_FRAME_BYTES).decode(ForwardCodec.encode(message, STAMP)).getFirst())
 				.message();
 		}
 		catch (WireException ex) {
--- a/bench/src/main/java/org/brasspier/bench/capacity/SimulatedCell.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/SimulatedCell.java
@@ -281,7 +281,7 @@
 
 	private static ControlMessage decode(byte[] frame) {
 		try {
-			FrameReader reader = new FrameDecoder(ControlCodec.MAX_FRAME_BYTES).accept(frame).getFirst();
+			FrameReader reader = new FrameDecoder(ControlCodec.MAX_FRAME_BYTES).decode(frame).getFirst();
 			ControlCodec.stamp(reader);
 			return ControlCodec.decode(reader);
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/Submitter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/Submitter.java
@@ -88,7 +88,7 @@
 				DocumentCodec.hash(bytes));
 		DocumentPointer pointer = new DocumentPointer(next.version(), entry.hash(),
 				Stream.concat(Stream.of(entry), row.stream().flatMap((found) -> found.pointer().recent().stream()))
-					.limit(DocumentPointer.KEPT)
+					.limit(DocumentPointer.MAX_RECENT)
 					.toList());
 		Attempt attempt = new Attempt(submission, row.map(DocumentStore.PointerRow::rowVersion).orElse(0L), pointer,
 				bytes, next, System.nanoTime() + SETTLE_WITHIN.toNanos());
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopCodec.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopCodec.java
@@ -170,7 +170,7 @@
 	}
 
 	static HopMessage decode(FrameReader frame) throws WireException {
-		int type = frame.small();
+		int type = frame.integer();
 		return (type == COMPRESSED) ? decode(frame.compressed(HopLink.MAX_FRAME_BYTES)) : decode(type, frame);
 	}
 
@@ -191,7 +191,7 @@
 			case ROWS_TOLD -> told(frame);
 			case ROWS_FOLLOWED -> new HopMessage.FollowRequest(known(frame), frame.flag());
 			case ROWS_PASSED -> new HopMessage.RowChanges(known(frame), known(frame), frame.flag(), told(frame));
-			case LEASES_ASKED -> new HopMessage.LeasesRequest(frame.number(), frame.small());
+			case LEASES_ASKED -> new HopMessage.LeasesRequest(frame.number(), frame.integer());
 			case LEASES_TOLD -> leasesTold(frame);
 			case CRASHES_TOLD -> new HopMessage.CrashUpdate(instance(frame), crashes(frame));
 			case PING -> new HopMessage.Ping(takesPieces(frame));
@@ -204,7 +204,7 @@
 
 	// Daemons of an earlier build don't say so.
 	private static boolean takesPieces(FrameReader frame) throws WireException {
-		return frame.more() && frame.flag();
+		return frame.hasMore() && frame.flag();
 	}
 
 	private static FrameWriter known(FrameWriter frame, KnownRows rows) {
@@ -298,8 +298,8 @@
 		try {
 			InstanceId instance = new InstanceId(frame.text());
 			double capacity = frame.number() / MILLI;
-			return new HolderLoad(instance, capacity,
-					frame.list((each) -> new KeyLoad(new KeySpan(each.small(), each.small()), each.number() / MILLI)));
+			return new HolderLoad(instance, capacity, frame
+				.list((each) -> new KeyLoad(new KeySpan(each.integer(), each.integer()), each.number() / MILLI)));
 		}
 		catch (IllegalArgumentException ex) {
 			throw new WireException("a load of another daemon makes no sense", ex);
@@ -310,20 +310,20 @@
 		try {
 			ServiceName service = new ServiceName(frame.text());
 			ServiceName caller = new ServiceName(frame.text());
-			RequestClass requestClass = RequestClass.values()[frame.small()];
+			RequestClass requestClass = RequestClass.values()[frame.integer()];
 			boolean idempotent = frame.flag();
 			boolean overdue = frame.flag();
 			String id = frame.text();
 			String host = frame.text();
 			String method = frame.text();
 			String target = frame.text();
-			int remaining = frame.small();
-			int key = frame.small();
+			int remaining = frame.integer();
+			int key = frame.integer();
 			OptionalInt about = (key == NO_KEY) ? OptionalInt.empty() : OptionalInt.of(key);
 			List<HeaderField> headers = frame.list(HopCodec::header);
 			byte[] body = frame.bytes();
 			// Daemons of an earlier build don't say whether it may wait: it always may.
-			boolean mayWait = !frame.more() || frame.flag();
+			boolean mayWait = !frame.hasMore() || frame.flag();
 			return new HopRequest(service, caller, requestClass, idempotent, overdue, mayWait,
 					new MeshRequest(id, host, method, target, headers, body, remaining, about));
 		}
@@ -337,7 +337,7 @@
 	}
 
 	private static SendOutcome answered(FrameReader frame) throws WireException {
-		int status = frame.small();
+		int status = frame.integer();
 		List<HeaderField> headers = frame.list(HopCodec::header);
 		return new SendOutcome.Answered(new Answer(status, headers, frame.bytes()));
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopServer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopServer.java
@@ -152,7 +152,7 @@
 
 		private void receive(FrameReader frame) throws WireException {
 			switch (HopCodec.decode(frame)) {
-				case HopMessage.ForwardedRequest asked when frame.inPieces() -> runLarge(asked);
+				case HopMessage.ForwardedRequest asked when frame.isInPieces() -> runLarge(asked);
 				case HopMessage.ForwardedRequest asked -> run(asked.exchange(), heldUpNanos(asked), asked.request());
 				case HopMessage.Cancel(long exchange) -> cancel(exchange);
 				case HopMessage.Ping(boolean takesPieces) -> pinged(takesPieces);
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerCalls.java
@@ -56,14 +56,14 @@
 		SharedKeys keys = this.context.secrets().sharedKeys();
 		String nonce = request.getHeader(NONCE);
 		String proof = request.getHeader(PROOF);
-		if (nonce == null || proof == null || !PeerProof.asked(keys, request.getPathAndQuery(), nonce, proof)) {
+		if (nonce == null || proof == null || !PeerProof.verifyRequest(keys, request.getPathAndQuery(), nonce, proof)) {
 			this.context.events().record(EventKind.PEER_REFUSED, request.getPath(), "without the shared key's proof");
 			return Promise.of(Answers.failed(Failure.of(ErrorKind.UNAUTHORIZED,
 					"this call needs the shared key's proof (see TROUBLESHOOTING.md#shared-key)")));
 		}
 		byte[] body = answer.get();
 		return HttpResponse.ok200()
-			.withHeader(PROOF, PeerProof.answer(keys, nonce, body))
+			.withHeader(PROOF, PeerProof.proveResponse(keys, nonce, body))
 			.withBody(body)
 			.withBodyGzipCompression()
 			.toPromise();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerClient.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerClient.java
@@ -84,7 +84,7 @@
 		String nonce = PeerProof.nonce();
 		HttpRequest request = HttpRequest.get("http://%s:%d%s".formatted(address.host(), address.operatorPort(), path))
 			.withHeader(PeerCalls.NONCE, nonce)
-			.withHeader(PeerCalls.PROOF, PeerProof.ask(keys, path, nonce))
+			.withHeader(PeerCalls.PROOF, PeerProof.proveRequest(keys, path, nonce))
 			.withHeader(HttpHeaders.ACCEPT_ENCODING, "gzip")
 			.build();
 		return this.http.request(request)
@@ -95,7 +95,8 @@
 
 	private static Promise<byte[]> checked(SharedKeys keys, String nonce, HttpResponse response, byte[] body) {
 		String proof = response.getHeader(PeerCalls.PROOF);
-		boolean proved = response.getCode() == 200 && proof != null && PeerProof.answered(keys, nonce, body, proof);
+		boolean proved = response.getCode() == 200 && proof != null
+				&& PeerProof.verifyResponse(keys, nonce, body, proof);
 		return (proved) ? Promise.of(body)
 				: Promise.ofException(new IOException("peer answered status %d".formatted(response.getCode())));
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/PeerLinks.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/PeerLinks.java
@@ -23,8 +23,8 @@
 import org.brasspier.daemon.internal.DaemonContext;
 import org.brasspier.daemon.internal.peer.PeerConnection;
 import org.brasspier.wire.ControlCodec;
-import org.brasspier.wire.EarlierVersion;
 import org.brasspier.wire.Handshake;
+import org.brasspier.wire.MessageDowngrade;
 import org.brasspier.wire.WireException;
 
 /**
@@ -176,7 +176,7 @@
 		// answer and its heartbeat, leaves in one segment: the headers of each are more
 		// than a frame.
 		private void write(ControlMessage message, int version) {
-			EarlierVersion.of(message, version, PeerLinks.this.known.get())
+			MessageDowngrade.forVersion(message, version, PeerLinks.this.known.get())
 				.map((known) -> ControlCodec.encode(known, PeerLinks.this.context.events().stamp()))
 				.ifPresent(this::write);
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/peer/PeerConnection.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/peer/PeerConnection.java
@@ -101,7 +101,7 @@
 	 */
 	public static PeerConnection unproven(ITcpSocket socket, int maxFrameBytes, FrameHandler handler) {
 		PeerConnection connection = new PeerConnection(socket, maxFrameBytes);
-		connection.decoder.limit(maxFrameBytes);
+		connection.decoder.setMaxFrameBytes(maxFrameBytes);
 		connection.handler = handler;
 		connection.read();
 		return connection;
@@ -113,7 +113,7 @@
 	}
 
 	private void open(SettablePromise<Opened> opened, Handshake.Peer peer) {
-		this.decoder.limit(this.maxFrameBytes);
+		this.decoder.setMaxFrameBytes(this.maxFrameBytes);
 		opened.trySet(new Opened(this, peer));
 	}
 
@@ -134,7 +134,7 @@
 	private void take(byte[] bytes) {
 		this.receivedNanos = System.nanoTime();
 		try {
-			for (FrameReader frame : this.decoder.accept(bytes)) {
+			for (FrameReader frame : this.decoder.decode(bytes)) {
 				this.handler.handle(frame);
 			}
 			if (!this.socket.isClosed()) {
--- a/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopCodecTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/mesh/HopCodecTests.java
@@ -33,7 +33,7 @@
 	}
 
 	private static boolean mayWait(byte[] frame) throws WireException {
-		HopMessage message = HopCodec.decode(new FrameDecoder(1000).accept(frame).getFirst());
+		HopMessage message = HopCodec.decode(new FrameDecoder(1000).decode(frame).getFirst());
 		return ((HopMessage.ForwardedRequest) message).request().mayQueue();
 	}
 
@@ -54,7 +54,7 @@
 	}
 
 	private static HopMessage read(byte[] frame) throws WireException {
-		return HopCodec.decode(new FrameDecoder(100_000).accept(frame).getFirst());
+		return HopCodec.decode(new FrameDecoder(100_000).decode(frame).getFirst());
 	}
 
 	@Test
--- a/wire/src/main/java/org/brasspier/wire/ControlCodec.java
+++ b/wire/src/main/java/org/brasspier/wire/ControlCodec.java
@@ -150,25 +150,25 @@
 	 */
 	public static ControlMessage decode(FrameReader in) throws WireException {
 		try {
-			int type = in.small();
+			int type = in.integer();
 			return switch (type) {
-				case HEARTBEAT -> new ControlMessage.Heartbeat(in.small(), in.number(), in.number(), in.number(),
+				case HEARTBEAT -> new ControlMessage.Heartbeat(in.integer(), in.number(), in.number(), in.number(),
 						in.number(), in.number());
-				case RENEWAL -> new ControlMessage.Renewal(in.small(), in.number(), in.number(), in.number(),
+				case RENEWAL -> new ControlMessage.Renewal(in.integer(), in.number(), in.number(), in.number(),
 						in.number(), in.number());
-				case BEAT -> new ControlMessage.Beat(in.small(), in.number(), in.number(), in.number(),
+				case BEAT -> new ControlMessage.Beat(in.integer(), in.number(), in.number(), in.number(),
 						in.list(ControlCodec::readKey));
-				case BEAT_ANSWER -> new ControlMessage.BeatAnswer(in.small(), in.number(), in.number(), in.flag(),
+				case BEAT_ANSWER -> new ControlMessage.BeatAnswer(in.integer(), in.number(), in.number(), in.flag(),
 						in.number(), in.list((frame) -> new ControlMessage.Promised(readKey(frame), frame.number())));
 				case ROW_UPDATE -> new ControlMessage.RowUpdate(new VersionedRow(in.number(), RowFrames.read(in)));
 				case ROW_DIFFERENCE -> new ControlMessage.RowDifference(RowFrames.readDelta(in));
 				case ROW_REQUEST -> new ControlMessage.RowRequest(in.number());
 				case ANNOUNCE -> new ControlMessage.Announce(RowFrames.readMember(in));
 				case RELEASE -> new ControlMessage.Release(in.list(ControlCodec::readHeld));
-				case RELEASED -> new ControlMessage.Released(in.small(), in.list(ControlCodec::readReleased));
+				case RELEASED -> new ControlMessage.Released(in.integer(), in.list(ControlCodec::readReleased));
 				case LOADS -> new ControlMessage.Loads(new ServiceName(in.text()), in.list(ControlCodec::readLoad));
 				case PROBE -> new ControlMessage.Probe();
-				case PROBE_ANSWER -> new ControlMessage.ProbeAnswer(in.small(), in.number(), in.number());
+				case PROBE_ANSWER -> new ControlMessage.ProbeAnswer(in.integer(), in.number(), in.number());
 				case ORDER_SENT -> new ControlMessage.OrderSent(in.number(), readOrder(in));
 				case ORDER_ANSWER -> new ControlMessage.OrderAnswer(in.number(), in.flag(), in.text());
 				default -> throw new WireException("control frame type %d is unknown".formatted(type));
@@ -184,7 +184,7 @@
 	}
 
 	private static MemberKey readKey(FrameReader in) throws WireException {
-		return new MemberKey(new InstanceId(in.text()), in.small());
+		return new MemberKey(new InstanceId(in.text()), in.integer());
 	}
 
 	private static FrameWriter writeHeld(FrameWriter out, HeldRange held) {
@@ -237,7 +237,7 @@
 	}
 
 	private static ControlMessage.Order readOrder(FrameReader in) throws WireException {
-		int type = in.small();
+		int type = in.integer();
 		return switch (type) {
 			case ORDER_DRAIN -> new ControlMessage.Order.Drain(new InstanceId(in.text()), in.flag());
 			case ORDER_MOVE -> new ControlMessage.Order.Move(new ServiceName(in.text()),
--- a/wire/src/main/java/org/brasspier/wire/ForwardCodec.java
+++ b/wire/src/main/java/org/brasspier/wire/ForwardCodec.java
@@ -93,13 +93,13 @@
 
 	private static ForwardMessage read(FrameReader frame) throws WireException {
 		try {
-			int type = frame.small();
+			int type = frame.integer();
 			long exchange = frame.number();
 			return switch (type) {
 				case FORWARD -> new ForwardMessage.Forward(exchange, readRequest(frame));
-				case ANSWERED ->
-					new ForwardMessage.Answered(exchange, new Answer(frame.small(), readHeaders(frame), frame.bytes()),
-							new Fence(frame.number()), frame.text());
+				case ANSWERED -> new ForwardMessage.Answered(exchange,
+						new Answer(frame.integer(), readHeaders(frame), frame.bytes()), new Fence(frame.number()),
+						frame.text());
 				case FAILED -> readFailed(exchange, frame);
 				case EXECUTE -> readExecute(exchange, frame);
 				case PING -> new ForwardMessage.Ping(exchange);
@@ -139,9 +139,9 @@
 		Optional<String> key = Optional.of(in.text()).filter((text) -> hasKey);
 		RequestIdentity identity = new RequestIdentity(new RequestId(in.text()), in.flag(), in.flag(),
 				Optional.of(in.text()).filter((text) -> !text.isEmpty()));
-		RequestClass requestClass = requestClass(in.small());
+		RequestClass requestClass = requestClass(in.integer());
 		CallerId caller = new CallerId(in.text());
-		int remainingMillis = in.small();
+		int remainingMillis = in.integer();
 		CallerRequest.Target target = new CallerRequest.Target(in.text(), in.text());
 		return new CallerRequest(service, key, byKey, identity, requestClass, caller, remainingMillis, target,
 				readHeaders(in), in.bytes());
@@ -149,12 +149,12 @@
 
 	private static ForwardMessage readExecute(long exchange, FrameReader in) throws WireException {
 		return new ForwardMessage.Execute(exchange, readRequest(in), new KeyRange(in.number(), in.number()),
-				new Fence(in.number()), in.small(), readSent(in));
+				new Fence(in.number()), in.integer(), readSent(in));
 	}
 
 	// Daemons of earlier builds don't tell the time of sending.
 	private static OptionalLong readSent(FrameReader in) throws WireException {
-		return in.more() ? OptionalLong.of(in.number()) : OptionalLong.empty();
+		return in.hasMore() ? OptionalLong.of(in.number()) : OptionalLong.empty();
 	}
 
 	private static void writeFailed(FrameWriter out, ForwardMessage.Failed message) {
--- a/wire/src/main/java/org/brasspier/wire/FrameDecoder.java
+++ b/wire/src/main/java/org/brasspier/wire/FrameDecoder.java
@@ -36,7 +36,7 @@
 	 * Sets another limit for the frames to come, once the peer has proved itself.
 	 * @param maxFrameBytes the largest payload accepted from now on, in bytes
 	 */
-	public void limit(int maxFrameBytes) {
+	public void setMaxFrameBytes(int maxFrameBytes) {
 		this.maxFrameBytes = maxFrameBytes;
 	}
 
@@ -46,7 +46,7 @@
 	 * @return the frames that are now whole
 	 * @throws WireException if a frame is empty or too large
 	 */
-	public List<FrameReader> accept(byte[] bytes) throws WireException {
+	public List<FrameReader> decode(byte[] bytes) throws WireException {
 		byte[] all = join(this.pending, bytes);
 		List<FrameReader> frames = new ArrayList<>();
 		int position = 0;
@@ -57,7 +57,7 @@
 			}
 			int begin = position + LENGTH_BYTES;
 			position = begin + length;
-			if (all[begin] == FramePieces.MARK) {
+			if (all[begin] == FramePieces.MARKER) {
 				piece(all, begin, position).ifPresent(frames::add);
 			}
 			else {
@@ -69,11 +69,11 @@
 	}
 
 	private Optional<FrameReader> piece(byte[] bytes, int begin, int end) throws WireException {
-		int carried = end - begin - FramePieces.HEAD_BYTES;
+		int carried = end - begin - FramePieces.HEADER_BYTES;
 		if (carried < 0 || this.pieces.size() + carried > this.maxFrameBytes) {
 			throw new WireException("a frame in pieces is cut short or larger than %d".formatted(this.maxFrameBytes));
 		}
-		this.pieces.write(bytes, begin + FramePieces.HEAD_BYTES, carried);
+		this.pieces.write(bytes, begin + FramePieces.HEADER_BYTES, carried);
 		if (bytes[begin + 1] != FramePieces.LAST) {
 			return Optional.empty();
 		}
--- a/wire/src/main/java/org/brasspier/wire/FramePieces.java
+++ b/wire/src/main/java/org/brasspier/wire/FramePieces.java
@@ -11,14 +11,14 @@
 public final class FramePieces implements Iterator<byte[]> {
 
 	/** Begins the payload of a piece; MessagePack never uses this byte. */
-	static final byte MARK = (byte) 0xc1;
+	static final byte MARKER = (byte) 0xc1;
 
 	static final byte LAST = 1;
 
 	static final byte MORE = 0;
 
 	/** The mark and whether it is the last piece. */
-	static final int HEAD_BYTES = 2;
+	static final int HEADER_BYTES = 2;
 
 	private static final int LENGTH_BYTES = Integer.BYTES;
 
@@ -77,13 +77,13 @@
 			throw new NoSuchElementException("the last piece was taken");
 		}
 		int carried = Math.min(this.pieceBytes, this.frame.length - this.position);
-		int length = HEAD_BYTES + carried;
+		int length = HEADER_BYTES + carried;
 		byte[] piece = new byte[LENGTH_BYTES + length];
 		for (int i = 0; i < LENGTH_BYTES; i++) {
 			piece[i] = (byte) (length >>> Byte.SIZE * (LENGTH_BYTES - 1 - i));
 		}
-		piece[LENGTH_BYTES] = MARK;
-		System.arraycopy(this.frame, this.position, piece, LENGTH_BYTES + HEAD_BYTES, carried);
+		piece[LENGTH_BYTES] = MARKER;
+		System.arraycopy(this.frame, this.position, piece, LENGTH_BYTES + HEADER_BYTES, carried);
 		this.position += carried;
 		piece[LENGTH_BYTES + 1] = hasNext() ? MORE : LAST;
 		return piece;
--- a/wire/src/main/java/org/brasspier/wire/FrameReader.java
+++ b/wire/src/main/java/org/brasspier/wire/FrameReader.java
@@ -34,7 +34,7 @@
 	 * the last.
 	 * @return false if it came as a whole
 	 */
-	public boolean inPieces() {
+	public boolean isInPieces() {
 		return this.inPieces;
 	}
 
@@ -52,7 +52,7 @@
 	 * @return the number
 	 * @throws WireException if the next field is something else
 	 */
-	public int small() throws WireException {
+	public int integer() throws WireException {
 		return read(MessageUnpacker::unpackInt);
 	}
 
@@ -79,7 +79,7 @@
 	 * @return false at the end of the frame
 	 * @throws WireException if the frame is damaged
 	 */
-	public boolean more() throws WireException {
+	public boolean hasMore() throws WireException {
 		return read(MessageUnpacker::hasNext);
 	}
 
--- a/wire/src/main/java/org/brasspier/wire/Handshake.java
+++ b/wire/src/main/java/org/brasspier/wire/Handshake.java
@@ -70,8 +70,8 @@
 	 * @throws WireException if the challenge is malformed or no version is common
 	 */
 	public byte[] answer(FrameReader challenge) throws WireException {
-		int lowest = challenge.small();
-		int highest = challenge.small();
+		int lowest = challenge.integer();
+		int highest = challenge.integer();
 		byte[] theirs = challenge.bytes();
 		this.version = Math.min(highest, this.maxVersion);
 		if (this.version < Math.max(lowest, MIN_VERSION)) {
@@ -92,7 +92,7 @@
 	 * @throws WireException if the proof is wrong or the frame malformed
 	 */
 	public Accepted accept(FrameReader answer) throws WireException {
-		int version = answer.small();
+		int version = answer.integer();
 		InstanceId peer = instance(answer);
 		byte[] theirs = answer.bytes();
 		List<byte[]> proofs = proofs(answer);
@@ -127,7 +127,7 @@
 
 	private static List<byte[]> proofs(FrameReader answer) throws WireException {
 		List<byte[]> proofs = new ArrayList<>(List.of(answer.bytes()));
-		while (answer.more()) {
+		while (answer.hasMore()) {
 			if (proofs.size() == SharedKeys.MAX_KEYS) {
 				throw new WireException("a peer sent more than %d proofs".formatted(SharedKeys.MAX_KEYS));
 			}
--- a/wire/src/main/java/org/brasspier/wire/EarlierVersion.java
+++ b/wire/src/main/java/org/brasspier/wire/MessageDowngrade.java
@@ -11,12 +11,12 @@
  * message it doesn't know closes the connection, heartbeats and all. Stateless and
  * thread-safe.
  */
-public final class EarlierVersion {
+public final class MessageDowngrade {
 
 	/** From this version on, rows travel as differences. */
-	public static final int ROW_DIFFERENCES = 2;
+	public static final int ROW_DELTA_VERSION = 2;
 
-	private EarlierVersion() {
+	private MessageDowngrade() {
 	}
 
 	/**
@@ -26,8 +26,8 @@
 	 * @param known the newest row that this daemon knows; it was certainly written
 	 * @return empty if the peer has no use for the message
 	 */
-	public static Optional<ControlMessage> of(ControlMessage message, int version, VersionedRow known) {
-		if (version >= ROW_DIFFERENCES) {
+	public static Optional<ControlMessage> forVersion(ControlMessage message, int version, VersionedRow known) {
+		if (version >= ROW_DELTA_VERSION) {
 			return Optional.of(message);
 		}
 		return switch (message) {
--- a/wire/src/main/java/org/brasspier/wire/PeerProof.java
+++ b/wire/src/main/java/org/brasspier/wire/PeerProof.java
@@ -39,7 +39,7 @@
 	 * @param nonce the question's random number
 	 * @return a proof by each key, in hexadecimal, by comma
 	 */
-	public static String ask(SharedKeys keys, String path, String nonce) {
+	public static String proveRequest(SharedKeys keys, String path, String nonce) {
 		return proofs(keys, question(path, nonce));
 	}
 
@@ -51,7 +51,7 @@
 	 * @param proof the proof that came with it
 	 * @return whether the asker knows a shared key
 	 */
-	public static boolean asked(SharedKeys keys, String path, String nonce, String proof) {
+	public static boolean verifyRequest(SharedKeys keys, String path, String nonce, String proof) {
 		return holds(keys, question(path, nonce), proof);
 	}
 
@@ -62,7 +62,7 @@
 	 * @param body the answer
 	 * @return a proof by each key, in hexadecimal, by comma
 	 */
-	public static String answer(SharedKeys keys, String nonce, byte[] body) {
+	public static String proveResponse(SharedKeys keys, String nonce, byte[] body) {
 		return proofs(keys, reply(nonce, body));
 	}
 
@@ -74,7 +74,7 @@
 	 * @param proof the proof that came with it
 	 * @return whether the answerer knows a shared key
 	 */
-	public static boolean answered(SharedKeys keys, String nonce, byte[] body, String proof) {
+	public static boolean verifyResponse(SharedKeys keys, String nonce, byte[] body, String proof) {
 		return holds(keys, reply(nonce, body), proof);
 	}
 
--- a/wire/src/main/java/org/brasspier/wire/RowFrames.java
+++ b/wire/src/main/java/org/brasspier/wire/RowFrames.java
@@ -112,7 +112,7 @@
 	private static RangeState readRange(FrameReader in, ServiceName service, List<InstanceId> owners)
 			throws WireException {
 		KeyRange range = new KeyRange(in.number(), in.number());
-		int owner = in.small();
+		int owner = in.integer();
 		if (owner < 0 || owner > owners.size()) {
 			throw new WireException("owner %d of %d is unknown".formatted(owner, owners.size()));
 		}
@@ -128,7 +128,7 @@
 	}
 
 	static List<CrashMark> readMarks(FrameReader in) throws WireException {
-		return in.list((frame) -> new CrashMark(frame.number(), frame.small()));
+		return in.list((frame) -> new CrashMark(frame.number(), frame.integer()));
 	}
 
 	private static void writePairs(FrameWriter out, List<ManagerPair> pairs) {
@@ -149,7 +149,7 @@
 	}
 
 	private static MemberKey readKey(FrameReader in) throws WireException {
-		return new MemberKey(new InstanceId(in.text()), in.small());
+		return new MemberKey(new InstanceId(in.text()), in.integer());
 	}
 
 	static void writeMember(FrameWriter out, MemberInfo member) {
@@ -174,8 +174,8 @@
 	static MemberInfo readMember(FrameReader in) throws WireException {
 		MemberKey key = readKey(in);
 		FailureDomain domain = new FailureDomain(in.text());
-		PeerAddress address = new PeerAddress(in.text(), in.small(), in.small(), in.small(), in.small());
-		MemberPhase phase = phase(in.small());
+		PeerAddress address = new PeerAddress(in.text(), in.integer(), in.integer(), in.integer(), in.integer());
+		MemberPhase phase = phase(in.integer());
 		Optional<MemberInfo.Backend> backend = in.list(RowFrames::readBackend).stream().findFirst();
 		return new MemberInfo(key, domain, address, phase, backend);
 	}
@@ -188,7 +188,7 @@
 	}
 
 	private static MemberInfo.Backend readBackend(FrameReader in) throws WireException {
-		return new MemberInfo.Backend(new ServiceName(in.text()), in.small(), in.flag(), in.small(), in.small());
+		return new MemberInfo.Backend(new ServiceName(in.text()), in.integer(), in.flag(), in.integer(), in.integer());
 	}
 
 }
--- a/wire/src/main/java/org/brasspier/wire/document/DocumentPointer.java
+++ b/wire/src/main/java/org/brasspier/wire/document/DocumentPointer.java
@@ -18,7 +18,7 @@
 	 * about 15 s apart at the size to come and settling gives up after a minute, so four
 	 * would do; sixteen leave room for bursts.
 	 */
-	public static final int KEPT = 16;
+	public static final int MAX_RECENT = 16;
 
 	/**
 	 * Checks and copies.
--- a/wire/src/test/java/org/brasspier/wire/FramePiecesTests.java
+++ b/wire/src/test/java/org/brasspier/wire/FramePiecesTests.java
@@ -37,16 +37,16 @@
 		FrameDecoder decoder = new FrameDecoder(200_000);
 		List<FrameReader> taken = new ArrayList<>();
 		for (byte[] piece : pieces(large(), 16_384)) {
-			taken.addAll(decoder.accept(small(1)));
-			taken.addAll(decoder.accept(piece));
+			taken.addAll(decoder.decode(small(1)));
+			taken.addAll(decoder.decode(piece));
 		}
 		assertThat(taken).hasSize(8);
 		assertThat(decoder.pendingBytes()).isEqualTo(0);
 		FrameReader last = taken.get(7);
-		assertThat(last.inPieces()).isTrue();
+		assertThat(last.isInPieces()).isTrue();
 		assertThat(last.number()).isEqualTo(7);
 		assertThat(last.bytes()).isEqualTo(LARGE);
-		assertThat(taken.get(6).inPieces()).isFalse();
+		assertThat(taken.get(6).isInPieces()).isFalse();
 		assertThat(taken.get(6).number()).isEqualTo(1);
 	}
 
@@ -56,7 +56,7 @@
 		FrameDecoder decoder = new FrameDecoder(50_000);
 		assertThrows(WireException.class, () -> {
 			for (byte[] piece : pieces(large(), 16_384)) {
-				decoder.accept(piece);
+				decoder.decode(piece);
 			}
 		});
 	}
@@ -64,7 +64,7 @@
 	@Test
 	void aPieceWithoutItsHeadIsRefused() {
 		assertThrows(WireException.class,
-				() -> new FrameDecoder(50_000).accept(new byte[] { 0, 0, 0, 1, FramePieces.MARK }));
+				() -> new FrameDecoder(50_000).decode(new byte[] { 0, 0, 0, 1, FramePieces.MARKER }));
 	}
 
 	@Test
@@ -80,7 +80,7 @@
 		Arrays.fill(text, (byte) 'x');
 		byte[] frame = new FrameWriter().compressed(new FrameWriter().bytes(text).frame()).frame();
 		assertThat(frame.length).isLessThan(1_000);
-		FrameReader reader = new FrameDecoder(100_000).accept(frame).get(0);
+		FrameReader reader = new FrameDecoder(100_000).decode(frame).get(0);
 		assertThat(reader.compressed(100_000).bytes()).isEqualTo(text);
 	}
 
@@ -88,14 +88,14 @@
 	@Test
 	void compressedFieldsAreHeldToALimit() throws WireException {
 		byte[] frame = new FrameWriter().compressed(new FrameWriter().bytes(new byte[60_000]).frame()).frame();
-		FrameReader reader = new FrameDecoder(100_000).accept(frame).get(0);
+		FrameReader reader = new FrameDecoder(100_000).decode(frame).get(0);
 		assertThrows(WireException.class, () -> reader.compressed(10_000));
 	}
 
 	@Test
 	void damagedFieldsAreRefused() throws WireException {
 		byte[] frame = new FrameWriter().bytes(new byte[] { 1, 2, 3 }).frame();
-		FrameReader reader = new FrameDecoder(100_000).accept(frame).get(0);
+		FrameReader reader = new FrameDecoder(100_000).decode(frame).get(0);
 		assertThrows(WireException.class, () -> reader.compressed(10_000));
 	}
 
--- a/wire/src/test/java/org/brasspier/wire/HandshakeTests.java
+++ b/wire/src/test/java/org/brasspier/wire/HandshakeTests.java
@@ -97,7 +97,7 @@
 	}
 
 	private static FrameReader frame(byte[] bytes) throws WireException {
-		return new FrameDecoder(1024).accept(bytes).getFirst();
+		return new FrameDecoder(1024).decode(bytes).getFirst();
 	}
 
 }
--- a/wire/src/test/java/org/brasspier/wire/EarlierVersionTests.java
+++ b/wire/src/test/java/org/brasspier/wire/MessageDowngradeTests.java
@@ -8,7 +8,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class EarlierVersionTests {
+class MessageDowngradeTests {
 
 	private static final VersionedRow BEFORE = new VersionedRow(4, CellRow.EMPTY);
 
@@ -18,21 +18,21 @@
 
 	@Test
 	void aPeerOfThisVersionIsToldTheDifference() {
-		assertThat(EarlierVersion.of(DIFFERENCE, Handshake.MAX_VERSION, KNOWN)).hasValue(DIFFERENCE);
+		assertThat(MessageDowngrade.forVersion(DIFFERENCE, Handshake.MAX_VERSION, KNOWN)).hasValue(DIFFERENCE);
 	}
 
 	// In a rolling replacement a daemon of the earlier version got a message that it did
 	// not know, closed the connection, and lost its lease.
 	@Test
 	void aPeerOfTheFirstVersionIsToldTheWholeRow() {
-		assertThat(EarlierVersion.of(DIFFERENCE, Handshake.MIN_VERSION, KNOWN))
+		assertThat(MessageDowngrade.forVersion(DIFFERENCE, Handshake.MIN_VERSION, KNOWN))
 			.hasValue(new ControlMessage.RowUpdate(KNOWN));
 	}
 
 	@Test
 	void whatBothVersionsKnowIsLeftAsItIs() {
 		ControlMessage probe = new ControlMessage.Probe();
-		assertThat(EarlierVersion.of(probe, Handshake.MIN_VERSION, KNOWN)).hasValue(probe);
+		assertThat(MessageDowngrade.forVersion(probe, Handshake.MIN_VERSION, KNOWN)).hasValue(probe);
 	}
 
 }
--- a/wire/src/test/java/org/brasspier/wire/PeerProofTests.java
+++ b/wire/src/test/java/org/brasspier/wire/PeerProofTests.java
@@ -20,28 +20,28 @@
 	@Test
 	void aQuestionIsProvedForItsPathAndRandomNumberOnly() {
 		String nonce = PeerProof.nonce();
-		String proof = PeerProof.ask(this.keys, "/peer/document", nonce);
-		assertThat(PeerProof.asked(this.keys, "/peer/document", nonce, proof)).isTrue();
-		assertThat(PeerProof.asked(this.keys, "/peer/measures", nonce, proof)).isFalse();
-		assertThat(PeerProof.asked(this.keys, "/peer/document", PeerProof.nonce(), proof)).isFalse();
-		assertThat(PeerProof.asked(this.others, "/peer/document", nonce, proof)).isFalse();
-		assertThat(PeerProof.asked(this.keys, "/peer/document", nonce, "no hexadecimal")).isFalse();
+		String proof = PeerProof.proveRequest(this.keys, "/peer/document", nonce);
+		assertThat(PeerProof.verifyRequest(this.keys, "/peer/document", nonce, proof)).isTrue();
+		assertThat(PeerProof.verifyRequest(this.keys, "/peer/measures", nonce, proof)).isFalse();
+		assertThat(PeerProof.verifyRequest(this.keys, "/peer/document", PeerProof.nonce(), proof)).isFalse();
+		assertThat(PeerProof.verifyRequest(this.others, "/peer/document", nonce, proof)).isFalse();
+		assertThat(PeerProof.verifyRequest(this.keys, "/peer/document", nonce, "no hexadecimal")).isFalse();
 	}
 
 	@Test
 	void anAnswerIsProvedForItsQuestionAndBodyOnly() {
 		String nonce = PeerProof.nonce();
-		String proof = PeerProof.answer(this.keys, nonce, this.body);
-		assertThat(PeerProof.answered(this.keys, nonce, this.body, proof)).isTrue();
-		assertThat(PeerProof.answered(this.keys, nonce, new byte[] { 1 }, proof)).isFalse();
-		assertThat(PeerProof.answered(this.keys, PeerProof.nonce(), this.body, proof)).isFalse();
+		String proof = PeerProof.proveResponse(this.keys, nonce, this.body);
+		assertThat(PeerProof.verifyResponse(this.keys, nonce, this.body, proof)).isTrue();
+		assertThat(PeerProof.verifyResponse(this.keys, nonce, new byte[] { 1 }, proof)).isFalse();
+		assertThat(PeerProof.verifyResponse(this.keys, PeerProof.nonce(), this.body, proof)).isFalse();
 	}
 
 	@Test
 	void duringARotationEachKeyIsAccepted() {
 		SharedKeys turned = new SharedKeys(List.of("a-new-shared-key-2", "an-old-shared-key-1"));
 		String nonce = PeerProof.nonce();
-		assertThat(PeerProof.asked(this.keys, "/", nonce, PeerProof.ask(turned, "/", nonce))).isTrue();
+		assertThat(PeerProof.verifyRequest(this.keys, "/", nonce, PeerProof.proveRequest(turned, "/", nonce))).isTrue();
 	}
 
 }
--- a/wire/src/test/java/org/brasspier/wire/RowDeltaTests.java
+++ b/wire/src/test/java/org/brasspier/wire/RowDeltaTests.java
@@ -94,7 +94,7 @@
 
 	private static ControlMessage decoded(ControlMessage message) throws WireException {
 		FrameReader frame = new FrameDecoder(ControlCodec.MAX_FRAME_BYTES)
-			.accept(ControlCodec.encode(message, new HybridTime(1)))
+			.decode(ControlCodec.encode(message, new HybridTime(1)))
 			.getFirst();
 		ControlCodec.stamp(frame);
 		return ControlCodec.decode(frame);
