--- a/wire/src/main/java/org/brasspier/wire/operator/CellAnswer.java
+++ b/wire/src/main/java/org/brasspier/wire/operator/CellAnswer.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What one daemon knows of its cell. Immutable and thread-safe.
+ * The state of a cell as one daemon knows it. Immutable and thread-safe.
  *
  * @param cell the cell
  * @param version the version of the cell's row
@@ -18,7 +18,7 @@
 		List<CellAnswer.Member> members, List<CellAnswer.Range> ranges, List<CellAnswer.Move> moves) {
 
 	/**
-	 * Checks and copies.
+	 * Checks the fields and copies collections.
 	 */
 	public CellAnswer {
 		members = List.copyOf(OperatorJson.present(members, "members"));
@@ -27,18 +27,18 @@
 	}
 
 	/**
-	 * An instance.
+	 * An instance of the cell.
 	 *
 	 * @param instance its identity
 	 * @param failureDomain its failure domain
 	 * @param service the service of its backend server, empty if it has none
-	 * @param phase what may be done with it
-	 * @param slots how many requests its backend server runs at once
-	 * @param checksFences whether its backend server refuses old fences
+	 * @param phase its phase, which determines whether it may own ranges
+	 * @param slots the number of requests that its backend server runs concurrently
+	 * @param checksFences whether its backend server rejects outdated fences
 	 * @param callers IP:PORT of its port for callers
 	 * @param operators IP:PORT of its port for operators
-	 * @param heardMillisAgo how long ago the answering daemon heard of it, in
-	 * milliseconds; -1 unless that daemon is a lease manager
+	 * @param heardMillisAgo the time since the answering daemon last received a message
+	 * from it, in milliseconds; -1 unless that daemon is a lease manager
 	 */
 	public record Member(String instance, String failureDomain, String service, String phase, int slots,
 			boolean checksFences, String callers, String operators, long heardMillisAgo) {
@@ -46,12 +46,12 @@
 	}
 
 	/**
-	 * A range.
+	 * A range of keys.
 	 *
 	 * @param service the service
 	 * @param range its points, {@code LOW-HIGH} in hexadecimal, both inclusive
-	 * @param owner who owns it, empty if nobody does
-	 * @param fence the fence of its last change of owner
+	 * @param owner its owner, empty if it has none
+	 * @param fence the fence of the last change of its owner
 	 */
 	public record Range(String service, String range, String owner, long fence) {
 
@@ -62,8 +62,8 @@
 	 *
 	 * @param service the service
 	 * @param range the range
-	 * @param to who gets it
-	 * @param released whether its owner has let go of it
+	 * @param to the new owner
+	 * @param released whether its owner has released it
 	 */
 	public record Move(String service, String range, String to, boolean released) {
 
--- a/wire/src/main/java/org/brasspier/wire/operator/ErrorAnswer.java
+++ b/wire/src/main/java/org/brasspier/wire/operator/ErrorAnswer.java
@@ -8,21 +8,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An error. Immutable and thread-safe.
+ * The answer to a failed request. Immutable and thread-safe.
  *
  * @param error its kind
- * @param ran whether what was asked took effect
- * @param detail one sentence for a person
- * @param retryAfterMillis when asking again makes sense, in milliseconds; 0 if at once or
- * never
- * @param faults what is wrong with the document
+ * @param ran whether the request took effect: {@code ran}, {@code not_run} or
+ * {@code unknown}
+ * @param detail one sentence for the operator
+ * @param retryAfterMillis the delay before a retry is useful, in milliseconds; 0 if a
+ * retry is useful at once or never
+ * @param faults the faults of the document
  * @param present the version in force, on conflicts
  */
 public record ErrorAnswer(ErrorKind error, String ran, String detail, long retryAfterMillis, List<Fault> faults,
 		@Nullable DocumentAnswer present) {
 
 	/**
-	 * Checks and copies.
+	 * Checks the fields and copies collections.
 	 */
 	public ErrorAnswer {
 		OperatorJson.present(error, "error");
@@ -30,7 +31,7 @@
 	}
 
 	/**
-	 * Renders a failure.
+	 * Creates the answer for a failure.
 	 * @param failure the failure
 	 * @return the message
 	 */
@@ -40,7 +41,7 @@
 	}
 
 	/**
-	 * This error where it's known better whether what was asked took effect.
+	 * Returns a copy with a more precise statement of whether the request took effect.
 	 * @param effect {@code ran}, {@code not_run} or {@code unknown}
 	 * @return the message
 	 */
@@ -49,8 +50,8 @@
 	}
 
 	/**
-	 * This error with the document's faults.
-	 * @param all the faults
+	 * Returns a copy with the faults of the document.
+	 * @param all all faults of the document
 	 * @return the message
 	 */
 	public ErrorAnswer withFaults(List<Fault> all) {
@@ -58,7 +59,7 @@
 	}
 
 	/**
-	 * This error with the version in force.
+	 * Returns a copy with the version in force.
 	 * @param version the version in force
 	 * @return the message
 	 */
--- a/wire/src/main/java/org/brasspier/wire/operator/FaultsAnswer.java
+++ b/wire/src/main/java/org/brasspier/wire/operator/FaultsAnswer.java
@@ -5,14 +5,14 @@
 import org.brasspier.core.document.Fault;
 
 /**
- * What keeps a document from taking effect. Immutable and thread-safe.
+ * The faults that prevent a document from taking effect. Immutable and thread-safe.
  *
- * @param faults all faults, empty if it may take effect
+ * @param faults all faults, empty if the document is valid
  */
 public record FaultsAnswer(List<Fault> faults) {
 
 	/**
-	 * Checks and copies.
+	 * Checks the fields and copies collections.
 	 */
 	public FaultsAnswer {
 		faults = List.copyOf(OperatorJson.present(faults, "faults"));
--- a/wire/src/main/java/org/brasspier/wire/operator/MinuteReports.java
+++ b/wire/src/main/java/org/brasspier/wire/operator/MinuteReports.java
@@ -7,22 +7,22 @@
 import org.brasspier.core.measure.MinuteReport;
 
 /**
- * What one daemon counted, for the lease manager that keeps the measures. Immutable and
- * thread-safe.
+ * The counts of one daemon, sent to the lease manager that stores the measures. Immutable
+ * and thread-safe.
  *
  * @param reports one entry for each minute and service
  */
 public record MinuteReports(List<MinuteReports.Entry> reports) {
 
 	/**
-	 * Checks and copies.
+	 * Checks the fields and copies collections.
 	 */
 	public MinuteReports {
 		reports = List.copyOf(OperatorJson.present(reports, "reports"));
 	}
 
 	/**
-	 * Renders reports.
+	 * Creates the message for reports.
 	 * @param reports the reports
 	 * @return the message
 	 */
@@ -35,7 +35,7 @@
 	}
 
 	/**
-	 * Reads the reports.
+	 * Converts the entries to reports.
 	 * @return the reports
 	 */
 	public List<MinuteReport> read() {
@@ -52,10 +52,10 @@
 	 * @param instance the instance
 	 * @param service the service
 	 * @param minute the minute, counted since 1970
-	 * @param requests how many requests
-	 * @param turnedAway how many were turned away
-	 * @param turnedAwaySeconds the seconds in which one was
-	 * @param busyMillis how long requests ran
+	 * @param requests the number of requests
+	 * @param turnedAway the number of requests turned away
+	 * @param turnedAwaySeconds the number of seconds in which a request was turned away
+	 * @param busyMillis the total running time of requests, in milliseconds
 	 * @param slots the server's slots
 	 */
 	public record Entry(String instance, String service, long minute, long requests, long turnedAway,
--- a/wire/src/main/java/org/brasspier/wire/operator/OperatorJson.java
+++ b/wire/src/main/java/org/brasspier/wire/operator/OperatorJson.java
@@ -9,8 +9,8 @@
 import org.brasspier.core.Failure;
 
 /**
- * The JSON of the operator port: names in lower case with underscores. Stateless and
- * thread-safe.
+ * Reads and writes the JSON of the operator port; field names are in lower case with
+ * underscores. Stateless and thread-safe.
  */
 public final class OperatorJson {
 
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * Writes a message for a person.
+	 * Writes a message as indented JSON for display.
 	 * @param message one of this package's records
 	 * @return indented JSON
 	 */
@@ -44,10 +44,10 @@
 
 	/**
 	 * Reads a message.
-	 * @param <T> what is expected
-	 * @param json the text
-	 * @param type what is expected
-	 * @return the message, or why it's refused
+	 * @param <T> the type of the message
+	 * @param json the JSON text
+	 * @param type the type of the message
+	 * @return the message, or why it is rejected
 	 */
 	public static <T> Either<Failure, T> read(String json, Class<T> type) {
 		try {
@@ -58,7 +58,8 @@
 			return refused(String.valueOf(ex.getMessage()));
 		}
 		catch (RuntimeException ex) {
-			// Gson wraps what a record's constructor throws in a plain RuntimeException.
+			// Gson wraps an exception of a record's constructor in a plain
+			// RuntimeException.
 			Throwable cause = (ex.getCause() != null) ? ex.getCause() : ex;
 			return refused(String.valueOf(cause.getMessage()));
 		}
--- a/wire/src/main/java/org/brasspier/wire/operator/OrderAnswer.java
+++ b/wire/src/main/java/org/brasspier/wire/operator/OrderAnswer.java
@@ -1,7 +1,7 @@
 package org.brasspier.wire.operator;
 
 /**
- * What became of an order. Immutable and thread-safe.
+ * The result of an order. Immutable and thread-safe.
  *
  * @param result a sentence for the operator
  */
--- a/wire/src/main/java/org/brasspier/wire/operator/OrderRequest.java
+++ b/wire/src/main/java/org/brasspier/wire/operator/OrderRequest.java
@@ -1,18 +1,18 @@
 package org.brasspier.wire.operator;
 
 /**
- * An operator's order. Fields that an order has no use for are empty. Immutable and
+ * An operator's order. Fields that an order does not use are empty. Immutable and
  * thread-safe.
  *
- * @param instance the instance it concerns; for a move, who gets the range
+ * @param instance the instance that the order applies to; for a move, the new owner
  * @param service the service, for a move
  * @param range the range, for a move
- * @param confirmed whether the operator has confirmed the danger
+ * @param confirmed whether the operator has confirmed a dangerous order
  */
 public record OrderRequest(String instance, String service, String range, boolean confirmed) {
 
 	/**
-	 * Checks that nothing is missing.
+	 * Rejects missing fields.
 	 */
 	public OrderRequest {
 		OperatorJson.present(instance, "instance");
--- a/wire/src/main/java/org/brasspier/wire/operator/OwnerAnswer.java
+++ b/wire/src/main/java/org/brasspier/wire/operator/OwnerAnswer.java
@@ -1,14 +1,14 @@
 package org.brasspier.wire.operator;
 
 /**
- * Who owns a key. Immutable and thread-safe.
+ * The owner of a key. Immutable and thread-safe.
  *
  * @param service the service
- * @param point the key's point, in hexadecimal
- * @param range the range that the point is in, empty if none is known
- * @param owner the instance that owns it, empty if nobody does
- * @param fence the fence under which it does; 0 if nobody does
- * @param callers IP:PORT of its daemon's port for callers, empty if unknown
+ * @param point the point of the key in the key space, in hexadecimal
+ * @param range the range that contains the point, empty if none is known
+ * @param owner the instance that owns the range, empty if there is none
+ * @param fence the fence of the ownership; 0 if there is no owner
+ * @param callers IP:PORT of the caller port of the owner's daemon, empty if unknown
  */
 public record OwnerAnswer(String service, String point, String range, String owner, long fence, String callers) {
 
--- a/wire/src/main/java/org/brasspier/wire/operator/StatusAnswer.java
+++ b/wire/src/main/java/org/brasspier/wire/operator/StatusAnswer.java
@@ -5,19 +5,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One daemon's own state. Immutable and thread-safe.
+ * The state of one daemon. Immutable and thread-safe.
  *
  * @param instance the instance
  * @param failureDomain the failure domain it is in
  * @param cell the cell it belongs to
- * @param documentVersion the version of the document in force in it
- * @param documentRead whether it knows which version is in force
- * @param leaseMillisLeft how long its lease still runs, in milliseconds; 0 if it has run
- * out
- * @param rangesHeld how many ranges it serves
- * @param eventsLost how many events were lost since its start because a ring was full
- * @param classes what runs and waits at the gate to its backend server; empty if the
- * daemon is of a build that doesn't tell
+ * @param documentVersion the version of the document that the daemon uses
+ * @param documentRead whether the daemon has read which version is in force
+ * @param leaseMillisLeft the remaining time of its lease, in milliseconds; 0 if the lease
+ * has expired
+ * @param rangesHeld the number of ranges it serves
+ * @param eventsLost the number of events lost since its start because a ring was full
+ * @param classes the running and waiting requests at the gate to its backend server;
+ * empty if the daemon is of an earlier build that does not report them
  */
 public record StatusAnswer(String instance, String failureDomain, String cell, long documentVersion,
 		boolean documentRead, long leaseMillisLeft, int rangesHeld, long eventsLost,
@@ -39,8 +39,8 @@
 	 * The requests of one class at the gate to the backend server.
 	 *
 	 * @param requestClass the class, in lower case
-	 * @param running how many hold a slot
-	 * @param waiting how many wait for one
+	 * @param running the number of requests that hold a slot
+	 * @param waiting the number of requests that wait for a slot
 	 */
 	public record ClassLoad(String requestClass, int running, int waiting) {
 
--- a/wire/src/main/java/org/brasspier/wire/operator/SubmitAnswer.java
+++ b/wire/src/main/java/org/brasspier/wire/operator/SubmitAnswer.java
@@ -1,10 +1,10 @@
 package org.brasspier.wire.operator;
 
 /**
- * A submission was accepted. Immutable and thread-safe.
+ * The answer to an accepted submission. Immutable and thread-safe.
  *
- * @param version the version it brought
- * @param hash the hash that names it
+ * @param version the version it created
+ * @param hash the hash under which the version is stored
  */
 public record SubmitAnswer(long version, String hash) {
 
--- a/wire/src/main/java/org/brasspier/wire/operator/SubmitRequest.java
+++ b/wire/src/main/java/org/brasspier/wire/operator/SubmitRequest.java
@@ -3,17 +3,17 @@
 import java.util.Map;
 
 /**
- * Asks for a document to take effect. Sent again with the same submission id it's
- * answered as the first time, if that was accepted. Immutable and thread-safe.
+ * Requests that a document takes effect. Idempotent: a repeated request with the id of an
+ * accepted submission gets the same answer as the first one. Immutable and thread-safe.
  *
- * @param baseVersion the version that the draft began from
- * @param submission an id that no other submission has
- * @param fields the whole document, the value at each place
+ * @param baseVersion the version that the draft is based on
+ * @param submission a unique id of the submission
+ * @param fields all values of the document by field path
  */
 public record SubmitRequest(long baseVersion, String submission, Map<String, String> fields) {
 
 	/**
-	 * Checks and copies.
+	 * Checks the fields and copies collections.
 	 */
 	public SubmitRequest {
 		fields = Map.copyOf(OperatorJson.present(fields, "fields"));
--- a/wire/src/main/java/org/brasspier/wire/operator/package-info.java
+++ b/wire/src/main/java/org/brasspier/wire/operator/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What the command line and the operator port say to each other, as JSON.
+ * The JSON requests and answers of the operator port, shared by the daemon and the
+ * command line.
  */
 @NullMarked
 package org.brasspier.wire.operator;
