--- a/wire/src/main/java/org/brasspier/wire/document/DocumentCodec.java
+++ b/wire/src/main/java/org/brasspier/wire/document/DocumentCodec.java
@@ -20,8 +20,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Writes and reads what is kept of the document: JSON inside the envelope of
- * {@link StoredState}. What is damaged or newer is refused. Stateless and thread-safe.
+ * Encodes and decodes the stored versions of the configuration document and the pointer
+ * row: JSON inside the envelope of {@link StoredState}. Damaged data and newer formats
+ * are rejected. Stateless and thread-safe.
  */
 public final class DocumentCodec {
 
@@ -34,9 +35,9 @@
 	}
 
 	/**
-	 * Writes a version.
+	 * Encodes a version of the document.
 	 * @param stored the version
-	 * @return the bytes to keep; {@link #hash(byte[])} of them names the object
+	 * @return the bytes to store, in the object named by their {@link #hash(byte[])}
 	 */
 	public static byte[] encode(StoredDocument stored) {
 		return wrap(new BodyJson(Document.FORMAT, stored.version(), stored.previousHash(), stored.submission(),
@@ -44,7 +45,7 @@
 	}
 
 	/**
-	 * The hash that names an object.
+	 * Returns the hash under which an object is stored.
 	 * @param bytes the object's bytes
 	 * @return 64 hexadecimal digits
 	 */
@@ -53,36 +54,36 @@
 	}
 
 	/**
-	 * Reads a version.
-	 * @param bytes the bytes that were kept
-	 * @return the version, or why it can't be trusted
+	 * Decodes a version of the document.
+	 * @param bytes the stored bytes
+	 * @return the version, or why it is rejected
 	 */
 	public static Either<Failure, StoredDocument> decode(byte[] bytes) {
 		return read(bytes, BodyJson.class, BodyJson::stored);
 	}
 
 	/**
-	 * Writes the row.
-	 * @param pointer its contents
-	 * @return the bytes to keep
+	 * Encodes the pointer row.
+	 * @param pointer the pointer
+	 * @return the bytes to store
 	 */
 	public static byte[] encodePointer(DocumentPointer pointer) {
 		return wrap(new PointerJson(Document.FORMAT, pointer.version(), pointer.hash(), pointer.recent()));
 	}
 
 	/**
-	 * Reads the row.
-	 * @param bytes the bytes that were kept
-	 * @return its contents, or why they can't be trusted
+	 * Decodes the pointer row.
+	 * @param bytes the stored bytes
+	 * @return the pointer, or why it is rejected
 	 */
 	public static Either<Failure, DocumentPointer> decodePointer(byte[] bytes) {
 		return read(bytes, PointerJson.class, PointerJson::pointer);
 	}
 
 	/**
-	 * The document's values as JSON carries them.
+	 * Returns the document's values as they appear in JSON.
 	 * @param document the document
-	 * @return the values by place, sorted
+	 * @return the values by field path, sorted
 	 */
 	public static Map<String, String> fields(Document document) {
 		Map<String, String> fields = new TreeMap<>();
@@ -91,10 +92,10 @@
 	}
 
 	/**
-	 * Reads values as JSON carries them.
-	 * @param fields the values by place
+	 * Creates a document from values as they appear in JSON.
+	 * @param fields the values by field path
 	 * @return the document
-	 * @throws IllegalArgumentException if a place is malformed
+	 * @throws IllegalArgumentException if a field path is malformed
 	 */
 	public static Document document(Map<String, String> fields) {
 		return Document.of(fields.entrySet()
@@ -138,7 +139,7 @@
 	}
 
 	/**
-	 * The body's JSON.
+	 * A version of the document as JSON.
 	 */
 	private record BodyJson(int format, long version, @Nullable String previousHash, @Nullable String submission,
 			long submittedMillis, @Nullable Map<String, String> fields) {
@@ -153,7 +154,7 @@
 	}
 
 	/**
-	 * The row's JSON.
+	 * The pointer row as JSON.
 	 */
 	private record PointerJson(int format, long version, @Nullable String hash,
 			@Nullable List<DocumentPointer.Accepted> recent) {
--- a/wire/src/main/java/org/brasspier/wire/document/DocumentPointer.java
+++ b/wire/src/main/java/org/brasspier/wire/document/DocumentPointer.java
@@ -4,24 +4,25 @@
 import java.util.Optional;
 
 /**
- * The row that says which version of the document is in force. It's only ever replaced by
- * one whose version is one higher. Immutable and thread-safe.
+ * The row that names the version of the document in force. Each write raises its version
+ * by exactly one. Immutable and thread-safe.
  *
  * @param version the version in force
- * @param hash the hash that names its body in the object store
+ * @param hash the hash under which the version is stored in the object store
  * @param recent the latest accepted submissions, newest first
  */
 public record DocumentPointer(long version, String hash, List<Accepted> recent) {
 
 	/**
-	 * A submission whose answer was lost is settled by finding it here. Changes come
-	 * about 15 s apart at the size to come and settling gives up after a minute, so four
-	 * would do; sixteen leave room for bursts.
+	 * The number of recent submissions stored. A submitter whose answer was lost finds
+	 * the outcome among them. At the planned size changes are about 15 s apart, and a
+	 * submitter looks for at most a minute, so four would suffice; sixteen leave room for
+	 * bursts.
 	 */
 	public static final int MAX_RECENT = 16;
 
 	/**
-	 * Checks and copies.
+	 * Checks the version and copies the list.
 	 * @throws IllegalArgumentException if the version is below 1
 	 */
 	public DocumentPointer {
@@ -32,9 +33,9 @@
 	}
 
 	/**
-	 * The version that a submission brought.
+	 * Returns the version created by a submission.
 	 * @param submission the submission's id
-	 * @return empty if it's not among the latest accepted ones
+	 * @return the version, or empty if the submission is not among the recent ones
 	 */
 	public Optional<Accepted> find(String submission) {
 		return this.recent.stream().filter((accepted) -> accepted.submission().equals(submission)).findFirst();
@@ -44,7 +45,7 @@
 	 * An accepted submission.
 	 *
 	 * @param submission the submission's id
-	 * @param version the version it brought
+	 * @param version the version it created
 	 * @param hash the hash of that version
 	 */
 	public record Accepted(String submission, long version, String hash) {
--- a/wire/src/main/java/org/brasspier/wire/document/StoredDocument.java
+++ b/wire/src/main/java/org/brasspier/wire/document/StoredDocument.java
@@ -3,12 +3,13 @@
 import org.brasspier.core.document.Document;
 
 /**
- * One version of the document as it's kept: an object that never changes. Each names the
- * one before, so that the whole history can be read. Immutable and thread-safe.
+ * One version of the document as stored in an immutable object. Each version holds the
+ * hash of the previous one, so that the whole history can be read. Immutable and
+ * thread-safe.
  *
  * @param version the version, at least 1
- * @param previousHash the hash of the version before, empty for the first
- * @param submission the id of the submission that brought it
+ * @param previousHash the hash of the previous version, empty for the first
+ * @param submission the id of the submission that created it
  * @param submittedMillis when it was submitted, in milliseconds since 1970
  * @param document the document
  */
--- a/wire/src/main/java/org/brasspier/wire/document/package-info.java
+++ b/wire/src/main/java/org/brasspier/wire/document/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The configuration document as it's kept in the platform's table and object store.
+ * The stored form of the configuration document in the platform's table and object store.
  */
 @NullMarked
 package org.brasspier.wire.document;
--- a/wire/src/test/java/org/brasspier/wire/document/DocumentCodecTests.java
+++ b/wire/src/test/java/org/brasspier/wire/document/DocumentCodecTests.java
@@ -13,7 +13,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * What is kept of the document is read back as it was, or refused.
+ * Stored versions and pointers decode to what was encoded; damaged, newer or incomplete
+ * data is rejected.
  */
 class DocumentCodecTests {
 
@@ -21,32 +22,32 @@
 			Document.of(Map.of(new FieldPath("weights/churn"), "2")));
 
 	@Test
-	void aVersionIsReadBackAsItWas() {
+	void aVersionDecodesToWhatWasEncoded() {
 		assertThat(DocumentCodec.decode(DocumentCodec.encode(this.stored)).get()).isEqualTo(this.stored);
 	}
 
 	@Test
-	void theRowIsReadBackAsItWas() {
+	void thePointerDecodesToWhatWasEncoded() {
 		DocumentPointer pointer = new DocumentPointer(3, "cd", List.of(new DocumentPointer.Accepted("s-1", 3, "cd")));
 		assertThat(DocumentCodec.decodePointer(DocumentCodec.encodePointer(pointer)).get()).isEqualTo(pointer);
 	}
 
 	@Test
-	void aDamagedVersionIsRefused() {
+	void aDamagedVersionIsRejected() {
 		byte[] bytes = DocumentCodec.encode(this.stored);
 		bytes[bytes.length - 3] ^= 1;
 		assertThat(DocumentCodec.decode(bytes).getLeft().kind()).isEqualTo(ErrorKind.STATE_UNREADABLE);
 	}
 
 	@Test
-	void aNewerFormatAndMissingPartsAreRefused() {
-		assertThat(refused("{\"format\":2,\"version\":1,\"hash\":\"ab\",\"recent\":[]}")).contains("format 2");
-		assertThat(refused("{\"format\":1,\"version\":1,\"recent\":[]}")).contains("lacks hash");
-		assertThat(refused("{\"format\":1,\"version\":0,\"hash\":\"ab\",\"recent\":[]}")).contains("version 0");
-		assertThat(refused("")).contains("empty");
+	void newerFormatsAndMissingFieldsAreRejected() {
+		assertThat(rejection("{\"format\":2,\"version\":1,\"hash\":\"ab\",\"recent\":[]}")).contains("format 2");
+		assertThat(rejection("{\"format\":1,\"version\":1,\"recent\":[]}")).contains("lacks hash");
+		assertThat(rejection("{\"format\":1,\"version\":0,\"hash\":\"ab\",\"recent\":[]}")).contains("version 0");
+		assertThat(rejection("")).contains("empty");
 	}
 
-	private static String refused(String json) {
+	private static String rejection(String json) {
 		return DocumentCodec.decodePointer(StoredState.wrap(json.getBytes(StandardCharsets.UTF_8))).getLeft().detail();
 	}
 
