--- a/wire/src/main/java/org/brasspier/wire/CellRowCodec.java
+++ b/wire/src/main/java/org/brasspier/wire/CellRowCodec.java
@@ -28,8 +28,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The row of a cell as the table keeps it: JSON in the envelope of {@link StoredState}.
- * Stateless and thread-safe.
+ * Encodes and decodes the row of a cell as stored in the table: JSON in the envelope of
+ * {@link StoredState}. Stateless and thread-safe.
  */
 public final class CellRowCodec {
 
@@ -64,8 +64,8 @@
 
 	/**
 	 * Decodes a row.
-	 * @param value the value read
-	 * @return the row, or why it can't be trusted
+	 * @param value the stored value
+	 * @return the row, or why it is rejected
 	 */
 	public static Either<Failure, CellRow> decode(byte[] value) {
 		return StoredState.unwrap(value).flatMap(CellRowCodec::parse);
--- a/wire/src/main/java/org/brasspier/wire/ControlCodec.java
+++ b/wire/src/main/java/org/brasspier/wire/ControlCodec.java
@@ -19,12 +19,14 @@
 import org.brasspier.core.placement.PlacementInput.HotPoint;
 
 /**
- * Turns {@link ControlMessage}s into frames and back. Heartbeats and renewals are what
- * flows all the time, so they are numbers only. Stateless and thread-safe.
+ * Encodes {@link ControlMessage}s as frames and decodes them. Heartbeats and renewals are
+ * sent all the time, so they consist of numbers only. Stateless and thread-safe.
  */
 public final class ControlCodec {
 
-	/** The largest control frame: a row of a full cell with room to spare. */
+	/**
+	 * The largest control frame: large enough for the row of a full cell, with a margin.
+	 */
 	public static final int MAX_FRAME_BYTES = 1 << 20;
 
 	private static final int HEARTBEAT = 1;
@@ -69,7 +71,8 @@
 	/**
 	 * Encodes a message.
 	 * @param message the message
-	 * @param stamp the sender's stamp, so that what the message causes is stamped later
+	 * @param stamp the sender's hybrid timestamp; the receiver stamps the effects of the
+	 * message later than this
 	 * @return the frame to send
 	 */
 	public static byte[] encode(ControlMessage message, HybridTime stamp) {
@@ -133,7 +136,7 @@
 	}
 
 	/**
-	 * Decodes the stamp, which comes before the message.
+	 * Decodes the stamp, which precedes the message.
 	 * @param in the frame received
 	 * @return the sender's stamp
 	 * @throws WireException if the frame is malformed
@@ -208,20 +211,21 @@
 	private static void writeLoad(FrameWriter out, RangeLoad load) {
 		out.number(load.range().low())
 			.number(load.range().high())
-			.number(milli(load.busySlots()))
+			.number(toThousandths(load.busySlots()))
 			.number(load.hottest().map(HotPoint::point).orElse(-1L))
-			.number(milli(load.hottest().map(HotPoint::busySlots).orElse(0.0)));
+			.number(toThousandths(load.hottest().map(HotPoint::busySlots).orElse(0.0)));
 	}
 
 	private static RangeLoad readLoad(FrameReader in) throws WireException {
 		KeyRange range = new KeyRange(in.number(), in.number());
-		double busy = in.number() / 1000.0;
+		double busySlots = in.number() / 1000.0;
 		long point = in.number();
-		double hot = in.number() / 1000.0;
-		return new RangeLoad(range, busy, (point < 0) ? Optional.empty() : Optional.of(new HotPoint(point, hot)));
+		double hottestSlots = in.number() / 1000.0;
+		return new RangeLoad(range, busySlots,
+				(point < 0) ? Optional.empty() : Optional.of(new HotPoint(point, hottestSlots)));
 	}
 
-	private static long milli(double value) {
+	private static long toThousandths(double value) {
 		return Math.round(value * 1000);
 	}
 
--- a/wire/src/main/java/org/brasspier/wire/ForwardCodec.java
+++ b/wire/src/main/java/org/brasspier/wire/ForwardCodec.java
@@ -22,7 +22,7 @@
 import org.brasspier.core.request.RequestIdentity;
 
 /**
- * Turns {@link ForwardMessage}s into frames and back. Stateless and thread-safe.
+ * Encodes {@link ForwardMessage}s as frames and decodes them. Stateless and thread-safe.
  */
 public final class ForwardCodec {
 
@@ -48,7 +48,8 @@
 	/**
 	 * Encodes a message.
 	 * @param message the message
-	 * @param stamp the sender's time, so that the time line respects cause and effect
+	 * @param stamp the sender's hybrid timestamp, so that recorded events are ordered by
+	 * cause and effect
 	 * @return the frame to send
 	 */
 	public static byte[] encode(ForwardMessage message, HybridTime stamp) {
@@ -134,7 +135,7 @@
 
 	private static CallerRequest readRequest(FrameReader in) throws WireException {
 		ServiceName service = new ServiceName(in.text());
-		boolean byKey = in.flag();
+		boolean sharded = in.flag();
 		boolean hasKey = in.flag();
 		Optional<String> key = Optional.of(in.text()).filter((text) -> hasKey);
 		RequestIdentity identity = new RequestIdentity(new RequestId(in.text()), in.flag(), in.flag(),
@@ -143,7 +144,7 @@
 		CallerId caller = new CallerId(in.text());
 		int remainingMillis = in.integer();
 		CallerRequest.Target target = new CallerRequest.Target(in.text(), in.text());
-		return new CallerRequest(service, key, byKey, identity, requestClass, caller, remainingMillis, target,
+		return new CallerRequest(service, key, sharded, identity, requestClass, caller, remainingMillis, target,
 				readHeaders(in), in.bytes());
 	}
 
@@ -152,7 +153,7 @@
 				new Fence(in.number()), in.integer(), readSent(in));
 	}
 
-	// Daemons of earlier builds don't tell the time of sending.
+	// Daemons of earlier builds do not send the time of sending.
 	private static OptionalLong readSent(FrameReader in) throws WireException {
 		return in.hasMore() ? OptionalLong.of(in.number()) : OptionalLong.empty();
 	}
@@ -205,9 +206,9 @@
 	}
 
 	/**
-	 * A message as it was received.
+	 * A received message with its timestamp.
 	 *
-	 * @param stamp the sender's time when it was sent
+	 * @param stamp the sender's hybrid timestamp at the time of sending
 	 * @param message the message
 	 */
 	public record Stamped(HybridTime stamp, ForwardMessage message) {
--- a/wire/src/main/java/org/brasspier/wire/ForwardMessage.java
+++ b/wire/src/main/java/org/brasspier/wire/ForwardMessage.java
@@ -11,20 +11,20 @@
 import org.brasspier.core.request.CallerRequest;
 
 /**
- * What travels on the connections over which requests are forwarded to their owner. Each
- * exchange has a number that is never used twice on one connection, so a late answer
- * can't be taken for another's. Immutable and thread-safe.
+ * A message between two daemons on a connection that forwards requests to their owner.
+ * The number of an exchange is never reused on a connection, so a late answer cannot be
+ * matched to another request. Immutable and thread-safe.
  */
 public sealed interface ForwardMessage {
 
 	/**
-	 * The number of the exchange on its connection.
+	 * Returns the number of the exchange on its connection.
 	 * @return at least 1
 	 */
 	long exchange();
 
 	/**
-	 * A request on its way to its owner. Its remaining time counts from its arrival.
+	 * Forwards a request to its owner. Its remaining time counts from its arrival.
 	 *
 	 * @param exchange the number of the exchange
 	 * @param request the request
@@ -34,18 +34,18 @@
 	}
 
 	/**
-	 * A request of a service that is not divided by key, admitted by the owner of its id
-	 * and to be run on the backend server beside the receiver.
+	 * Orders the receiver to run a request on its backend server. The service is not
+	 * sharded; the owner of the request's id has admitted the request.
 	 *
 	 * @param exchange the number of the exchange
 	 * @param request the request
 	 * @param range the range of ids that the owner holds
-	 * @param fence the fence it holds it under
-	 * @param authorityMillis for how long the owner's lease lets the order take effect,
-	 * in milliseconds from its sending
-	 * @param sentNanos when it was sent, not later than the truth, in the receiver's
-	 * nanoseconds since the connection's beginning; empty from a sender that tells no
-	 * time
+	 * @param fence the fence of the owner for this range
+	 * @param authorityMillis the time from sending within which the order may take effect
+	 * under the owner's lease, in milliseconds
+	 * @param sentNanos a lower bound of the time of sending, in nanoseconds of the
+	 * receiver's clock since the start of the connection; empty if the sender does not
+	 * report it
 	 */
 	record Execute(long exchange, CallerRequest request, KeyRange range, Fence fence, int authorityMillis,
 			OptionalLong sentNanos) implements ForwardMessage {
@@ -53,26 +53,26 @@
 	}
 
 	/**
-	 * The backend server's whole answer.
+	 * The complete answer of the backend server.
 	 *
 	 * @param exchange the number of the exchange
 	 * @param answer the answer
-	 * @param fence the fence it was given under
-	 * @param ticket the ticket for the next posting of this caller to this range
+	 * @param fence the fence under which the request ran
+	 * @param ticket the ticket for this caller's next request to this range
 	 */
 	record Answered(long exchange, Answer answer, Fence fence, String ticket) implements ForwardMessage {
 
 	}
 
 	/**
-	 * The request was refused or failed.
+	 * Reports that the request was rejected or failed.
 	 *
 	 * @param exchange the number of the exchange
-	 * @param failure why
+	 * @param failure the reason
 	 * @param ticket the ticket to resend with, empty if none
-	 * @param owner who owns the request as far as the answering daemon knows
-	 * @param ownerFence the fence of that owner, {@link Fence#NONE} if it knows none
-	 * @param backendLost whether the request ran when its backend server was lost
+	 * @param owner the owner of the request as known to the answering daemon
+	 * @param ownerFence the fence of that owner, {@link Fence#NONE} if no owner is known
+	 * @param backendLost whether the backend server was lost while the request ran
 	 */
 	record Failed(long exchange, Failure failure, String ticket, Optional<InstanceId> owner, Fence ownerFence,
 			boolean backendLost) implements ForwardMessage {
@@ -80,7 +80,7 @@
 	}
 
 	/**
-	 * The caller is gone; the request need not run.
+	 * Cancels the request because its caller has disconnected.
 	 *
 	 * @param exchange the number of the exchange
 	 */
@@ -89,7 +89,7 @@
 	}
 
 	/**
-	 * Asks whether the connection still carries anything.
+	 * Checks that the connection still transports messages.
 	 *
 	 * @param exchange a number that the reply repeats
 	 */
@@ -101,8 +101,8 @@
 	 * The reply to a {@link Ping}.
 	 *
 	 * @param exchange the number of the ping
-	 * @param sentNanos when it was sent, in its sender's nanoseconds since the
-	 * connection's beginning; empty from a sender that tells no time
+	 * @param sentNanos the time of sending, in nanoseconds of the sender's clock since
+	 * the start of the connection; empty if the sender does not report it
 	 */
 	record Pong(long exchange, OptionalLong sentNanos) implements ForwardMessage {
 
--- a/wire/src/main/java/org/brasspier/wire/FrameDecoder.java
+++ b/wire/src/main/java/org/brasspier/wire/FrameDecoder.java
@@ -7,9 +7,10 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of bytes into frames. A frame that claims more than the limit is refused
- * before any of it is stored, so that a peer cannot make this process hold more than one
- * limit's worth of bytes for each connection. Not thread-safe.
+ * Splits a stream of bytes into frames and reassembles frames sent in pieces. A frame
+ * whose length exceeds the limit is rejected before its payload is buffered, so that a
+ * peer cannot make this process buffer more than the limit for each connection. Not
+ * thread-safe.
  */
 public final class FrameDecoder {
 
@@ -33,7 +34,7 @@
 	}
 
 	/**
-	 * Sets another limit for the frames to come, once the peer has proved itself.
+	 * Sets another limit for the following frames, once the peer is authenticated.
 	 * @param maxFrameBytes the largest payload accepted from now on, in bytes
 	 */
 	public void setMaxFrameBytes(int maxFrameBytes) {
@@ -41,9 +42,9 @@
 	}
 
 	/**
-	 * Takes bytes as they came in.
+	 * Adds received bytes.
 	 * @param bytes the next bytes of the stream
-	 * @return the frames that are now whole
+	 * @return the frames that are now complete
 	 * @throws WireException if a frame is empty or too large
 	 */
 	public List<FrameReader> decode(byte[] bytes) throws WireException {
@@ -58,7 +59,7 @@
 			int begin = position + LENGTH_BYTES;
 			position = begin + length;
 			if (all[begin] == FramePieces.MARKER) {
-				piece(all, begin, position).ifPresent(frames::add);
+				addPiece(all, begin, position).ifPresent(frames::add);
 			}
 			else {
 				frames.add(new FrameReader(Arrays.copyOfRange(all, begin, position)));
@@ -68,12 +69,13 @@
 		return frames;
 	}
 
-	private Optional<FrameReader> piece(byte[] bytes, int begin, int end) throws WireException {
-		int carried = end - begin - FramePieces.HEADER_BYTES;
-		if (carried < 0 || this.pieces.size() + carried > this.maxFrameBytes) {
-			throw new WireException("a frame in pieces is cut short or larger than %d".formatted(this.maxFrameBytes));
+	private Optional<FrameReader> addPiece(byte[] bytes, int begin, int end) throws WireException {
+		int carriedBytes = end - begin - FramePieces.HEADER_BYTES;
+		if (carriedBytes < 0 || this.pieces.size() + carriedBytes > this.maxFrameBytes) {
+			throw new WireException(
+					"a frame in pieces is truncated or larger than %d bytes".formatted(this.maxFrameBytes));
 		}
-		this.pieces.write(bytes, begin + FramePieces.HEADER_BYTES, carried);
+		this.pieces.write(bytes, begin + FramePieces.HEADER_BYTES, carriedBytes);
 		if (bytes[begin + 1] != FramePieces.LAST) {
 			return Optional.empty();
 		}
@@ -83,7 +85,7 @@
 	}
 
 	/**
-	 * How much of a frame that is not whole yet has come.
+	 * Returns the number of buffered bytes of incomplete frames.
 	 * @return bytes, at least 0
 	 */
 	public int pendingBytes() {
--- a/wire/src/main/java/org/brasspier/wire/FramePieces.java
+++ b/wire/src/main/java/org/brasspier/wire/FramePieces.java
@@ -4,20 +4,20 @@
 import java.util.NoSuchElementException;
 
 /**
- * A large frame in pieces, each a frame of its own, so that other frames can go between
- * them. A {@link FrameDecoder} puts the pieces of one frame together again; those of two
- * frames must not be mixed. Not thread-safe.
+ * Splits a large frame into pieces, each a frame of its own, so that other frames can be
+ * sent between them. A {@link FrameDecoder} reassembles the pieces. The pieces of two
+ * frames must not be interleaved. Not thread-safe.
  */
 public final class FramePieces implements Iterator<byte[]> {
 
-	/** Begins the payload of a piece; MessagePack never uses this byte. */
+	/** The first byte of the payload of a piece; MessagePack never uses this byte. */
 	static final byte MARKER = (byte) 0xc1;
 
 	static final byte LAST = 1;
 
 	static final byte MORE = 0;
 
-	/** The mark and whether it is the last piece. */
+	/** The marker and the flag whether this is the last piece. */
 	static final int HEADER_BYTES = 2;
 
 	private static final int LENGTH_BYTES = Integer.BYTES;
@@ -29,9 +29,9 @@
 	private int position = LENGTH_BYTES;
 
 	/**
-	 * Divides a frame.
-	 * @param frame the whole frame, length included
-	 * @param pieceBytes how much of it a piece carries at most, in bytes
+	 * Creates the pieces of a frame.
+	 * @param frame the complete frame, including its length
+	 * @param pieceBytes the largest part of the frame in one piece, in bytes
 	 */
 	public FramePieces(byte[] frame, int pieceBytes) {
 		if (pieceBytes < 1) {
@@ -47,44 +47,44 @@
 	}
 
 	/**
-	 * How much has not been taken yet.
-	 * @return bytes of the frame, at least 0
+	 * Returns the number of bytes of the frame that no piece has carried yet.
+	 * @return bytes, at least 0
 	 */
 	public int remainingBytes() {
 		return this.frame.length - this.position;
 	}
 
 	/**
-	 * The whole frame as it is, for a receiver that takes no pieces.
-	 * @return the frame, length included
-	 * @throws IllegalStateException if a piece of it was taken
+	 * Returns the unsplit frame, for a receiver that does not support pieces.
+	 * @return the frame, including its length
+	 * @throws IllegalStateException if {@link #next()} was called before
 	 */
 	public byte[] whole() {
 		if (this.position != LENGTH_BYTES) {
-			throw new IllegalStateException("a piece of the frame was taken");
+			throw new IllegalStateException("a piece of the frame was already returned");
 		}
 		this.position = this.frame.length;
 		return this.frame;
 	}
 
 	/**
-	 * The next piece.
-	 * @return a whole frame, length included
+	 * Returns the next piece.
+	 * @return a complete frame, including its length
 	 */
 	@Override
 	public byte[] next() {
 		if (!hasNext()) {
-			throw new NoSuchElementException("the last piece was taken");
+			throw new NoSuchElementException("the last piece was already returned");
 		}
-		int carried = Math.min(this.pieceBytes, this.frame.length - this.position);
-		int length = HEADER_BYTES + carried;
+		int carriedBytes = Math.min(this.pieceBytes, this.frame.length - this.position);
+		int length = HEADER_BYTES + carriedBytes;
 		byte[] piece = new byte[LENGTH_BYTES + length];
 		for (int i = 0; i < LENGTH_BYTES; i++) {
 			piece[i] = (byte) (length >>> Byte.SIZE * (LENGTH_BYTES - 1 - i));
 		}
 		piece[LENGTH_BYTES] = MARKER;
-		System.arraycopy(this.frame, this.position, piece, LENGTH_BYTES + HEADER_BYTES, carried);
-		this.position += carried;
+		System.arraycopy(this.frame, this.position, piece, LENGTH_BYTES + HEADER_BYTES, carriedBytes);
+		this.position += carriedBytes;
 		piece[LENGTH_BYTES + 1] = hasNext() ? MORE : LAST;
 		return piece;
 	}
--- a/wire/src/main/java/org/brasspier/wire/FrameReader.java
+++ b/wire/src/main/java/org/brasspier/wire/FrameReader.java
@@ -30,52 +30,52 @@
 	}
 
 	/**
-	 * Whether the frame came in pieces, so that the first of it may have come long before
-	 * the last.
-	 * @return false if it came as a whole
+	 * Returns whether the frame arrived in pieces, in which case its first bytes may have
+	 * arrived long before its last.
+	 * @return false if it arrived as one frame
 	 */
 	public boolean isInPieces() {
 		return this.inPieces;
 	}
 
 	/**
-	 * Reads a whole number.
+	 * Reads an integer of up to 64 bits.
 	 * @return the number
-	 * @throws WireException if the next field is something else
+	 * @throws WireException if the next field has another type
 	 */
 	public long number() throws WireException {
 		return read(MessageUnpacker::unpackLong);
 	}
 
 	/**
-	 * Reads a whole number that fits an {@code int}.
+	 * Reads an integer that fits an {@code int}.
 	 * @return the number
-	 * @throws WireException if the next field is something else
+	 * @throws WireException if the next field has another type
 	 */
 	public int integer() throws WireException {
 		return read(MessageUnpacker::unpackInt);
 	}
 
 	/**
-	 * Reads a text.
-	 * @return the text
-	 * @throws WireException if the next field is something else
+	 * Reads a string.
+	 * @return the string
+	 * @throws WireException if the next field has another type
 	 */
 	public String text() throws WireException {
 		return read(MessageUnpacker::unpackString);
 	}
 
 	/**
-	 * Reads a truth value.
+	 * Reads a boolean.
 	 * @return the value
-	 * @throws WireException if the next field is something else
+	 * @throws WireException if the next field has another type
 	 */
 	public boolean flag() throws WireException {
 		return read(MessageUnpacker::unpackBoolean);
 	}
 
 	/**
-	 * Whether another field follows.
+	 * Returns whether another field follows.
 	 * @return false at the end of the frame
 	 * @throws WireException if the frame is damaged
 	 */
@@ -84,19 +84,19 @@
 	}
 
 	/**
-	 * Reads bytes.
+	 * Reads a byte array.
 	 * @return the bytes
-	 * @throws WireException if the next field is something else
+	 * @throws WireException if the next field has another type
 	 */
 	public byte[] bytes() throws WireException {
 		return read((in) -> in.readPayload(in.unpackBinaryHeader()));
 	}
 
 	/**
-	 * Reads the fields of another frame that were compressed.
-	 * @param maxBytes how many bytes they may be
-	 * @return that frame
-	 * @throws WireException if the next field is something else, damaged or larger
+	 * Reads another frame whose fields were compressed.
+	 * @param maxBytes the largest uncompressed size accepted, in bytes
+	 * @return the uncompressed frame
+	 * @throws WireException if the next field has another type, is damaged or is larger
 	 */
 	public FrameReader compressed(int maxBytes) throws WireException {
 		byte[] bytes = bytes();
@@ -108,14 +108,14 @@
 			return new FrameReader(fields);
 		}
 		catch (IOException ex) {
-			throw new WireException("a compressed frame is cut short or damaged", ex);
+			throw new WireException("a compressed frame is truncated or damaged", ex);
 		}
 	}
 
 	/**
 	 * Reads the length of a list.
-	 * @return how many entries follow
-	 * @throws WireException if the next field is something else
+	 * @return the number of entries that follow
+	 * @throws WireException if the next field has another type
 	 */
 	public int count() throws WireException {
 		return read(MessageUnpacker::unpackArrayHeader);
@@ -145,7 +145,7 @@
 			throw new WireException("a field of the frame has another type than expected", ex);
 		}
 		catch (MessagePackException | IOException | NegativeArraySizeException ex) {
-			throw new WireException("the frame is cut short or damaged", ex);
+			throw new WireException("the frame is truncated or damaged", ex);
 		}
 	}
 
@@ -158,7 +158,7 @@
 
 		/**
 		 * Reads the entry.
-		 * @param frame the frame, at the entry
+		 * @param frame the frame, positioned at the entry
 		 * @return the entry
 		 * @throws WireException if the entry is malformed
 		 */
--- a/wire/src/main/java/org/brasspier/wire/FrameWriter.java
+++ b/wire/src/main/java/org/brasspier/wire/FrameWriter.java
@@ -20,7 +20,7 @@
 	private final MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
 
 	/**
-	 * Writes a whole number.
+	 * Writes an integer.
 	 * @param value the number
 	 * @return this writer
 	 */
@@ -29,8 +29,8 @@
 	}
 
 	/**
-	 * Writes a text.
-	 * @param value the text
+	 * Writes a string.
+	 * @param value the string
 	 * @return this writer
 	 */
 	public FrameWriter text(String value) {
@@ -38,7 +38,7 @@
 	}
 
 	/**
-	 * Writes a truth value.
+	 * Writes a boolean.
 	 * @param value the value
 	 * @return this writer
 	 */
@@ -47,7 +47,7 @@
 	}
 
 	/**
-	 * Writes bytes.
+	 * Writes a byte array.
 	 * @param value the bytes
 	 * @return this writer
 	 */
@@ -60,7 +60,7 @@
 
 	/**
 	 * Writes the length of a list.
-	 * @param value how many entries follow
+	 * @param value the number of entries that follow
 	 * @return this writer
 	 */
 	public FrameWriter count(int value) {
@@ -69,7 +69,7 @@
 
 	/**
 	 * Writes the fields of another frame, compressed.
-	 * @param frame the whole other frame, length included
+	 * @param frame the complete other frame, including its length
 	 * @return this writer
 	 */
 	public FrameWriter compressed(byte[] frame) {
@@ -90,7 +90,7 @@
 	}
 
 	/**
-	 * The whole frame: four bytes of length, then the fields.
+	 * Returns the complete frame: four bytes of length, then the fields.
 	 * @return the bytes to send
 	 */
 	public byte[] frame() {
--- a/wire/src/main/java/org/brasspier/wire/Handshake.java
+++ b/wire/src/main/java/org/brasspier/wire/Handshake.java
@@ -7,11 +7,12 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * The opening of a connection between two daemons. The acceptor sends a challenge, the
- * connector answers with a proof by each of its keys over both sides' random numbers, the
- * acceptor proves itself in turn by the key it knows. No key travels, and a recorded
- * proof is worthless, since the other side's random number is new each time. The highest
- * version that both know is used. One object serves one connection; not thread-safe.
+ * Mutual authentication and version negotiation of a new connection between two daemons.
+ * The acceptor sends a challenge with a nonce. The connector answers with its own nonce
+ * and one MAC over both nonces by each of its keys. The acceptor replies with a MAC by
+ * the key that matched. No key is sent, and a recorded proof cannot be replayed, since
+ * the nonces are new for each connection. The highest version that both sides support is
+ * used. One object serves one connection. Not thread-safe.
  */
 public final class Handshake {
 
@@ -38,7 +39,7 @@
 	private int version;
 
 	/**
-	 * Begins a handshake.
+	 * Creates a handshake for one connection.
 	 * @param self this instance
 	 * @param keys the shared keys
 	 * @param maxVersion the highest version to speak, {@link #MIN_VERSION} to
@@ -56,7 +57,7 @@
 	}
 
 	/**
-	 * Acceptor, first: the challenge.
+	 * Acceptor, step 1: creates the challenge.
 	 * @return the frame to send
 	 */
 	public byte[] challenge() {
@@ -64,42 +65,42 @@
 	}
 
 	/**
-	 * Connector: answers the challenge.
+	 * Connector, step 1: answers the challenge.
 	 * @param challenge the frame received
 	 * @return the frame to send
-	 * @throws WireException if the challenge is malformed or no version is common
+	 * @throws WireException if the challenge is malformed or there is no common version
 	 */
 	public byte[] answer(FrameReader challenge) throws WireException {
 		int lowest = challenge.integer();
 		int highest = challenge.integer();
-		byte[] theirs = challenge.bytes();
+		byte[] peerNonce = challenge.bytes();
 		this.version = Math.min(highest, this.maxVersion);
 		if (this.version < Math.max(lowest, MIN_VERSION)) {
 			throw new WireException("peer speaks versions %d to %d, this daemon %d to %d".formatted(lowest, highest,
 					MIN_VERSION, this.maxVersion));
 		}
-		this.transcript = transcript(this.version, this.self, theirs, this.nonce);
+		this.transcript = transcript(this.version, this.self, peerNonce, this.nonce);
 		FrameWriter answer = new FrameWriter().number(this.version).text(this.self.value()).bytes(this.nonce);
-		// An acceptor that reads one proof only passes over the others.
+		// An acceptor that reads only one proof ignores the others.
 		this.keys.prove(this.transcript).forEach(answer::bytes);
 		return answer.frame();
 	}
 
 	/**
-	 * Acceptor, second: checks the connector's proof.
+	 * Acceptor, step 2: verifies the connector's proofs.
 	 * @param answer the frame received
-	 * @return who is connected, with the frame to send
-	 * @throws WireException if the proof is wrong or the frame malformed
+	 * @return the authenticated peer and the frame to send
+	 * @throws WireException if the proof is wrong or the frame is malformed
 	 */
 	public Accepted accept(FrameReader answer) throws WireException {
 		int version = answer.integer();
 		InstanceId peer = instance(answer);
-		byte[] theirs = answer.bytes();
+		byte[] peerNonce = answer.bytes();
 		List<byte[]> proofs = proofs(answer);
 		if (version < MIN_VERSION || version > this.maxVersion) {
 			throw new WireException("peer chose version %d, which was not offered".formatted(version));
 		}
-		byte[] message = transcript(version, peer, this.nonce, theirs);
+		byte[] message = transcript(version, peer, this.nonce, peerNonce);
 		String key = proofs.stream()
 			.flatMap((proof) -> this.keys.matching(message, proof).stream())
 			.findFirst()
@@ -111,10 +112,10 @@
 	}
 
 	/**
-	 * Connector, last: checks the acceptor's proof.
+	 * Connector, step 2: verifies the acceptor's proof.
 	 * @param reply the frame received
-	 * @return who is connected
-	 * @throws WireException if the proof is wrong or the frame malformed
+	 * @return the authenticated peer
+	 * @throws WireException if the proof is wrong or the frame is malformed
 	 */
 	public Peer confirm(FrameReader reply) throws WireException {
 		InstanceId peer = instance(reply);
@@ -159,9 +160,9 @@
 	}
 
 	/**
-	 * A peer that proved the key.
+	 * A peer that has proved knowledge of a shared key.
 	 *
-	 * @param instance who it is
+	 * @param instance the instance of the peer
 	 * @param version the version of the protocol to speak with it
 	 */
 	public record Peer(InstanceId instance, int version) {
@@ -169,9 +170,9 @@
 	}
 
 	/**
-	 * The outcome on the acceptor's side.
+	 * The result of the handshake on the acceptor's side.
 	 *
-	 * @param peer who is connected
+	 * @param peer the authenticated peer
 	 * @param reply the frame to send
 	 */
 	public record Accepted(Peer peer, byte[] reply) {
--- a/wire/src/main/java/org/brasspier/wire/PeerProof.java
+++ b/wire/src/main/java/org/brasspier/wire/PeerProof.java
@@ -7,11 +7,10 @@
 import java.util.stream.Collectors;
 
 /**
- * Proofs by the shared key for the few calls that daemons make to each other over HTTP.
- * The asker proves itself over what it asks and a random number, the answerer over that
- * number and the answer, so that nobody in between can make up an answer. A recorded
- * question could be asked again; what it fetches holds no secret. Stateless and
- * thread-safe.
+ * Authenticates the HTTP calls between daemons by MACs with the shared keys. The client
+ * signs the path and a nonce, the server signs this nonce and the response body, so that
+ * no third party can forge a response. A recorded request can be replayed, which is
+ * harmless: the responses hold no secrets. Stateless and thread-safe.
  */
 public final class PeerProof {
 
@@ -23,7 +22,7 @@
 	}
 
 	/**
-	 * A random number for a question.
+	 * Returns a random nonce for a request.
 	 * @return 32 hexadecimal digits
 	 */
 	public static String nonce() {
@@ -33,56 +32,56 @@
 	}
 
 	/**
-	 * Proves a question.
+	 * Creates the proof of a request.
 	 * @param keys the shared keys
-	 * @param path what is asked
-	 * @param nonce the question's random number
-	 * @return a proof by each key, in hexadecimal, by comma
+	 * @param path the path of the request
+	 * @param nonce the nonce of the request
+	 * @return one proof by each key, in hexadecimal, separated by commas
 	 */
 	public static String proveRequest(SharedKeys keys, String path, String nonce) {
-		return proofs(keys, question(path, nonce));
+		return proofs(keys, requestMessage(path, nonce));
 	}
 
 	/**
-	 * Checks the proof of a question.
+	 * Verifies the proof of a request.
 	 * @param keys the shared keys
-	 * @param path what is asked
-	 * @param nonce the question's random number
-	 * @param proof the proof that came with it
-	 * @return whether the asker knows a shared key
+	 * @param path the path of the request
+	 * @param nonce the nonce of the request
+	 * @param proof the proof received with it
+	 * @return whether the client knows a shared key
 	 */
 	public static boolean verifyRequest(SharedKeys keys, String path, String nonce, String proof) {
-		return holds(keys, question(path, nonce), proof);
+		return verify(keys, requestMessage(path, nonce), proof);
 	}
 
 	/**
-	 * Proves an answer.
+	 * Creates the proof of a response.
 	 * @param keys the shared keys
-	 * @param nonce the question's random number
-	 * @param body the answer
-	 * @return a proof by each key, in hexadecimal, by comma
+	 * @param nonce the nonce of the request
+	 * @param body the body of the response
+	 * @return one proof by each key, in hexadecimal, separated by commas
 	 */
 	public static String proveResponse(SharedKeys keys, String nonce, byte[] body) {
-		return proofs(keys, reply(nonce, body));
+		return proofs(keys, responseMessage(nonce, body));
 	}
 
 	/**
-	 * Checks the proof of an answer.
+	 * Verifies the proof of a response.
 	 * @param keys the shared keys
-	 * @param nonce the question's random number
-	 * @param body the answer
-	 * @param proof the proof that came with it
-	 * @return whether the answerer knows a shared key
+	 * @param nonce the nonce of the request
+	 * @param body the body of the response
+	 * @param proof the proof received with it
+	 * @return whether the server knows a shared key
 	 */
 	public static boolean verifyResponse(SharedKeys keys, String nonce, byte[] body, String proof) {
-		return holds(keys, reply(nonce, body), proof);
+		return verify(keys, responseMessage(nonce, body), proof);
 	}
 
 	private static String proofs(SharedKeys keys, byte[] message) {
 		return keys.prove(message).stream().map(HexFormat.of()::formatHex).collect(Collectors.joining(","));
 	}
 
-	private static boolean holds(SharedKeys keys, byte[] message, String proofs) {
+	private static boolean verify(SharedKeys keys, byte[] message, String proofs) {
 		try {
 			return Arrays.stream(proofs.split(",", SharedKeys.MAX_KEYS))
 				.anyMatch((proof) -> keys.matching(message, HexFormat.of().parseHex(proof)).isPresent());
@@ -92,11 +91,11 @@
 		}
 	}
 
-	private static byte[] question(String path, String nonce) {
+	private static byte[] requestMessage(String path, String nonce) {
 		return ("brasspier peer question\n" + nonce + "\n" + path).getBytes(StandardCharsets.UTF_8);
 	}
 
-	private static byte[] reply(String nonce, byte[] body) {
+	private static byte[] responseMessage(String nonce, byte[] body) {
 		return ("brasspier peer answer\n" + nonce + "\n" + StoredState.checksum(body)).getBytes(StandardCharsets.UTF_8);
 	}
 
--- a/wire/src/main/java/org/brasspier/wire/RowFrames.java
+++ b/wire/src/main/java/org/brasspier/wire/RowFrames.java
@@ -25,8 +25,9 @@
 import org.brasspier.core.routing.PeerAddress;
 
 /**
- * The row of a cell inside a frame. Names of instances are written once and then counted,
- * since a row has a few instances and hundreds of ranges. Stateless and thread-safe.
+ * Encodes and decodes the row of a cell and its parts as fields of a frame. The names of
+ * owners are written once and ranges refer to them by number, since a row has a few
+ * instances and hundreds of ranges. Stateless and thread-safe.
  */
 final class RowFrames {
 
--- a/wire/src/main/java/org/brasspier/wire/SharedKeys.java
+++ b/wire/src/main/java/org/brasspier/wire/SharedKeys.java
@@ -12,10 +12,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The keys that peers share. A process proves itself by each of its keys and accepts each
- * of them from others, so two processes understand each other as long as they have one
- * key in common, and keys are rotated without a stop: add the new one everywhere, then
- * drop the old one everywhere. Immutable and thread-safe; never prints a key.
+ * The secret keys shared by peers. A process authenticates by each of its keys and
+ * accepts each of them from others, so two processes can communicate as long as they have
+ * one key in common. Keys are rotated without downtime: add the new key everywhere, then
+ * remove the old one everywhere. Immutable and thread-safe. {@link #toString()} never
+ * shows a key.
  */
 public final class SharedKeys {
 
@@ -24,8 +25,8 @@
 	private static final int MIN_KEY_CHARACTERS = 16;
 
 	/**
-	 * A rotation needs two at a time. More would make a handshake too large for its
-	 * limit, and let a stranger cost an acceptor more work.
+	 * A rotation needs two keys at a time. More than this would exceed the size limit of
+	 * the handshake and let an unauthenticated peer cost an acceptor more work.
 	 */
 	static final int MAX_KEYS = 8;
 
--- a/wire/src/main/java/org/brasspier/wire/StoredState.java
+++ b/wire/src/main/java/org/brasspier/wire/StoredState.java
@@ -11,26 +11,26 @@
 import org.brasspier.core.Failure;
 
 /**
- * The envelope of everything that is kept in the platform's table and object store: one
- * line with the format's version and the SHA-256 of the contents, then the contents. A
- * damaged or newer envelope is refused with an error, and since each write is conditional
- * on a version that was read whole, it's never overwritten. Stateless and thread-safe.
+ * The envelope of all data in the platform's table and object store: one header line with
+ * the format version and the SHA-256 of the contents, then the contents. A damaged or
+ * newer envelope is rejected with an error. It is never overwritten, since each write is
+ * conditional on a version that was read successfully. Stateless and thread-safe.
  */
 public final class StoredState {
 
-	/** The newest format that this build reads, and the one it writes. */
+	/** The newest format version that this build reads, and the one that it writes. */
 	public static final int FORMAT = 1;
 
 	private static final String MAGIC = "brasspier";
 
-	private static final int MAX_LINE_BYTES = 128;
+	private static final int MAX_HEADER_BYTES = 128;
 
 	private StoredState() {
 	}
 
 	/**
-	 * Wraps contents.
-	 * @param contents what is to be kept
+	 * Wraps contents in an envelope.
+	 * @param contents the contents
 	 * @return the bytes to store
 	 */
 	public static byte[] wrap(byte[] contents) {
@@ -41,15 +41,15 @@
 	}
 
 	/**
-	 * Unwraps contents.
-	 * @param stored the bytes that were stored
-	 * @return the contents, or why they can't be trusted
+	 * Checks an envelope and returns its contents.
+	 * @param stored the stored bytes
+	 * @return the contents, or why the envelope is rejected
 	 */
 	public static Either<Failure, byte[]> unwrap(byte[] stored) {
-		int end = lineEnd(stored);
+		int end = headerEnd(stored);
 		String[] fields = new String(stored, 0, Math.max(end, 0), StandardCharsets.US_ASCII).split(" ");
 		if (fields.length != 3 || !fields[0].equals(MAGIC) || !fields[1].matches("[0-9]{1,9}")) {
-			return unreadable("it does not begin with brasspier's line");
+			return unreadable("it does not begin with a brasspier header line");
 		}
 		if (Integer.parseInt(fields[1]) > FORMAT) {
 			return unreadable("its format %s is newer than %d".formatted(fields[1], FORMAT));
@@ -60,7 +60,7 @@
 	}
 
 	/**
-	 * The checksum that names contents in the object store.
+	 * Returns the checksum of contents, which is their name in the object store.
 	 * @param contents the contents
 	 * @return 64 hexadecimal digits
 	 */
@@ -73,8 +73,8 @@
 		}
 	}
 
-	private static int lineEnd(byte[] stored) {
-		for (int i = 0; i < Math.min(stored.length, MAX_LINE_BYTES); i++) {
+	private static int headerEnd(byte[] stored) {
+		for (int i = 0; i < Math.min(stored.length, MAX_HEADER_BYTES); i++) {
 			if (stored[i] == '\n') {
 				return i;
 			}
--- a/wire/src/main/java/org/brasspier/wire/WireException.java
+++ b/wire/src/main/java/org/brasspier/wire/WireException.java
@@ -1,14 +1,15 @@
 package org.brasspier.wire;
 
 /**
- * Bytes that a peer sent make no sense. The connection they came over must be closed.
+ * Thrown when data received from a peer is malformed or not permitted. The connection
+ * must be closed.
  */
 public class WireException extends Exception {
 
 	private static final long serialVersionUID = 1;
 
 	/**
-	 * Says what is wrong.
+	 * Creates an exception.
 	 * @param message one sentence without secrets
 	 */
 	public WireException(String message) {
@@ -16,9 +17,9 @@
 	}
 
 	/**
-	 * Says what is wrong and why.
+	 * Creates an exception with a cause.
 	 * @param message one sentence without secrets
-	 * @param cause what the codec reported
+	 * @param cause the exception of the underlying codec
 	 */
 	public WireException(String message, Throwable cause) {
 		super(message, cause);
--- a/wire/src/main/java/org/brasspier/wire/package-info.java
+++ b/wire/src/main/java/org/brasspier/wire/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What travels between brasspier's own processes: frames of MessagePack over TCP, and the
- * handshake that opens each connection.
+ * The protocol between the brasspier processes: MessagePack frames over TCP and the
+ * handshake that opens each connection; also the encoding of stored state.
  */
 @NullMarked
 package org.brasspier.wire;
--- a/wire/src/test/java/org/brasspier/wire/FramePiecesTests.java
+++ b/wire/src/test/java/org/brasspier/wire/FramePiecesTests.java
@@ -33,26 +33,26 @@
 	}
 
 	@Test
-	void aFrameInPiecesIsTakenWholeAndOthersBetweenThem() throws WireException {
+	void aFrameInPiecesIsReassembledWithOthersInBetween() throws WireException {
 		FrameDecoder decoder = new FrameDecoder(200_000);
-		List<FrameReader> taken = new ArrayList<>();
+		List<FrameReader> decoded = new ArrayList<>();
 		for (byte[] piece : pieces(large(), 16_384)) {
-			taken.addAll(decoder.decode(small(1)));
-			taken.addAll(decoder.decode(piece));
+			decoded.addAll(decoder.decode(small(1)));
+			decoded.addAll(decoder.decode(piece));
 		}
-		assertThat(taken).hasSize(8);
+		assertThat(decoded).hasSize(8);
 		assertThat(decoder.pendingBytes()).isEqualTo(0);
-		FrameReader last = taken.get(7);
+		FrameReader last = decoded.get(7);
 		assertThat(last.isInPieces()).isTrue();
 		assertThat(last.number()).isEqualTo(7);
 		assertThat(last.bytes()).isEqualTo(LARGE);
-		assertThat(taken.get(6).isInPieces()).isFalse();
-		assertThat(taken.get(6).number()).isEqualTo(1);
+		assertThat(decoded.get(6).isInPieces()).isFalse();
+		assertThat(decoded.get(6).number()).isEqualTo(1);
 	}
 
-	/** Guards against a peer that fills the memory with a frame that never ends. */
+	/** Guards against a peer that exhausts memory by a frame without a last piece. */
 	@Test
-	void aFrameInPiecesIsHeldToTheLimitOfAWholeOne() {
+	void aFrameInPiecesIsSubjectToTheFrameLimit() {
 		FrameDecoder decoder = new FrameDecoder(50_000);
 		assertThrows(WireException.class, () -> {
 			for (byte[] piece : pieces(large(), 16_384)) {
@@ -62,20 +62,20 @@
 	}
 
 	@Test
-	void aPieceWithoutItsHeadIsRefused() {
+	void aPieceWithoutItsHeaderIsRejected() {
 		assertThrows(WireException.class,
 				() -> new FrameDecoder(50_000).decode(new byte[] { 0, 0, 0, 1, FramePieces.MARKER }));
 	}
 
 	@Test
-	void aFrameOfWhichNoPieceWasTakenIsStillThereWhole() {
+	void aFrameWithoutReturnedPiecesIsAvailableWhole() {
 		FramePieces pieces = new FramePieces(large(), 1000);
 		assertThat(pieces.whole()).isEqualTo(large());
 		assertThat(pieces.hasNext()).isFalse();
 	}
 
 	@Test
-	void compressedFieldsAreReadAsTheyWereWritten() throws WireException {
+	void compressedFieldsDecodeToWhatWasEncoded() throws WireException {
 		byte[] text = new byte[60_000];
 		Arrays.fill(text, (byte) 'x');
 		byte[] frame = new FrameWriter().compressed(new FrameWriter().bytes(text).frame()).frame();
@@ -84,16 +84,16 @@
 		assertThat(reader.compressed(100_000).bytes()).isEqualTo(text);
 	}
 
-	/** Guards against few bytes that fill the memory once they are read. */
+	/** Guards against a few compressed bytes that exhaust memory when decompressed. */
 	@Test
-	void compressedFieldsAreHeldToALimit() throws WireException {
+	void compressedFieldsAreSubjectToALimit() throws WireException {
 		byte[] frame = new FrameWriter().compressed(new FrameWriter().bytes(new byte[60_000]).frame()).frame();
 		FrameReader reader = new FrameDecoder(100_000).decode(frame).get(0);
 		assertThrows(WireException.class, () -> reader.compressed(10_000));
 	}
 
 	@Test
-	void damagedFieldsAreRefused() throws WireException {
+	void damagedCompressedFieldsAreRejected() throws WireException {
 		byte[] frame = new FrameWriter().bytes(new byte[] { 1, 2, 3 }).frame();
 		FrameReader reader = new FrameDecoder(100_000).decode(frame).get(0);
 		assertThrows(WireException.class, () -> reader.compressed(10_000));
--- a/wire/src/test/java/org/brasspier/wire/HandshakeTests.java
+++ b/wire/src/test/java/org/brasspier/wire/HandshakeTests.java
@@ -20,7 +20,7 @@
 	private static final String NEW = "new-shared-key-0002";
 
 	@Test
-	void bothSidesLearnWhoIsAtTheOtherEnd() throws WireException {
+	void bothSidesAuthenticateTheOther() throws WireException {
 		Handshake connector = new Handshake(A, new SharedKeys(List.of(OLD)), Handshake.MAX_VERSION);
 		Handshake acceptor = new Handshake(B, new SharedKeys(List.of(OLD)), Handshake.MAX_VERSION);
 		Handshake.Accepted accepted = acceptor.accept(frame(connector.answer(frame(acceptor.challenge()))));
@@ -29,7 +29,7 @@
 	}
 
 	@Test
-	void aConnectorWithAnotherKeyIsRefused() throws WireException {
+	void aConnectorWithAnotherKeyIsRejected() throws WireException {
 		Handshake connector = new Handshake(A, new SharedKeys(List.of(NEW)), Handshake.MAX_VERSION);
 		Handshake acceptor = new Handshake(B, new SharedKeys(List.of(OLD)), Handshake.MAX_VERSION);
 		byte[] answer = connector.answer(frame(acceptor.challenge()));
@@ -37,7 +37,7 @@
 	}
 
 	@Test
-	void aRecordedProofIsWorthlessOnAnotherConnection() throws WireException {
+	void aRecordedProofIsRejectedOnAnotherConnection() throws WireException {
 		SharedKeys keys = new SharedKeys(List.of(OLD));
 		byte[] recorded = new Handshake(A, keys, Handshake.MAX_VERSION)
 			.answer(frame(new Handshake(B, keys, Handshake.MAX_VERSION).challenge()));
@@ -54,11 +54,11 @@
 		assertThat(connector.confirm(frame(accepted.reply())).instance()).isEqualTo(B);
 	}
 
-	// An operator adds the new key to one daemon's file, and drops the old one from
-	// another's before the first was reached. As long as they share one key, in whatever
-	// place, neither is cut off from the other, and neither sends a key.
+	// Guards against daemons that reject each other during a key rotation: one has the
+	// old and the new key, the other only one of them. One common key must be enough at
+	// any position, and no key may be sent.
 	@Test
-	void oneKeyInCommonIsEnoughWhateverItsPlace() throws WireException {
+	void oneCommonKeyIsEnoughAtAnyPosition() throws WireException {
 		SharedKeys both = new SharedKeys(List.of(OLD, NEW));
 		for (SharedKeys one : List.of(new SharedKeys(List.of(OLD)), new SharedKeys(List.of(NEW)))) {
 			Handshake.Accepted accepted = open(new Handshake(A, both, Handshake.MAX_VERSION),
@@ -79,7 +79,7 @@
 	}
 
 	@Test
-	void peersOfTwoVersionsSpeakTheEarlierOne() throws WireException {
+	void peersOfTwoVersionsUseTheEarlierOne() throws WireException {
 		SharedKeys keys = new SharedKeys(List.of(OLD));
 		Handshake earlier = new Handshake(A, keys, Handshake.MIN_VERSION);
 		Handshake later = new Handshake(B, keys, Handshake.MAX_VERSION);
@@ -90,7 +90,7 @@
 	}
 
 	@Test
-	void aPeerWithNoCommonVersionIsRefused() {
+	void aPeerWithoutACommonVersionIsRejected() {
 		byte[] challenge = new FrameWriter().number(7).number(9).bytes(new byte[16]).frame();
 		Handshake connector = new Handshake(A, new SharedKeys(List.of(OLD)), Handshake.MAX_VERSION);
 		assertThrows(WireException.class, () -> connector.answer(frame(challenge)));
--- a/wire/src/test/java/org/brasspier/wire/MessageDowngradeTests.java
+++ b/wire/src/test/java/org/brasspier/wire/MessageDowngradeTests.java
@@ -14,23 +14,23 @@
 
 	private static final VersionedRow KNOWN = new VersionedRow(5, CellRow.EMPTY);
 
-	private static final ControlMessage DIFFERENCE = new ControlMessage.RowDifference(RowDelta.between(BEFORE, KNOWN));
+	private static final ControlMessage DELTA = new ControlMessage.RowDifference(RowDelta.between(BEFORE, KNOWN));
 
 	@Test
-	void aPeerOfThisVersionIsToldTheDifference() {
-		assertThat(MessageDowngrade.forVersion(DIFFERENCE, Handshake.MAX_VERSION, KNOWN)).hasValue(DIFFERENCE);
+	void aPeerOfThisVersionGetsTheDelta() {
+		assertThat(MessageDowngrade.forVersion(DELTA, Handshake.MAX_VERSION, KNOWN)).hasValue(DELTA);
 	}
 
-	// In a rolling replacement a daemon of the earlier version got a message that it did
-	// not know, closed the connection, and lost its lease.
+	// Guards against lost leases in a rolling upgrade: a daemon of the earlier version
+	// received an unknown message, closed the connection and lost its lease.
 	@Test
-	void aPeerOfTheFirstVersionIsToldTheWholeRow() {
-		assertThat(MessageDowngrade.forVersion(DIFFERENCE, Handshake.MIN_VERSION, KNOWN))
+	void aPeerOfTheFirstVersionGetsTheWholeRow() {
+		assertThat(MessageDowngrade.forVersion(DELTA, Handshake.MIN_VERSION, KNOWN))
 			.hasValue(new ControlMessage.RowUpdate(KNOWN));
 	}
 
 	@Test
-	void whatBothVersionsKnowIsLeftAsItIs() {
+	void messagesOfBothVersionsAreUnchanged() {
 		ControlMessage probe = new ControlMessage.Probe();
 		assertThat(MessageDowngrade.forVersion(probe, Handshake.MIN_VERSION, KNOWN)).hasValue(probe);
 	}
--- a/wire/src/test/java/org/brasspier/wire/PeerProofTests.java
+++ b/wire/src/test/java/org/brasspier/wire/PeerProofTests.java
@@ -7,7 +7,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Daemons prove the shared key to each other over HTTP as well.
+ * HTTP calls between daemons are authenticated by the shared keys.
  */
 class PeerProofTests {
 
@@ -18,7 +18,7 @@
 	private final byte[] body = { 1, 2, 3 };
 
 	@Test
-	void aQuestionIsProvedForItsPathAndRandomNumberOnly() {
+	void aRequestProofIsValidForItsPathAndNonceOnly() {
 		String nonce = PeerProof.nonce();
 		String proof = PeerProof.proveRequest(this.keys, "/peer/document", nonce);
 		assertThat(PeerProof.verifyRequest(this.keys, "/peer/document", nonce, proof)).isTrue();
@@ -29,7 +29,7 @@
 	}
 
 	@Test
-	void anAnswerIsProvedForItsQuestionAndBodyOnly() {
+	void aResponseProofIsValidForItsNonceAndBodyOnly() {
 		String nonce = PeerProof.nonce();
 		String proof = PeerProof.proveResponse(this.keys, nonce, this.body);
 		assertThat(PeerProof.verifyResponse(this.keys, nonce, this.body, proof)).isTrue();
@@ -38,10 +38,11 @@
 	}
 
 	@Test
-	void duringARotationEachKeyIsAccepted() {
-		SharedKeys turned = new SharedKeys(List.of("a-new-shared-key-2", "an-old-shared-key-1"));
+	void everyKeyIsAcceptedDuringARotation() {
+		SharedKeys reordered = new SharedKeys(List.of("a-new-shared-key-2", "an-old-shared-key-1"));
 		String nonce = PeerProof.nonce();
-		assertThat(PeerProof.verifyRequest(this.keys, "/", nonce, PeerProof.proveRequest(turned, "/", nonce))).isTrue();
+		assertThat(PeerProof.verifyRequest(this.keys, "/", nonce, PeerProof.proveRequest(reordered, "/", nonce)))
+			.isTrue();
 	}
 
 }
--- a/wire/src/test/java/org/brasspier/wire/RowDeltaTests.java
+++ b/wire/src/test/java/org/brasspier/wire/RowDeltaTests.java
@@ -30,7 +30,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Rows that travel as differences against the same rows that travel whole.
+ * Rows sent as deltas are compared with the same rows sent whole.
  */
 class RowDeltaTests {
 
@@ -40,28 +40,29 @@
 
 	private static final ServiceName SERVICE = new ServiceName("hullbook");
 
-	// A member would serve a range that moved away if it made another row out of a
-	// difference than the primary wrote. Here each difference travels as a frame, may be
-	// lost, late or doubled, and versions skip; what doesn't apply is fetched whole.
+	// Guards against a member that serves a range that has moved away, because a delta
+	// yields another row than the primary wrote. Deltas are encoded as frames and may be
+	// lost, late or duplicated, and versions skip. A row is fetched whole if a delta does
+	// not apply.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8, 9, 10 })
-	void whoeverFollowsDifferencesKnowsTheSameRowsAsWhoeverGetsThemWhole(long seed) throws WireException {
+	void deltasYieldTheSameRowsAsWholeRows(long seed) throws WireException {
 		Random random = new Random(seed);
-		VersionedRow told = new VersionedRow(1, CellRow.EMPTY);
-		VersionedRow known = told;
+		VersionedRow written = new VersionedRow(1, CellRow.EMPTY);
+		VersionedRow known = written;
 		List<RowDelta> late = new ArrayList<>();
 		int applied = 0;
 		for (int i = 0; i < CHANGES; i++) {
-			VersionedRow next = new VersionedRow(told.version() + 1 + random.nextInt(3), changed(told, random));
-			RowDelta delta = throughAFrame(RowDelta.between(told, next));
-			told = next;
+			VersionedRow next = new VersionedRow(written.version() + 1 + random.nextInt(3), changed(written, random));
+			RowDelta delta = encodedAndDecoded(RowDelta.between(written, next));
+			written = next;
 			if (random.nextInt(8) == 0) {
 				late.add(delta);
 				continue;
 			}
 			Optional<VersionedRow> made = delta.applyTo(known);
 			applied += made.isPresent() ? 1 : 0;
-			known = made.orElse(throughAFrame(next));
+			known = made.orElse(encodedAndDecoded(next));
 			assertThat(known).isEqualTo(next);
 			assertThat(delta.applyTo(known)).isEmpty();
 			for (RowDelta old : late) {
@@ -71,11 +72,11 @@
 		assertThat(applied).isGreaterThan(CHANGES / 2);
 	}
 
-	// The platform restores its table from a copy, and two rows with the same version but
-	// other contents are about: one is in a member that was cut off. The difference names
-	// the base that the member has, but would leave it with owners that nobody wrote.
+	// Guards against owners that were never written: the platform restores its table from
+	// a backup, and a partitioned member holds a row with the same version but other
+	// contents. The version of the base matches, but the delta must not apply.
 	@Test
-	void aBaseOfTheSameVersionWithOtherContentsIsNoticed() {
+	void aBaseOfTheSameVersionWithOtherContentsIsRejected() {
 		CellRow row = CellRow.EMPTY.withRanges(KeyRange.split(4).stream().map((range) -> owned(range, 0, 3)).toList());
 		CellRow other = row.mapRanges((range) -> (range.range().low() == 0) ? range.ownedBy(instance(1), 4) : range);
 		CellRow next = row.mapRanges((range) -> (range.range().low() > 0) ? range.ownedBy(instance(2), 6) : range);
@@ -84,11 +85,11 @@
 		assertThat(delta.applyTo(new VersionedRow(5, other))).isEmpty();
 	}
 
-	private static RowDelta throughAFrame(RowDelta delta) throws WireException {
+	private static RowDelta encodedAndDecoded(RowDelta delta) throws WireException {
 		return ((ControlMessage.RowDifference) decoded(new ControlMessage.RowDifference(delta))).delta();
 	}
 
-	private static VersionedRow throughAFrame(VersionedRow row) throws WireException {
+	private static VersionedRow encodedAndDecoded(VersionedRow row) throws WireException {
 		return ((ControlMessage.RowUpdate) decoded(new ControlMessage.RowUpdate(row))).row();
 	}
 
