--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopCodec.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopCodec.java
@@ -170,7 +170,7 @@
 	}
 
 	static HopMessage decode(FrameReader frame) throws WireException {
-		int type = frame.small();
+		int type = frame.integer();
 		return (type == COMPRESSED) ? decode(frame.compressed(HopLink.MAX_FRAME_BYTES)) : decode(type, frame);
 	}
 
@@ -193,7 +193,7 @@
 			case FOLLOW_REQUEST -> new HopMessage.FollowRequest(versions(frame), frame.flag());
 			case ROW_CHANGES ->
 				new HopMessage.RowChanges(versions(frame), versions(frame), frame.flag(), rowsResponse(frame));
-			case LEASES_REQUEST -> new HopMessage.LeasesRequest(frame.number(), frame.small());
+			case LEASES_REQUEST -> new HopMessage.LeasesRequest(frame.number(), frame.integer());
 			case LEASES_RESPONSE -> leasesResponse(frame);
 			case CRASH_UPDATE -> new HopMessage.CrashUpdate(instance(frame), crashes(frame));
 			case PING -> new HopMessage.Ping(acceptsPieces(frame));
@@ -206,7 +206,7 @@
 
 	// Daemons of an earlier build do not send this flag.
 	private static boolean acceptsPieces(FrameReader frame) throws WireException {
-		return frame.more() && frame.flag();
+		return frame.hasMore() && frame.flag();
 	}
 
 	private static FrameWriter versions(FrameWriter frame, KnownRows versions) {
@@ -303,7 +303,7 @@
 			InstanceId instance = new InstanceId(frame.text());
 			double capacity = frame.number() / THOUSANDTHS;
 			return new HolderLoad(instance, capacity, frame
-				.list((each) -> new KeyLoad(new KeySpan(each.small(), each.small()), each.number() / THOUSANDTHS)));
+				.list((each) -> new KeyLoad(new KeySpan(each.integer(), each.integer()), each.number() / THOUSANDTHS)));
 		}
 		catch (IllegalArgumentException ex) {
 			throw new WireException("a load report of another daemon is invalid", ex);
@@ -314,21 +314,21 @@
 		try {
 			ServiceName service = new ServiceName(frame.text());
 			ServiceName caller = new ServiceName(frame.text());
-			RequestClass requestClass = RequestClass.values()[frame.small()];
+			RequestClass requestClass = RequestClass.values()[frame.integer()];
 			boolean idempotent = frame.flag();
 			boolean overdue = frame.flag();
 			String id = frame.text();
 			String host = frame.text();
 			String method = frame.text();
 			String target = frame.text();
-			int remaining = frame.small();
-			int key = frame.small();
+			int remaining = frame.integer();
+			int key = frame.integer();
 			OptionalInt optionalKey = (key == NO_KEY) ? OptionalInt.empty() : OptionalInt.of(key);
 			List<HeaderField> headers = frame.list(HopCodec::header);
 			byte[] body = frame.bytes();
 			// Daemons of an earlier build do not send this flag; their requests may
 			// always be queued.
-			boolean mayWait = !frame.more() || frame.flag();
+			boolean mayWait = !frame.hasMore() || frame.flag();
 			return new HopRequest(service, caller, requestClass, idempotent, overdue, mayWait,
 					new MeshRequest(id, host, method, target, headers, body, remaining, optionalKey));
 		}
@@ -342,7 +342,7 @@
 	}
 
 	private static SendOutcome answered(FrameReader frame) throws WireException {
-		int status = frame.small();
+		int status = frame.integer();
 		List<HeaderField> headers = frame.list(HopCodec::header);
 		return new SendOutcome.Answered(new Answer(status, headers, frame.bytes()));
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopSender.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopSender.java
@@ -43,7 +43,8 @@
 	 */
 	void peerAcceptsPieces(boolean accepts) {
 		this.acceptsPieces = accepts;
-		this.connection.setLargeFrameMode(accepts ? PeerConnection.LargeFrameMode.IN_PIECES : PeerConnection.LargeFrameMode.WHOLE);
+		this.connection
+			.setLargeFrameMode(accepts ? PeerConnection.LargeFrameMode.IN_PIECES : PeerConnection.LargeFrameMode.WHOLE);
 	}
 
 	boolean peerAcceptsPieces() {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopServer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/mesh/HopServer.java
@@ -151,7 +151,7 @@
 
 		private void receive(FrameReader frame) throws WireException {
 			switch (HopCodec.decode(frame)) {
-				case HopMessage.ForwardedRequest message when frame.inPieces() -> runLarge(message);
+				case HopMessage.ForwardedRequest message when frame.isInPieces() -> runLarge(message);
 				case HopMessage.ForwardedRequest message ->
 					run(message.exchange(), delayNanos(message), message.request());
 				case HopMessage.Cancel(long exchange) -> cancel(exchange);
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OwnershipDuty.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/OwnershipDuty.java
@@ -256,7 +256,8 @@
 			case OwnershipAction.WriteRow write -> write(write);
 			case OwnershipAction.Publish publish -> this.snapshot = this.publisher.snapshot(this.machine.view());
 			case OwnershipAction.Drain drain -> drain(drain);
-			case OwnershipAction.RecordEvent tell -> this.context.events().record(tell.kind(), tell.subject(), tell.detail());
+			case OwnershipAction.RecordEvent tell ->
+				this.context.events().record(tell.kind(), tell.subject(), tell.detail());
 			case OwnershipAction.OrderDone done -> this.orders.onOrderDone(done);
 			case OwnershipAction.Left left -> this.onRelinquished.run();
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/ownership/PeerLinks.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/ownership/PeerLinks.java
@@ -23,8 +23,8 @@
 import org.brasspier.daemon.internal.DaemonContext;
 import org.brasspier.daemon.internal.peer.PeerConnection;
 import org.brasspier.wire.ControlCodec;
-import org.brasspier.wire.EarlierVersion;
 import org.brasspier.wire.Handshake;
+import org.brasspier.wire.MessageDowngrade;
 import org.brasspier.wire.WireException;
 
 /**
@@ -177,7 +177,7 @@
 		// beat, its answer and a heartbeat, are sent in one segment, because the
 		// headers of a segment are larger than a frame.
 		private void write(ControlMessage message, int version) {
-			EarlierVersion.of(message, version, PeerLinks.this.known.get())
+			MessageDowngrade.forVersion(message, version, PeerLinks.this.known.get())
 				.map((known) -> ControlCodec.encode(known, PeerLinks.this.context.events().stamp()))
 				.ifPresent(this::write);
 		}
--- a/wire/src/main/java/org/brasspier/wire/ControlCodec.java
+++ b/wire/src/main/java/org/brasspier/wire/ControlCodec.java
@@ -19,12 +19,14 @@
 import org.brasspier.core.placement.PlacementInput.HotPoint;
 
 /**
- * Turns {@link ControlMessage}s into frames and back. Heartbeats and renewals are what
- * flows all the time, so they are numbers only. Stateless and thread-safe.
+ * Encodes {@link ControlMessage}s as frames and decodes them. Heartbeats and renewals are
+ * sent all the time, so they consist of numbers only. Stateless and thread-safe.
  */
 public final class ControlCodec {
 
-	/** The largest control frame: a row of a full cell with room to spare. */
+	/**
+	 * The largest control frame: large enough for the row of a full cell, with a margin.
+	 */
 	public static final int MAX_FRAME_BYTES = 1 << 20;
 
 	private static final int HEARTBEAT = 1;
@@ -69,7 +71,8 @@
 	/**
 	 * Encodes a message.
 	 * @param message the message
-	 * @param stamp the sender's stamp, so that what the message causes is stamped later
+	 * @param stamp the sender's hybrid timestamp; the receiver stamps the effects of the
+	 * message later than this
 	 * @return the frame to send
 	 */
 	public static byte[] encode(ControlMessage message, HybridTime stamp) {
@@ -133,7 +136,7 @@
 	}
 
 	/**
-	 * Decodes the stamp, which comes before the message.
+	 * Decodes the stamp, which precedes the message.
 	 * @param in the frame received
 	 * @return the sender's stamp
 	 * @throws WireException if the frame is malformed
@@ -150,25 +153,25 @@
 	 */
 	public static ControlMessage decode(FrameReader in) throws WireException {
 		try {
-			int type = in.small();
+			int type = in.integer();
 			return switch (type) {
-				case HEARTBEAT -> new ControlMessage.Heartbeat(in.small(), in.number(), in.number(), in.number(),
+				case HEARTBEAT -> new ControlMessage.Heartbeat(in.integer(), in.number(), in.number(), in.number(),
 						in.number(), in.number());
-				case RENEWAL -> new ControlMessage.Renewal(in.small(), in.number(), in.number(), in.number(),
+				case RENEWAL -> new ControlMessage.Renewal(in.integer(), in.number(), in.number(), in.number(),
 						in.number(), in.number());
-				case BEAT -> new ControlMessage.Beat(in.small(), in.number(), in.number(), in.number(),
+				case BEAT -> new ControlMessage.Beat(in.integer(), in.number(), in.number(), in.number(),
 						in.list(ControlCodec::readKey));
-				case BEAT_ANSWER -> new ControlMessage.BeatAnswer(in.small(), in.number(), in.number(), in.flag(),
+				case BEAT_ANSWER -> new ControlMessage.BeatAnswer(in.integer(), in.number(), in.number(), in.flag(),
 						in.number(), in.list((frame) -> new ControlMessage.Promised(readKey(frame), frame.number())));
 				case ROW_UPDATE -> new ControlMessage.RowUpdate(new VersionedRow(in.number(), RowFrames.read(in)));
 				case ROW_DIFFERENCE -> new ControlMessage.RowDifference(RowFrames.readDelta(in));
 				case ROW_REQUEST -> new ControlMessage.RowRequest(in.number());
 				case ANNOUNCE -> new ControlMessage.Announce(RowFrames.readMember(in));
 				case RELEASE -> new ControlMessage.Release(in.list(ControlCodec::readHeld));
-				case RELEASED -> new ControlMessage.Released(in.small(), in.list(ControlCodec::readReleased));
+				case RELEASED -> new ControlMessage.Released(in.integer(), in.list(ControlCodec::readReleased));
 				case LOADS -> new ControlMessage.Loads(new ServiceName(in.text()), in.list(ControlCodec::readLoad));
 				case PROBE -> new ControlMessage.Probe();
-				case PROBE_ANSWER -> new ControlMessage.ProbeAnswer(in.small(), in.number(), in.number());
+				case PROBE_ANSWER -> new ControlMessage.ProbeAnswer(in.integer(), in.number(), in.number());
 				case ORDER_SENT -> new ControlMessage.OrderSent(in.number(), readOrder(in));
 				case ORDER_ANSWER -> new ControlMessage.OrderAnswer(in.number(), in.flag(), in.text());
 				default -> throw new WireException("control frame type %d is unknown".formatted(type));
@@ -184,7 +187,7 @@
 	}
 
 	private static MemberKey readKey(FrameReader in) throws WireException {
-		return new MemberKey(new InstanceId(in.text()), in.small());
+		return new MemberKey(new InstanceId(in.text()), in.integer());
 	}
 
 	private static FrameWriter writeHeld(FrameWriter out, HeldRange held) {
@@ -208,20 +211,21 @@
 	private static void writeLoad(FrameWriter out, RangeLoad load) {
 		out.number(load.range().low())
 			.number(load.range().high())
-			.number(milli(load.busySlots()))
+			.number(toThousandths(load.busySlots()))
 			.number(load.hottest().map(HotPoint::point).orElse(-1L))
-			.number(milli(load.hottest().map(HotPoint::busySlots).orElse(0.0)));
+			.number(toThousandths(load.hottest().map(HotPoint::busySlots).orElse(0.0)));
 	}
 
 	private static RangeLoad readLoad(FrameReader in) throws WireException {
 		KeyRange range = new KeyRange(in.number(), in.number());
-		double busy = in.number() / 1000.0;
+		double busySlots = in.number() / 1000.0;
 		long point = in.number();
-		double hot = in.number() / 1000.0;
-		return new RangeLoad(range, busy, (point < 0) ? Optional.empty() : Optional.of(new HotPoint(point, hot)));
+		double hottestSlots = in.number() / 1000.0;
+		return new RangeLoad(range, busySlots,
+				(point < 0) ? Optional.empty() : Optional.of(new HotPoint(point, hottestSlots)));
 	}
 
-	private static long milli(double value) {
+	private static long toThousandths(double value) {
 		return Math.round(value * 1000);
 	}
 
@@ -237,7 +241,7 @@
 	}
 
 	private static ControlMessage.Order readOrder(FrameReader in) throws WireException {
-		int type = in.small();
+		int type = in.integer();
 		return switch (type) {
 			case ORDER_DRAIN -> new ControlMessage.Order.Drain(new InstanceId(in.text()), in.flag());
 			case ORDER_MOVE -> new ControlMessage.Order.Move(new ServiceName(in.text()),
--- a/wire/src/test/java/org/brasspier/wire/PeerProofTests.java
+++ b/wire/src/test/java/org/brasspier/wire/PeerProofTests.java
@@ -7,7 +7,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Daemons prove the shared key to each other over HTTP as well.
+ * HTTP calls between daemons are authenticated by the shared keys.
  */
 class PeerProofTests {
 
@@ -18,30 +18,31 @@
 	private final byte[] body = { 1, 2, 3 };
 
 	@Test
-	void aQuestionIsProvedForItsPathAndRandomNumberOnly() {
+	void aRequestProofIsValidForItsPathAndNonceOnly() {
 		String nonce = PeerProof.nonce();
-		String proof = PeerProof.ask(this.keys, "/peer/document", nonce);
-		assertThat(PeerProof.asked(this.keys, "/peer/document", nonce, proof)).isTrue();
-		assertThat(PeerProof.asked(this.keys, "/peer/measures", nonce, proof)).isFalse();
-		assertThat(PeerProof.asked(this.keys, "/peer/document", PeerProof.nonce(), proof)).isFalse();
-		assertThat(PeerProof.asked(this.others, "/peer/document", nonce, proof)).isFalse();
-		assertThat(PeerProof.asked(this.keys, "/peer/document", nonce, "no hexadecimal")).isFalse();
+		String proof = PeerProof.proveRequest(this.keys, "/peer/document", nonce);
+		assertThat(PeerProof.verifyRequest(this.keys, "/peer/document", nonce, proof)).isTrue();
+		assertThat(PeerProof.verifyRequest(this.keys, "/peer/measures", nonce, proof)).isFalse();
+		assertThat(PeerProof.verifyRequest(this.keys, "/peer/document", PeerProof.nonce(), proof)).isFalse();
+		assertThat(PeerProof.verifyRequest(this.others, "/peer/document", nonce, proof)).isFalse();
+		assertThat(PeerProof.verifyRequest(this.keys, "/peer/document", nonce, "no hexadecimal")).isFalse();
 	}
 
 	@Test
-	void anAnswerIsProvedForItsQuestionAndBodyOnly() {
+	void aResponseProofIsValidForItsNonceAndBodyOnly() {
 		String nonce = PeerProof.nonce();
-		String proof = PeerProof.answer(this.keys, nonce, this.body);
-		assertThat(PeerProof.answered(this.keys, nonce, this.body, proof)).isTrue();
-		assertThat(PeerProof.answered(this.keys, nonce, new byte[] { 1 }, proof)).isFalse();
-		assertThat(PeerProof.answered(this.keys, PeerProof.nonce(), this.body, proof)).isFalse();
+		String proof = PeerProof.proveResponse(this.keys, nonce, this.body);
+		assertThat(PeerProof.verifyResponse(this.keys, nonce, this.body, proof)).isTrue();
+		assertThat(PeerProof.verifyResponse(this.keys, nonce, new byte[] { 1 }, proof)).isFalse();
+		assertThat(PeerProof.verifyResponse(this.keys, PeerProof.nonce(), this.body, proof)).isFalse();
 	}
 
 	@Test
-	void duringARotationEachKeyIsAccepted() {
-		SharedKeys turned = new SharedKeys(List.of("a-new-shared-key-2", "an-old-shared-key-1"));
+	void everyKeyIsAcceptedDuringARotation() {
+		SharedKeys reordered = new SharedKeys(List.of("a-new-shared-key-2", "an-old-shared-key-1"));
 		String nonce = PeerProof.nonce();
-		assertThat(PeerProof.asked(this.keys, "/", nonce, PeerProof.ask(turned, "/", nonce))).isTrue();
+		assertThat(PeerProof.verifyRequest(this.keys, "/", nonce, PeerProof.proveRequest(reordered, "/", nonce)))
+			.isTrue();
 	}
 
 }
