--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendCalls.java
@@ -49,7 +49,7 @@
 	 * Calls this address from now on.
 	 * @param newAddress the IP number and port
 	 */
-	public void address(String newAddress) {
+	public void setAddress(String newAddress) {
 		this.address = newAddress;
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendClient.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendClient.java
@@ -48,7 +48,7 @@
 
 	private static final HttpHeader DEADLINE_AT = HttpHeaders.of("Brasspier-Deadline-At");
 
-	private static final long LATELY_NANOS = 100_000_000;
+	private static final long RECENT_USE_NANOS = 100_000_000;
 
 	private static final int NO_CONTENT = 204;
 
@@ -80,10 +80,10 @@
 	 * Sends orders to this address from now on.
 	 * @param newAddress the IP number and port
 	 */
-	public void address(String newAddress) {
+	public void setAddress(String newAddress) {
 		if (!this.address.equals(newAddress)) {
 			this.address = newAddress;
-			forgetConnections();
+			closeIdleConnections();
 		}
 	}
 
@@ -91,7 +91,7 @@
 	 * Closes the connections that rest, as when the backend server is lost or one of them
 	 * turned out to be silent.
 	 */
-	public void forgetConnections() {
+	public void closeIdleConnections() {
 		this.idle.forEach(BackendConnection::close);
 		this.idle.clear();
 	}
@@ -101,8 +101,9 @@
 	 * @param order the order
 	 * @return its run
 	 */
-	public BackendRun run(BackendOrder order) {
-		BackendConnection connection = order.request().requestClass().idempotent() ? connection() : lately();
+	public BackendRun run(BackendRequest order) {
+		BackendConnection connection = order.callerRequest().requestClass().idempotent() ? connection()
+				: recentConnection();
 		Run run = new Run(order, connection);
 		try {
 			run.begin(message(order), order.waitMillis());
@@ -119,7 +120,7 @@
 	private BackendConnection connection() {
 		long now = System.nanoTime();
 		BackendConnection resting = this.idle.pollFirst();
-		while (resting != null && !resting.usable(now)) {
+		while (resting != null && !resting.isUsable(now)) {
 			resting.close();
 			resting = this.idle.pollFirst();
 		}
@@ -129,21 +130,21 @@
 	// A posting can't be sent again, so it goes on a connection that carried an answer
 	// just
 	// now, or on a new one, which costs about a millisecond.
-	private BackendConnection lately() {
+	private BackendConnection recentConnection() {
 		BackendConnection latest = this.idle.peekFirst();
-		return (latest != null && latest.open() && latest.restedNanos(System.nanoTime()) < LATELY_NANOS) ? connection()
-				: new BackendConnection(this.reactor);
+		return (latest != null && latest.isOpen() && latest.idleNanos(System.nanoTime()) < RECENT_USE_NANOS)
+				? connection() : new BackendConnection(this.reactor);
 	}
 
-	private void rest(BackendConnection connection) {
-		if (connection.open()) {
-			connection.rests(System.nanoTime());
+	private void release(BackendConnection connection) {
+		if (connection.isOpen()) {
+			connection.onIdle(System.nanoTime());
 			this.idle.addFirst(connection);
 		}
 	}
 
-	private HttpRequest message(BackendOrder order) {
-		CallerRequest request = order.request();
+	private HttpRequest message(BackendRequest order) {
+		CallerRequest request = order.callerRequest();
 		HttpRequest.Builder builder = HttpRequest
 			.builder(HttpMethod.valueOf(request.target().method()), "http://" + this.address + request.target().path())
 			.withHeader(FENCE, order.held().fence().toString())
@@ -165,7 +166,7 @@
 	 */
 	private final class Run implements BackendRun {
 
-		private final BackendOrder order;
+		private final BackendRequest order;
 
 		private final BackendConnection connection;
 
@@ -173,7 +174,7 @@
 
 		private boolean ended;
 
-		Run(BackendOrder order, BackendConnection connection) {
+		Run(BackendRequest order, BackendConnection connection) {
 			this.order = order;
 			this.connection = connection;
 		}
@@ -193,10 +194,10 @@
 		}
 
 		private BackendReply noAnswer(Exception ex) {
-			if (this.connection.notSent(ex)) {
+			if (this.connection.isNotSent(ex)) {
 				return new BackendReply.NotSent(String.valueOf(ex.getMessage()));
 			}
-			return (ex instanceof MalformedHttpException && this.connection.heard())
+			return (ex instanceof MalformedHttpException && this.connection.hasReceived())
 					? new BackendReply.BadAnswer(String.valueOf(ex.getMessage()))
 					: new BackendReply.Broken(String.valueOf(ex.getMessage()));
 		}
@@ -227,14 +228,14 @@
 		private boolean answers(HttpResponse response) {
 			String id = response.getHeader(ID);
 			String fence = response.getHeader(FENCE);
-			return (id == null || id.equals(this.order.request().id().value()))
+			return (id == null || id.equals(this.order.callerRequest().id().value()))
 					&& (fence == null || fence.equals(this.order.held().fence().toString()));
 		}
 
 		private boolean lengthStated(HttpResponse response) {
 			return response.hasHeader(HttpHeaders.CONTENT_LENGTH) || response.hasHeader(HttpHeaders.TRANSFER_ENCODING)
 					|| response.getCode() == NO_CONTENT || response.getCode() == NOT_MODIFIED
-					|| this.order.request().target().method().equals(HttpMethod.HEAD.name());
+					|| this.order.callerRequest().target().method().equals(HttpMethod.HEAD.name());
 		}
 
 		private BackendReply reply(HttpResponse response, byte[] body) {
@@ -266,7 +267,7 @@
 			this.ended = true;
 			if (reusable) {
 				whenFree(() -> {
-					rest(this.connection);
+					release(this.connection);
 					this.reply.set(end);
 				});
 			}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendConnection.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendConnection.java
@@ -43,11 +43,11 @@
 
 	private Optional<TcpSocket> socket = Optional.empty();
 
-	private boolean wrote;
+	private boolean hasWritten;
 
 	private boolean heard;
 
-	private long restsSinceNanos;
+	private long idleSinceNanos;
 
 	BackendConnection(NioReactor reactor) {
 		Watch watch = new Watch();
@@ -62,19 +62,19 @@
 	}
 
 	Promise<HttpResponse> request(HttpRequest request) {
-		this.wrote = false;
+		this.hasWritten = false;
 		this.heard = false;
 		return this.http.request(request);
 	}
 
 	// Whether the latest request certainly did not leave this process. Both must say so:
 	// that nothing was written, and that the connection was never made.
-	boolean notSent(Exception ex) {
-		return !this.wrote && (failedToConnect(ex) || (ex.getCause() != null && failedToConnect(ex.getCause())));
+	boolean isNotSent(Exception ex) {
+		return !this.hasWritten && (failedToConnect(ex) || (ex.getCause() != null && failedToConnect(ex.getCause())));
 	}
 
 	// Whether any byte of an answer to the latest request came.
-	boolean heard() {
+	boolean hasReceived() {
 		return this.heard;
 	}
 
@@ -84,20 +84,20 @@
 
 	// Whether it can be used again. The library looks for connections that rested too
 	// long once a second only; a server may have closed one by then.
-	boolean usable(long nowNanos) {
-		return open() && restedNanos(nowNanos) < KEEP_ALIVE.toNanos();
+	boolean isUsable(long nowNanos) {
+		return isOpen() && idleNanos(nowNanos) < KEEP_ALIVE.toNanos();
 	}
 
-	boolean open() {
+	boolean isOpen() {
 		return this.socket.filter((opened) -> !opened.isClosed()).isPresent();
 	}
 
-	void rests(long nowNanos) {
-		this.restsSinceNanos = nowNanos;
+	void onIdle(long nowNanos) {
+		this.idleSinceNanos = nowNanos;
 	}
 
-	long restedNanos(long nowNanos) {
-		return nowNanos - this.restsSinceNanos;
+	long idleNanos(long nowNanos) {
+		return nowNanos - this.idleSinceNanos;
 	}
 
 	void close() {
@@ -119,7 +119,7 @@
 
 		@Override
 		public void onWrite(TcpSocket opened, ByteBuf buf, int bytes) {
-			BackendConnection.this.wrote = true;
+			BackendConnection.this.hasWritten = true;
 		}
 
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendPort.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendPort.java
@@ -62,7 +62,7 @@
 	private Promise<HttpResponse> announce(String body) {
 		try {
 			BackendAnnouncement announcement = BackendAnnouncement.parse(body);
-			this.watch.announced(announcement);
+			this.watch.onAnnouncement(announcement);
 			boolean mayStop = announcement.state() == BackendState.DRAINING && this.drained.getAsBoolean();
 			return HttpResponse.ok200().withJson(GSON.toJson(new Accepted(true, mayStop))).toPromise();
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendOrder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendRequest.java
@@ -6,12 +6,12 @@
 /**
  * An order as it goes to the backend server. Immutable and thread-safe.
  *
- * @param request the caller's request
+ * @param callerRequest the caller's request
  * @param held the range its key or id is in, and the fence it is handed over under
  * @param deadlineAtMillis milliseconds since 1970 after which the work must not begin,
  * nor take effect
  * @param waitMillis how long the answer is waited for, in milliseconds
  */
-public record BackendOrder(CallerRequest request, HeldRange held, long deadlineAtMillis, long waitMillis) {
+public record BackendRequest(CallerRequest callerRequest, HeldRange held, long deadlineAtMillis, long waitMillis) {
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendWatch.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendWatch.java
@@ -53,7 +53,7 @@
 	 * Tells a listener of each change from now on.
 	 * @param listener the listener
 	 */
-	public void listen(Listener listener) {
+	public void addListener(Listener listener) {
 		this.listeners.add(listener);
 	}
 
@@ -67,7 +67,7 @@
 	private void tick() {
 		this.reactor.delayBackground(PROBE_EVERY_MILLIS, this::tick);
 		probe();
-		tell();
+		reportChange();
 	}
 
 	private void probe() {
@@ -75,21 +75,21 @@
 			return;
 		}
 		this.probing = true;
-		answersNow().whenResult((answers) -> this.probing = false);
+		probeNow().whenResult((answers) -> this.probing = false);
 	}
 
 	/**
 	 * Asks the backend server for a sign of life, as after a broken connection.
 	 * @return false if nobody listens or nothing came in time; never an exception
 	 */
-	public Promise<Boolean> answersNow() {
+	public Promise<Boolean> probeNow() {
 		return this.calls.health().map((health) -> {
 			switch (health) {
 				case ANSWERED -> this.liveness.onAnswer();
 				case SILENT -> this.liveness.onProbeTimeout();
 				case REFUSED -> this.liveness.onConnectionRefused();
 			}
-			tell();
+			reportChange();
 			return health == BackendCalls.Health.ANSWERED;
 		});
 	}
@@ -98,17 +98,17 @@
 	 * Takes an announcement.
 	 * @param latest the announcement
 	 */
-	public void announced(BackendAnnouncement latest) {
+	public void onAnnouncement(BackendAnnouncement latest) {
 		this.announcement = Optional.of(latest);
-		this.calls.address(latest.address());
+		this.calls.setAddress(latest.address());
 		this.liveness.onAnnouncement(System.nanoTime());
-		tell();
+		reportChange();
 	}
 
 	/**
 	 * An order was answered, which shows life.
 	 */
-	public void heard() {
+	public void onAnswer() {
 		this.liveness.onAnswer();
 	}
 
@@ -117,7 +117,7 @@
 	 * effect.
 	 * @return false if it may only be frozen
 	 */
-	public boolean gone() {
+	public boolean isGone() {
 		return this.liveness.isGone();
 	}
 
@@ -147,7 +147,7 @@
 				known.address(), known.slots(), known.connections(), known.checksFences(), known.coldStartMillis())));
 	}
 
-	private void tell() {
+	private void reportChange() {
 		Optional<BackendStatus> now = status();
 		if (now.equals(this.reported)) {
 			return;
@@ -157,7 +157,7 @@
 			EventKind kind = (status.state() == BackendState.LOST) ? EventKind.BACKEND_LOST
 					: EventKind.BACKEND_ANNOUNCED;
 			this.events.record(kind, status.service(), status.address() + " is " + status.state());
-			this.listeners.forEach((listener) -> listener.changed(status));
+			this.listeners.forEach((listener) -> listener.onStatusChanged(status));
 		});
 	}
 
@@ -170,7 +170,7 @@
 		 * What is known of the backend server has changed.
 		 * @param status what is known now
 		 */
-		void changed(BackendStatus status);
+		void onStatusChanged(BackendStatus status);
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/GrantRenewal.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/GrantRenewal.java
@@ -77,7 +77,7 @@
 	 * Forgets what was acknowledged, as when the backend server is lost or refuses a
 	 * fence that it was granted.
 	 */
-	public void forget() {
+	public void forgetAcknowledged() {
 		doubt(this.acknowledged, this.acknowledgedUntilNanos);
 		this.acknowledged = Set.of();
 		this.sent = Set.of();
@@ -89,7 +89,7 @@
 	 * @param nowNanos the time, as {@link System#nanoTime()} counts
 	 * @return false if an order under it would be refused
 	 */
-	public boolean acknowledged(HeldRange held, long nowNanos) {
+	public boolean isAcknowledged(HeldRange held, long nowNanos) {
 		return nowNanos - this.acknowledgedUntilNanos < 0 && this.acknowledged.contains(held);
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRunner.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRunner.java
@@ -82,7 +82,7 @@
 			this.reactor.post(() -> slotFree.accept(RunOutcome.NOT_STARTED));
 			return OrderRun.ended(refusal);
 		}
-		this.watch.announcement().ifPresent((known) -> this.client.address(known.address()));
+		this.watch.announcement().ifPresent((known) -> this.client.setAddress(known.address()));
 		boolean checksFences = this.watch.announcement().filter((known) -> known.checksFences()).isPresent();
 		RunningOrder started = new RunningOrder(this, order, checksFences, slotFree);
 		this.running.add(started);
@@ -114,7 +114,7 @@
 
 	private Promise<Boolean> acknowledged(Order order, long giveUpNanos) {
 		long now = System.nanoTime();
-		if (this.grants.acknowledged(order.held(), now) || now - giveUpNanos >= 0) {
+		if (this.grants.isAcknowledged(order.held(), now) || now - giveUpNanos >= 0) {
 			return Promise.of(now - giveUpNanos < 0);
 		}
 		return Promises.delay(LOOK_AGAIN).then(() -> acknowledged(order, giveUpNanos));
@@ -131,7 +131,7 @@
 
 	// Frozen or gone: nothing more comes of what it was at.
 	void serverLost() {
-		this.client.forgetConnections();
+		this.client.closeIdleConnections();
 		List.copyOf(this.running).forEach((order) -> order.abandon("the backend server is lost"));
 		long now = System.nanoTime();
 		this.breaks.stream()
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestPath.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestPath.java
@@ -126,7 +126,7 @@
 		this.callers.listen();
 		this.backends.listen();
 		this.forwards.listen();
-		this.watch.listen((status) -> {
+		this.watch.addListener((status) -> {
 			this.outcomes.slots(status.service(), status.slots());
 			report();
 		});
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
@@ -11,8 +11,8 @@
 import org.brasspier.core.RequestClass;
 import org.brasspier.core.admission.RunOutcome;
 import org.brasspier.core.event.EventKind;
-import org.brasspier.daemon.internal.backend.BackendOrder;
 import org.brasspier.daemon.internal.backend.BackendReply;
+import org.brasspier.daemon.internal.backend.BackendRequest;
 import org.brasspier.daemon.internal.backend.BackendRun;
 
 /**
@@ -101,14 +101,14 @@
 		long timeOfDayMillis = System.currentTimeMillis();
 		long deadlineAtMillis = timeOfDayMillis + (this.deadlineAtNanos - System.nanoTime()) / NANOS_PER_MILLI;
 		BackendRun next = this.runner.client()
-			.run(new BackendOrder(this.order.request(), this.order.held(), deadlineAtMillis, waitMillis));
+			.run(new BackendRequest(this.order.request(), this.order.held(), deadlineAtMillis, waitMillis));
 		this.run = Optional.of(next);
 		next.reply().whenResult((reply) -> {
 			long now = System.nanoTime();
 			if (again && reply instanceof BackendReply.TimedOut && this.order.remainingMillis(now) > 0) {
 				this.runner.record(EventKind.CONNECTION_REPLACED, this.order, "no answer on the first connection");
 				this.secondTry = true;
-				this.runner.client().forgetConnections();
+				this.runner.client().closeIdleConnections();
 				handAgain();
 				return;
 			}
@@ -156,18 +156,18 @@
 	private void end(BackendReply reply) {
 		switch (reply) {
 			case BackendReply.Whole(var answer) -> {
-				this.runner.watch().heard();
+				this.runner.watch().onAnswer();
 				this.runner.record(EventKind.REQUEST_ANSWERED, this.order, "status " + answer.status());
 				settle(new Outcome.Answered(answer, this.order.held().fence(), ""), RunOutcome.ANSWERED);
 			}
 			case BackendReply.Shed(Duration retryAfter) -> notRun(ErrorKind.OVERLOADED,
 					"the backend server shed the request", retryAfter.isZero() ? RETRY_SOON : retryAfter, shed());
 			case BackendReply.FenceRefused ignored -> {
-				this.runner.grants().forget();
+				this.runner.grants().forgetAcknowledged();
 				notRun(ErrorKind.NO_OWNER, "the backend server refused the fence", RETRY_SOON, RunOutcome.NOT_STARTED);
 			}
 			case BackendReply.NotSent(String reason) -> {
-				this.runner.watch().answersNow();
+				this.runner.watch().probeNow();
 				notRun(ErrorKind.NO_BACKEND, "the backend server can't be reached: " + reason, RETRY_SOON,
 						RunOutcome.NOT_STARTED);
 			}
@@ -199,7 +199,7 @@
 			lost(kind, detail);
 			return;
 		}
-		this.runner.watch().answersNow().whenResult((answers) -> {
+		this.runner.watch().probeNow().whenResult((answers) -> {
 			if (answers) {
 				this.runner.broke(this.order);
 				settle(Outcome.failed(kind, detail), RunOutcome.INTERRUPTED);
@@ -244,7 +244,7 @@
 	// A server that was paused begins what it has not read yet when it wakes, until the
 	// order's deadline or, where it checks fences, until its grant ends.
 	private long runsOnForNanos(RunOutcome slot) {
-		if (slot != RunOutcome.INTERRUPTED || this.runner.watch().gone()) {
+		if (slot != RunOutcome.INTERRUPTED || this.runner.watch().isGone()) {
 			return 0;
 		}
 		long now = System.nanoTime();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
@@ -87,7 +87,7 @@
 		this.grants = grants;
 		this.runner = runner;
 		this.catalog = catalog;
-		watch.listen(this);
+		watch.addListener(this);
 	}
 
 	/**
@@ -102,7 +102,7 @@
 		if (server.isEmpty() || !servable()) {
 			return OrderRun.ended(noBackend("the backend server beside the owner can't serve now"));
 		}
-		if (server.get().checksFences() && !this.grants.acknowledged(order.held(), System.nanoTime())) {
+		if (server.get().checksFences() && !this.grants.isAcknowledged(order.held(), System.nanoTime())) {
 			return afterGrant(order, cancellation);
 		}
 		return offer(order, cancellation);
@@ -140,7 +140,7 @@
 	boolean granted(HeldRange held) {
 		boolean byId = this.catalog.get().dividedByRequestId(held.service());
 		boolean checksFences = this.watch.announcement().filter(BackendAnnouncement::checksFences).isPresent();
-		return checksFences && !byId && !this.watch.gone() && this.grants.remainingNanos(held, System.nanoTime()) > 0;
+		return checksFences && !byId && !this.watch.isGone() && this.grants.remainingNanos(held, System.nanoTime()) > 0;
 	}
 
 	private void followDocument(ServiceName service) {
@@ -230,7 +230,7 @@
 	}
 
 	@Override
-	public void changed(BackendStatus status) {
+	public void onStatusChanged(BackendStatus status) {
 		if (status.state() == BackendState.DRAINING && this.state != BackendState.DRAINING) {
 			this.drainingSinceNanos = System.nanoTime();
 		}
@@ -238,7 +238,7 @@
 		this.admission
 			.updateLimits(new AdmissionLimits(status.slots(), Math.max(1, status.connections() - OWN_CONNECTIONS)));
 		if (status.state() == BackendState.LOST) {
-			this.grants.forget();
+			this.grants.forgetAcknowledged();
 			List<RefusedRequest> refused = this.admission
 				.refuseWaiting(new Failure(ErrorKind.NO_BACKEND, "the backend server is lost", RETRY_SOON));
 			refused.forEach(this::refuse);
--- a/daemon/src/test/java/org/brasspier/daemon/internal/backend/BackendCallsTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/backend/BackendCallsTests.java
@@ -25,7 +25,7 @@
 		Eventloop loop = Eventloop.builder().withCurrentThread().build();
 		try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			BackendCalls calls = new BackendCalls(loop);
-			calls.address("127.0.0.1:" + silent.getLocalPort());
+			calls.setAddress("127.0.0.1:" + silent.getLocalPort());
 			loop.post(() -> {
 				calls.grants(GrantList.until(0, List.of())).whenResult((taken) -> order.add("taken " + taken));
 				loop.delay(LATE_MILLIS, () -> order.add("late"));
--- a/daemon/src/test/java/org/brasspier/daemon/internal/backend/GrantRenewalTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/backend/GrantRenewalTests.java
@@ -40,7 +40,7 @@
 		try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			String address = "127.0.0.1:" + silent.getLocalPort();
 			BackendCalls calls = new BackendCalls(loop);
-			calls.address(address);
+			calls.setAddress(address);
 			OwnershipSnapshot snapshot = holding(KeyRange.ALL, now + TimeUnit.MINUTES.toNanos(1));
 			GrantRenewal grants = new GrantRenewal(calls, () -> snapshot, () -> ServiceCatalog.OPEN);
 			loop.post(() -> grants.renew(announced(address), now));
