--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendAnnouncement.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendAnnouncement.java
@@ -11,16 +11,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a backend server says of itself when it announces itself. Immutable and
+ * The state and limits that a backend server announces to its daemon. Immutable and
  * thread-safe.
  *
  * @param service the service it belongs to
  * @param address its IP number and port
- * @param state whether it can serve, or wants to leave
- * @param slots how many requests it runs at once
+ * @param state whether it is starting, ready or draining
+ * @param slots how many requests it runs concurrently
  * @param connections how many connections it accepts
- * @param checksFences whether it refuses orders under an old fence
- * @param coldStartMillis how long it takes to be warm, in milliseconds
+ * @param checksFences whether it rejects requests with an outdated fence
+ * @param coldStartMillis warm-up time after a start, in milliseconds
  */
 public record BackendAnnouncement(ServiceName service, String address, BackendState state, int slots, int connections,
 		boolean checksFences, int coldStartMillis) {
@@ -32,7 +32,7 @@
 		.create();
 
 	/**
-	 * Checks the numbers and the address.
+	 * Validates the limits and the address.
 	 * @throws IllegalArgumentException if a limit is not positive or the address is not
 	 * an IP number with a port
 	 */
@@ -49,8 +49,8 @@
 	}
 
 	/**
-	 * Reads an announcement.
-	 * @param json the body as it came
+	 * Parses an announcement.
+	 * @param json the JSON body
 	 * @return the announcement
 	 * @throws IllegalArgumentException if it is malformed
 	 */
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendCalls.java
@@ -13,18 +13,22 @@
 import org.brasspier.core.RequestId;
 
 /**
- * The daemon's own calls to the backend server, beside orders: grants, cancellations and
- * health. They never wait long and never hold an order's connection. Belongs to the
- * thread of requests.
+ * Sends the daemon's own calls to the backend server: grants, cancellations and health
+ * checks. Each call has a short timeout and never uses the connection of a request. Not
+ * thread-safe; confined to the request thread.
  */
 public final class BackendCalls {
 
 	/**
-	 * Shorter than an order waits for its grant, so that the call after it is in time.
+	 * Shorter than the time a request waits for its grant, so that a repeated call is
+	 * still in time.
 	 */
 	private static final Duration TIMEOUT = Duration.ofMillis(400);
 
-	/** A starved server may answer this late; taken for lost, its ranges would move. */
+	/**
+	 * A server that is short of processor time may answer this late. If it were taken for
+	 * lost, its ranges would move.
+	 */
 	private static final Duration PROBE_TIMEOUT = Duration.ofMillis(800);
 
 	private static final int MAX_BODY_BYTES = 4096;
@@ -38,15 +42,15 @@
 	private String address = "";
 
 	/**
-	 * Creates the calls for a backend server that is not known yet.
-	 * @param reactor the reactor of the thread of requests
+	 * Creates the calls with no address yet.
+	 * @param reactor the reactor of the request thread
 	 */
 	public BackendCalls(NioReactor reactor) {
 		this.reactor = reactor;
 	}
 
 	/**
-	 * Calls this address from now on.
+	 * Sets the address that later calls use.
 	 * @param newAddress the IP number and port
 	 */
 	public void setAddress(String newAddress) {
@@ -54,18 +58,18 @@
 	}
 
 	/**
-	 * Asks how it is.
-	 * @return how that ended; never an exception
+	 * Checks the health of the backend server.
+	 * @return the result of the check; never an exception
 	 */
 	Promise<Health> health() {
 		return call(HttpRequest.get(url("/brasspier/health")).build(), PROBE_TIMEOUT).map((status) -> Health.ANSWERED,
 				(ex) -> refused(ex) ? Health.REFUSED : Health.SILENT);
 	}
 
-	// Each call has a connection of its own, which ends with it: a kept one that went
-	// silent would make a server look frozen that is well, or leave it without its
-	// grants. The HTTP client looks for overdue calls only once a second, so the time
-	// limit is kept here.
+	// Each call opens a connection of its own and closes it: a reused connection that
+	// has gone silent would make a healthy server look frozen, or leave it without its
+	// grants. The HTTP client checks for timeouts only once a second, so the timeout is
+	// enforced here.
 	private Promise<Integer> call(HttpRequest request, Duration timeout) {
 		BackendConnection connection = new BackendConnection(this.reactor);
 		Promise<Integer> status = connection.request(request)
@@ -73,14 +77,15 @@
 		return Promises.timeout(timeout, status).whenComplete(connection::close);
 	}
 
-	// A refused connection: nobody listens, so the process is gone. A port that is not a
-	// backend server's may answer with something else, which still shows life.
+	// A refused connection means that nothing listens, so the process has ended. Any
+	// other answer, even one that isn't a backend server's, shows that a process is
+	// alive.
 	private static boolean refused(Exception ex) {
 		return ex instanceof ConnectException || ex.getCause() instanceof ConnectException;
 	}
 
 	/**
-	 * Sends all grants.
+	 * Sends the complete list of grants.
 	 * @param grants the grants
 	 * @return whether they were acknowledged; never an exception
 	 */
@@ -90,13 +95,13 @@
 	}
 
 	/**
-	 * Tells the server that an order need not go on. Nothing depends on its answer.
-	 * @param id the order's request id
+	 * Cancels a request on the server. The answer is ignored.
+	 * @param id the id of the request
 	 */
 	public void cancel(RequestId id) {
 		call(HttpRequest.post(url("/brasspier/cancel")).withBody(GSON.toJson(new Cancel(id.value()))).build(), TIMEOUT)
 			.whenException(() -> {
-				// The order's own deadline ends it.
+				// The request ends at its own deadline.
 			});
 	}
 
@@ -105,17 +110,17 @@
 	}
 
 	/**
-	 * How a question after its health ended.
+	 * The result of a health check.
 	 */
 	enum Health {
 
-		/** It answered. */
+		/** The server answered. */
 		ANSWERED,
 
-		/** Nothing came in time. */
+		/** No answer came within the timeout. */
 		SILENT,
 
-		/** Nobody listens. */
+		/** The connection was refused: nothing listens. */
 		REFUSED
 
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendClient.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendClient.java
@@ -23,12 +23,13 @@
 import org.brasspier.daemon.internal.loop.WholeBody;
 
 /**
- * Hands orders to the backend server beside this daemon over HTTP, each on a connection
- * of its own that is kept for the next. Belongs to the thread of requests.
+ * Sends requests to the backend server of this daemon over HTTP. Each request has a
+ * connection to itself, which is reused afterwards. Not thread-safe; confined to the
+ * request thread.
  */
 public final class BackendClient {
 
-	/** Fields that belong to one connection and are not passed on. */
+	/** Header fields of a single connection, which are not forwarded. */
 	private static final Set<String> CONNECTION_FIELDS = Set.of("connection", "keep-alive", "transfer-encoding",
 			"content-length", "content-encoding", "date", "upgrade", "te", "trailer");
 
@@ -67,9 +68,9 @@
 	private String address = "";
 
 	/**
-	 * Creates a client that knows of no backend server yet.
-	 * @param reactor the reactor of the thread of requests
-	 * @param maxAnswerBytes the largest body of an answer, in bytes
+	 * Creates a client with no address yet.
+	 * @param reactor the reactor of the request thread
+	 * @param maxAnswerBytes the maximum size of an answer body, in bytes
 	 */
 	public BackendClient(NioReactor reactor, int maxAnswerBytes) {
 		this.reactor = reactor;
@@ -77,7 +78,7 @@
 	}
 
 	/**
-	 * Sends orders to this address from now on.
+	 * Sets the address that later requests use, and closes idle connections to another.
 	 * @param newAddress the IP number and port
 	 */
 	public void setAddress(String newAddress) {
@@ -88,8 +89,8 @@
 	}
 
 	/**
-	 * Closes the connections that rest, as when the backend server is lost or one of them
-	 * turned out to be silent.
+	 * Closes all idle connections, for example when the backend server is lost or one of
+	 * them has gone silent.
 	 */
 	public void closeIdleConnections() {
 		this.idle.forEach(BackendConnection::close);
@@ -97,21 +98,20 @@
 	}
 
 	/**
-	 * Hands an order over.
-	 * @param order the order
-	 * @return its run
+	 * Sends a request.
+	 * @param request the request with its fence and deadlines
+	 * @return the running request
 	 */
-	public BackendRun run(BackendRequest order) {
-		BackendConnection connection = order.callerRequest().requestClass().idempotent() ? connection()
+	public BackendRun run(BackendRequest request) {
+		BackendConnection connection = request.callerRequest().requestClass().idempotent() ? connection()
 				: recentConnection();
-		Run run = new Run(order, connection);
+		Run run = new Run(request, connection);
 		try {
-			run.begin(message(order), order.waitMillis());
+			run.begin(message(request), request.waitMillis());
 		}
 		catch (IllegalArgumentException ex) {
-			// A path or field that can't be written: without this the order would keep
-			// its
-			// slot for good.
+			// The path or a header field can't be encoded. Without this the request
+			// would hold its slot forever.
 			run.end(new BackendReply.NotSent(String.valueOf(ex.getMessage())), false);
 		}
 		return run;
@@ -119,17 +119,16 @@
 
 	private BackendConnection connection() {
 		long now = System.nanoTime();
-		BackendConnection resting = this.idle.pollFirst();
-		while (resting != null && !resting.isUsable(now)) {
-			resting.close();
-			resting = this.idle.pollFirst();
+		BackendConnection candidate = this.idle.pollFirst();
+		while (candidate != null && !candidate.isUsable(now)) {
+			candidate.close();
+			candidate = this.idle.pollFirst();
 		}
-		return (resting != null) ? resting : new BackendConnection(this.reactor);
+		return (candidate != null) ? candidate : new BackendConnection(this.reactor);
 	}
 
-	// A posting can't be sent again, so it goes on a connection that carried an answer
-	// just
-	// now, or on a new one, which costs about a millisecond.
+	// A posting can't be sent again, so it only reuses a connection that carried an
+	// answer within the last 100 ms. A new connection costs about a millisecond.
 	private BackendConnection recentConnection() {
 		BackendConnection latest = this.idle.peekFirst();
 		return (latest != null && latest.isOpen() && latest.idleNanos(System.nanoTime()) < RECENT_USE_NANOS)
@@ -143,30 +142,31 @@
 		}
 	}
 
-	private HttpRequest message(BackendRequest order) {
-		CallerRequest request = order.callerRequest();
+	private HttpRequest message(BackendRequest request) {
+		CallerRequest callerRequest = request.callerRequest();
 		HttpRequest.Builder builder = HttpRequest
-			.builder(HttpMethod.valueOf(request.target().method()), "http://" + this.address + request.target().path())
-			.withHeader(FENCE, order.held().fence().toString())
-			.withHeader(RANGE, order.held().range().toString())
-			.withHeader(ID, request.id().value())
-			.withHeader(CLASS, request.requestClass().name().toLowerCase(Locale.ROOT))
-			.withHeader(CALLER, request.caller().value())
-			.withHeader(DEADLINE_AT, Long.toString(order.deadlineAtMillis()));
-		request.key().ifPresent((key) -> builder.withHeader(KEY, key));
-		request.headers().forEach((header) -> builder.withHeader(HttpHeaders.of(header.name()), header.value()));
-		if (request.body().length > 0) {
-			builder.withBody(request.body());
+			.builder(HttpMethod.valueOf(callerRequest.target().method()),
+					"http://" + this.address + callerRequest.target().path())
+			.withHeader(FENCE, request.held().fence().toString())
+			.withHeader(RANGE, request.held().range().toString())
+			.withHeader(ID, callerRequest.id().value())
+			.withHeader(CLASS, callerRequest.requestClass().name().toLowerCase(Locale.ROOT))
+			.withHeader(CALLER, callerRequest.caller().value())
+			.withHeader(DEADLINE_AT, Long.toString(request.deadlineAtMillis()));
+		callerRequest.key().ifPresent((key) -> builder.withHeader(KEY, key));
+		callerRequest.headers().forEach((header) -> builder.withHeader(HttpHeaders.of(header.name()), header.value()));
+		if (callerRequest.body().length > 0) {
+			builder.withBody(callerRequest.body());
 		}
 		return builder.build();
 	}
 
 	/**
-	 * One order on one connection.
+	 * A request in flight on its connection.
 	 */
 	private final class Run implements BackendRun {
 
-		private final BackendRequest order;
+		private final BackendRequest request;
 
 		private final BackendConnection connection;
 
@@ -174,8 +174,8 @@
 
 		private boolean ended;
 
-		Run(BackendRequest order, BackendConnection connection) {
-			this.order = order;
+		Run(BackendRequest request, BackendConnection connection) {
+			this.request = request;
 			this.connection = connection;
 		}
 
@@ -204,8 +204,8 @@
 
 		private void read(HttpResponse response) {
 			if (!lengthStated(response)) {
-				// Cut short or whole could not be told apart, and half an inspection
-				// record must not reach a crew as if it were all of it.
+				// Without a stated length a truncated answer looks complete, and half
+				// an inspection record must not reach a crew as if it were all of it.
 				end(new BackendReply.BadAnswer("the answer states no length"), false);
 				return;
 			}
@@ -222,20 +222,20 @@
 			});
 		}
 
-		// A server may repeat the order's id and fence. An answer that names others
-		// belongs
-		// to another order: relayed, a crew would get another crew's record.
+		// A server may repeat the id and the fence of the request. An answer with
+		// different ones belongs to another request: if it were forwarded, a crew would
+		// get another crew's record.
 		private boolean answers(HttpResponse response) {
 			String id = response.getHeader(ID);
 			String fence = response.getHeader(FENCE);
-			return (id == null || id.equals(this.order.callerRequest().id().value()))
-					&& (fence == null || fence.equals(this.order.held().fence().toString()));
+			return (id == null || id.equals(this.request.callerRequest().id().value()))
+					&& (fence == null || fence.equals(this.request.held().fence().toString()));
 		}
 
 		private boolean lengthStated(HttpResponse response) {
 			return response.hasHeader(HttpHeaders.CONTENT_LENGTH) || response.hasHeader(HttpHeaders.TRANSFER_ENCODING)
 					|| response.getCode() == NO_CONTENT || response.getCode() == NOT_MODIFIED
-					|| this.order.callerRequest().target().method().equals(HttpMethod.HEAD.name());
+					|| this.request.callerRequest().target().method().equals(HttpMethod.HEAD.name());
 		}
 
 		private BackendReply reply(HttpResponse response, byte[] body) {
@@ -277,8 +277,8 @@
 			}
 		}
 
-		// The library has the connection back two turns of the loop after the body's end.
-		// An order that came sooner would open a second one beside it.
+		// ActiveJ returns the connection to its pool two turns of the event loop after
+		// the end of the body. A request sent sooner would open a second connection.
 		private void whenFree(Runnable task) {
 			BackendClient.this.reactor.post(() -> BackendClient.this.reactor.post(task));
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendConnection.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendConnection.java
@@ -18,25 +18,25 @@
 import org.brasspier.daemon.internal.loop.SocketEvents;
 
 /**
- * One connection to the backend server, with one order on it at a time. An HTTP client
- * with a pool of its own can't tell which of its connections went silent nor close just
- * that one, so each connection has a client for itself. Belongs to the thread of
- * requests.
+ * A connection to the backend server that carries one request at a time. A pooling HTTP
+ * client can't tell which of its connections has gone silent, nor close just that one, so
+ * each connection has an HTTP client of its own. Not thread-safe; confined to the request
+ * thread.
  */
 final class BackendConnection {
 
 	private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
 
 	/**
-	 * A connection that rests longer is closed: one that went silent while it rested
-	 * would cost the next order its deadline, a new one costs about a millisecond.
+	 * A connection that is idle for longer is closed: one that went silent meanwhile
+	 * would cost the next request its deadline, a new one costs about a millisecond.
 	 */
 	static final Duration KEEP_ALIVE = Duration.ofSeconds(1);
 
-	/** Longer than the longest deadline, which is watched by whoever sends the order. */
+	/** Longer than the longest deadline, which the sender of the request enforces. */
 	private static final Duration READ_WRITE_TIMEOUT = Duration.ofSeconds(601);
 
-	/** Every address is an IP number, so no name is ever looked up. */
+	/** A placeholder: every address is an IP number, so no name is ever resolved. */
 	private static final InetSocketAddress NO_NAME_SERVER = new InetSocketAddress("127.0.0.1", 53);
 
 	private final HttpClient http;
@@ -51,7 +51,7 @@
 
 	BackendConnection(NioReactor reactor) {
 		Watch watch = new Watch();
-		// ActiveJ 6.0-rc2 gives plain sockets the observer that is meant for TLS.
+		// ActiveJ 6.0-rc2 passes the inspector meant for TLS sockets to plain ones.
 		this.http = HttpClient.builder(reactor, DnsClient.create(reactor, NO_NAME_SERVER))
 			.withConnectTimeout(CONNECT_TIMEOUT)
 			.withKeepAliveTimeout(KEEP_ALIVE)
@@ -67,13 +67,13 @@
 		return this.http.request(request);
 	}
 
-	// Whether the latest request certainly did not leave this process. Both must say so:
-	// that nothing was written, and that the connection was never made.
+	// Whether the latest request certainly did not leave this process. Two conditions
+	// must hold: nothing was written, and the connection was never established.
 	boolean isNotSent(Exception ex) {
 		return !this.hasWritten && (failedToConnect(ex) || (ex.getCause() != null && failedToConnect(ex.getCause())));
 	}
 
-	// Whether any byte of an answer to the latest request came.
+	// Whether any byte of the answer to the latest request was received.
 	boolean hasReceived() {
 		return this.heard;
 	}
@@ -82,8 +82,8 @@
 		return ex instanceof ConnectException || ex instanceof AsyncTimeoutException;
 	}
 
-	// Whether it can be used again. The library looks for connections that rested too
-	// long once a second only; a server may have closed one by then.
+	// Whether the connection can be reused. ActiveJ checks for connections that were
+	// idle too long only once a second; the server may have closed one by then.
 	boolean isUsable(long nowNanos) {
 		return isOpen() && idleNanos(nowNanos) < KEEP_ALIVE.toNanos();
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendPort.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendPort.java
@@ -18,8 +18,8 @@
 import org.brasspier.daemon.internal.ownership.RequestsReport.BackendState;
 
 /**
- * The port on which the backend server beside this daemon announces itself. Belongs to
- * the thread of requests.
+ * The port on which the backend server of this daemon announces itself. Not thread-safe;
+ * confined to the request thread.
  */
 public final class BackendPort implements AsyncServlet {
 
@@ -37,10 +37,10 @@
 
 	/**
 	 * Creates the port's servlet.
-	 * @param watch told of each announcement
-	 * @param drained whether nothing is owned or in flight any more
-	 * @param events the time line
-	 * @param metrics counts what was malformed
+	 * @param watch receives each announcement
+	 * @param drained whether no range is owned and no request is in flight any more
+	 * @param events the event log
+	 * @param metrics counts malformed announcements
 	 */
 	public BackendPort(BackendWatch watch, BooleanSupplier drained, EventLog events, MetricRegistry metrics) {
 		this.watch = watch;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendReply.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendReply.java
@@ -5,12 +5,12 @@
 import org.brasspier.core.request.Answer;
 
 /**
- * How an order to the backend server ended. Immutable and thread-safe.
+ * The result of a request to the backend server. Immutable and thread-safe.
  */
 public sealed interface BackendReply {
 
 	/**
-	 * It answered whole, so the order ran.
+	 * A complete answer came, so the request ran.
 	 *
 	 * @param answer the answer
 	 */
@@ -19,21 +19,22 @@
 	}
 
 	/**
-	 * It says that it shed the order, which certainly did not run.
+	 * The server shed the request, which certainly did not run.
 	 *
-	 * @param retryAfter when it wants to be asked again; zero if it doesn't say
+	 * @param retryAfter delay that the server asks for before a retry; zero if it states
+	 * none
 	 */
 	record Shed(Duration retryAfter) implements BackendReply {
 
 	}
 
-	/** It says that the fence is not the granted one; the order did not run. */
+	/** The server rejected the fence as not the granted one; the request did not run. */
 	record FenceRefused() implements BackendReply {
 
 	}
 
 	/**
-	 * No byte of the order left this process, so it certainly did not run.
+	 * No byte of the request left this process, so it certainly did not run.
 	 *
 	 * @param reason why
 	 */
@@ -42,7 +43,7 @@
 	}
 
 	/**
-	 * The connection ended after the order was sent and before any answer.
+	 * The connection ended after the request was sent and before any answer.
 	 *
 	 * @param reason why
 	 */
@@ -51,15 +52,16 @@
 	}
 
 	/**
-	 * What came is no HTTP answer, is cut short, is too large, or has no stated length.
+	 * The answer is not HTTP, is truncated, is too large, has no stated length, or
+	 * belongs to another request.
 	 *
-	 * @param reason which of them
+	 * @param reason which of these
 	 */
 	record BadAnswer(String reason) implements BackendReply {
 
 	}
 
-	/** It did not answer in time. */
+	/** No answer came in time. */
 	record TimedOut() implements BackendReply {
 
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendRun.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendRun.java
@@ -3,18 +3,19 @@
 import io.activej.promise.Promise;
 
 /**
- * One order that the backend server is at. Belongs to the thread of requests.
+ * A request in flight to the backend server. Not thread-safe; confined to the request
+ * thread.
  */
 public interface BackendRun {
 
 	/**
-	 * How the order ends.
+	 * Returns the result of the request.
 	 * @return the reply; never an exception
 	 */
 	Promise<BackendReply> reply();
 
 	/**
-	 * Closes its connection if it still waits; the reply is then
+	 * Closes the connection if no reply has come yet; the reply is then
 	 * {@link BackendReply.Broken}.
 	 * @param reason why
 	 */
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendWatch.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendWatch.java
@@ -13,12 +13,15 @@
 import org.brasspier.daemon.internal.ownership.RequestsReport.BackendStatus;
 
 /**
- * Knows the backend server's announcements and whether it is there. Belongs to the thread
- * of requests.
+ * Tracks the announcements of the backend server and probes whether it is alive. Not
+ * thread-safe; confined to the request thread.
  */
 public final class BackendWatch {
 
-	/** A frozen server is then lost after about 1.7 s, a dead one after 0.1 s. */
+	/**
+	 * At this interval a frozen server is declared lost after about 1.7 s, a dead one
+	 * after 0.1 s.
+	 */
 	private static final long PROBE_EVERY_MILLIS = 100;
 
 	private final NioReactor reactor;
@@ -38,10 +41,10 @@
 	private boolean probing;
 
 	/**
-	 * Creates a watch over a backend server that is not known yet.
-	 * @param reactor the reactor of the thread of requests
-	 * @param calls the way to the backend server
-	 * @param events the time line
+	 * Creates a watch for a backend server that has not announced itself yet.
+	 * @param reactor the reactor of the request thread
+	 * @param calls sends calls to the backend server
+	 * @param events the event log
 	 */
 	public BackendWatch(NioReactor reactor, BackendCalls calls, EventLog events) {
 		this.reactor = reactor;
@@ -50,7 +53,7 @@
 	}
 
 	/**
-	 * Tells a listener of each change from now on.
+	 * Adds a listener for changes of the status.
 	 * @param listener the listener
 	 */
 	public void addListener(Listener listener) {
@@ -58,7 +61,7 @@
 	}
 
 	/**
-	 * Begins to probe.
+	 * Starts probing.
 	 */
 	public void start() {
 		this.reactor.delayBackground(PROBE_EVERY_MILLIS, this::tick);
@@ -79,8 +82,9 @@
 	}
 
 	/**
-	 * Asks the backend server for a sign of life, as after a broken connection.
-	 * @return false if nobody listens or nothing came in time; never an exception
+	 * Probes the backend server at once, for example after a broken connection.
+	 * @return false if the connection was refused or no answer came in time; never an
+	 * exception
 	 */
 	public Promise<Boolean> probeNow() {
 		return this.calls.health().map((health) -> {
@@ -95,7 +99,7 @@
 	}
 
 	/**
-	 * Takes an announcement.
+	 * Handles an announcement.
 	 * @param latest the announcement
 	 */
 	public void onAnnouncement(BackendAnnouncement latest) {
@@ -106,15 +110,15 @@
 	}
 
 	/**
-	 * An order was answered, which shows life.
+	 * Records that a request was answered, which shows that the server is alive.
 	 */
 	public void onAnswer() {
 		this.liveness.onAnswer();
 	}
 
 	/**
-	 * Whether its process is known to be gone, so that nothing it was at can still take
-	 * effect.
+	 * Returns whether the process is known to have ended, so that none of its requests
+	 * can still take effect.
 	 * @return false if it may only be frozen
 	 */
 	public boolean isGone() {
@@ -122,7 +126,7 @@
 	}
 
 	/**
-	 * What the backend server announced last.
+	 * Returns the latest announcement.
 	 * @return empty before its first announcement
 	 */
 	public Optional<BackendAnnouncement> announcement() {
@@ -130,7 +134,7 @@
 	}
 
 	/**
-	 * What may be done with the backend server.
+	 * Returns the announced state, or LOST if the server is not alive.
 	 * @return empty before its first announcement
 	 */
 	public Optional<BackendState> state() {
@@ -139,7 +143,7 @@
 	}
 
 	/**
-	 * The state as the thread of ownership wants it.
+	 * Returns the status for the ownership thread.
 	 * @return empty before the first announcement
 	 */
 	public Optional<BackendStatus> status() {
@@ -162,13 +166,13 @@
 	}
 
 	/**
-	 * Told of changes.
+	 * Receives changes of the status.
 	 */
 	public interface Listener {
 
 		/**
-		 * What is known of the backend server has changed.
-		 * @param status what is known now
+		 * Called when the status of the backend server has changed.
+		 * @param status the new status
 		 */
 		void onStatusChanged(BackendStatus status);
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/GrantList.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/GrantList.java
@@ -6,18 +6,19 @@
 import org.brasspier.core.ownership.HeldRange;
 
 /**
- * The body of {@code PUT /brasspier/grants} as docs/API.md has it. Immutable and
+ * The body of {@code PUT /brasspier/grants} as specified in docs/API.md. Immutable and
  * thread-safe.
  *
  * @param grants all grants
- * @param validMillis how long they are valid after receipt, in milliseconds
- * @param validUntil until when they are valid, in milliseconds since 1970
+ * @param validMillis validity after receipt, in milliseconds
+ * @param validUntil end of the validity, in milliseconds since 1970
  */
 record GrantList(List<Grant> grants, long validMillis, long validUntil) {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	// The time of day first: a pause between the two readings must not put the end off.
+	// Reads the time of day first, so that a pause between the two clock readings can't
+	// extend the validity.
 	static GrantList until(long untilNanos, Collection<HeldRange> held) {
 		long timeOfDayMillis = System.currentTimeMillis();
 		long validMillis = Math.max(0, (untilNanos - System.nanoTime()) / NANOS_PER_MILLI);
@@ -25,7 +26,7 @@
 	}
 
 	/**
-	 * One grant.
+	 * A grant of one range.
 	 *
 	 * @param service the service
 	 * @param low the first point
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/GrantRenewal.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/GrantRenewal.java
@@ -18,18 +18,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps the backend server's grants in step with the lease. A server that checks fences
- * gets no order before it has acknowledged the grant it falls under: it would refuse it.
- * Belongs to the thread of requests.
+ * Renews the grants of the backend server along with the lease. A server that checks
+ * fences gets no request before it has acknowledged the grant that covers it, since it
+ * would reject the request. Not thread-safe; confined to the request thread.
  */
 public final class GrantRenewal {
 
-	/** As often as heartbeats renew the lease; see docs/DESIGN.md, H. */
+	/** The interval at which heartbeats renew the lease; see docs/DESIGN.md, H. */
 	private static final long RENEW_NANOS = 150_000_000;
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	/** A list's end is told in whole milliseconds and read on the server's own clock. */
+	/**
+	 * The validity is sent in whole milliseconds and measured by the server's own clock.
+	 */
 	private static final long ROUNDING_NANOS = 2 * NANOS_PER_MILLI;
 
 	private final BackendCalls calls;
@@ -45,13 +47,14 @@
 	private Set<HeldRange> unanswered = Set.of();
 
 	/**
-	 * Ranges of lists that failed or were forgotten, with when the server's grant ends.
+	 * Ranges of lists that failed or were forgotten, with the time at which the server's
+	 * grant ends.
 	 */
-	private final Map<HeldRange, Long> doubtful = new HashMap<>();
+	private final Map<HeldRange, Long> uncertain = new HashMap<>();
 
 	private Set<HeldRange> wanted = Set.of();
 
-	private @Nullable Sources sources;
+	private @Nullable Inputs inputs;
 
 	private long acknowledgedUntilNanos;
 
@@ -62,10 +65,10 @@
 	private boolean sending;
 
 	/**
-	 * Creates a keeper that has granted nothing.
-	 * @param calls the way to the backend server
-	 * @param ownership what this instance holds and knows now
-	 * @param catalog the services as the document in force describes them
+	 * Creates a renewal with no grants.
+	 * @param calls sends calls to the backend server
+	 * @param ownership the current ownership as this instance knows it
+	 * @param catalog the services of the document in force
 	 */
 	public GrantRenewal(BackendCalls calls, Supplier<OwnershipSnapshot> ownership, Supplier<ServiceCatalog> catalog) {
 		this.calls = calls;
@@ -74,47 +77,47 @@
 	}
 
 	/**
-	 * Forgets what was acknowledged, as when the backend server is lost or refuses a
-	 * fence that it was granted.
+	 * Forgets the acknowledged grants, for example when the backend server is lost or
+	 * rejects a fence that it was granted.
 	 */
 	public void forgetAcknowledged() {
-		doubt(this.acknowledged, this.acknowledgedUntilNanos);
+		markUncertain(this.acknowledged, this.acknowledgedUntilNanos);
 		this.acknowledged = Set.of();
 		this.sent = Set.of();
 	}
 
 	/**
-	 * Whether the server has acknowledged a grant that is still valid.
+	 * Returns whether the server has acknowledged a grant that is still valid.
 	 * @param held the range with its fence
-	 * @param nowNanos the time, as {@link System#nanoTime()} counts
-	 * @return false if an order under it would be refused
+	 * @param nowNanos current time of {@link System#nanoTime()}
+	 * @return false if a request with this fence would be rejected
 	 */
 	public boolean isAcknowledged(HeldRange held, long nowNanos) {
 		return nowNanos - this.acknowledgedUntilNanos < 0 && this.acknowledged.contains(held);
 	}
 
 	/**
-	 * How long the server may still go by a grant of any part of a range: one it
+	 * Returns how long the server may still act on a grant of any part of a range: one it
 	 * acknowledged, or one in a list that got no answer. A server that was paused may
-	 * read such a list when it wakes.
+	 * read such a list when it resumes.
 	 * @param held the range with its fence
-	 * @param nowNanos the time, as {@link System#nanoTime()} counts
-	 * @return the nanoseconds until no grant of it is valid, 0 if none is now
+	 * @param nowNanos current time of {@link System#nanoTime()}
+	 * @return nanoseconds until no grant of the range is valid, 0 if none is valid now
 	 */
 	public long remainingNanos(HeldRange held, long nowNanos) {
 		long acknowledgedFor = overlaps(this.acknowledged, held) ? this.acknowledgedUntilNanos - nowNanos : 0;
 		long unansweredFor = overlaps(this.unanswered, held) ? this.unansweredUntilNanos - nowNanos : 0;
-		long doubtfulFor = this.doubtful.entrySet()
+		long uncertainFor = this.uncertain.entrySet()
 			.stream()
 			.filter((entry) -> overlaps(Set.of(entry.getKey()), held))
 			.mapToLong((entry) -> entry.getValue() - nowNanos)
 			.max()
 			.orElse(0);
-		long longest = Math.max(acknowledgedFor, Math.max(unansweredFor, doubtfulFor));
+		long longest = Math.max(acknowledgedFor, Math.max(unansweredFor, uncertainFor));
 		return (longest > 0) ? longest + ROUNDING_NANOS : 0;
 	}
 
-	// A range may have been split or joined since it was granted, under the same fence.
+	// A range may have been split or merged under the same fence since it was granted.
 	private static boolean overlaps(Set<HeldRange> granted, HeldRange held) {
 		return granted.stream()
 			.anyMatch((grant) -> grant.service().equals(held.service()) && grant.fence().equals(held.fence())
@@ -122,9 +125,10 @@
 	}
 
 	/**
-	 * Sends what has changed, or all anew when it is time. Called every few milliseconds.
-	 * @param server what the backend server announced
-	 * @param nowNanos the time, as {@link System#nanoTime()} counts
+	 * Sends the grants if they have changed or are due for renewal. Called every few
+	 * milliseconds.
+	 * @param server the latest announcement of the backend server
+	 * @param nowNanos current time of {@link System#nanoTime()}
 	 */
 	public void renew(BackendAnnouncement server, long nowNanos) {
 		OwnershipSnapshot snapshot = this.ownership.get();
@@ -139,44 +143,45 @@
 		long untilNanos = snapshot.leaseEndNanos();
 		this.unanswered = wanted;
 		this.unansweredUntilNanos = untilNanos;
-		this.calls.grants(GrantList.until(untilNanos, wanted)).whenResult((taken) -> sent(wanted, untilNanos, taken));
+		this.calls.grants(GrantList.until(untilNanos, wanted))
+			.whenResult((accepted) -> onAnswer(wanted, untilNanos, accepted));
 	}
 
-	// Looked at 50 times a second, while what it's made from changes now and then.
+	// Called 50 times a second, while its inputs change rarely; hence cached.
 	private Set<HeldRange> wantedNow(BackendAnnouncement server, OwnershipSnapshot snapshot) {
-		Sources now = new Sources(server.service(), snapshot.held(), snapshot.routes(), this.catalog.get());
-		if (!now.sameAs(this.sources)) {
-			this.sources = now;
+		Inputs now = new Inputs(server.service(), snapshot.held(), snapshot.routes(), this.catalog.get());
+		if (!now.sameAs(this.inputs)) {
+			this.inputs = now;
 			this.wanted = wanted(server, snapshot);
 		}
 		return this.wanted;
 	}
 
-	private void sent(Set<HeldRange> wanted, long untilNanos, boolean taken) {
+	private void onAnswer(Set<HeldRange> wanted, long untilNanos, boolean accepted) {
 		this.sending = false;
 		this.unanswered = Set.of();
-		if (taken && this.sent.equals(wanted)) {
+		if (accepted && this.sent.equals(wanted)) {
 			this.acknowledged = wanted;
 			this.acknowledgedUntilNanos = untilNanos;
 			return;
 		}
-		doubt(wanted, untilNanos);
-		if (!taken) {
-			// It may or may not have them; the next renewal sends all again.
+		markUncertain(wanted, untilNanos);
+		if (!accepted) {
+			// The server may or may not have the grants; the next renewal sends all
+			// again.
 			this.sent = Set.of();
 		}
 	}
 
-	private void doubt(Set<HeldRange> ranges, long untilNanos) {
+	private void markUncertain(Set<HeldRange> ranges, long untilNanos) {
 		long now = System.nanoTime();
-		this.doubtful.values().removeIf((until) -> until - now <= 0);
-		ranges.forEach((held) -> this.doubtful.merge(held, untilNanos, Math::max));
+		this.uncertain.values().removeIf((until) -> until - now <= 0);
+		ranges.forEach((held) -> this.uncertain.merge(held, untilNanos, Math::max));
 	}
 
-	// Where a service is divided by request ids, an order comes under its id's owner's
-	// fence, whoever that is, so the server is granted all ranges that are known. Where
-	// it
-	// is divided by key, only what is held here.
+	// In a service that is sharded by request id, a request carries the fence of
+	// whichever instance owns its id, so the server is granted all known ranges. In a
+	// service that is sharded by key, the server is granted only the ranges held here.
 	private Set<HeldRange> wanted(BackendAnnouncement server, OwnershipSnapshot snapshot) {
 		boolean byId = this.catalog.get().dividedByRequestId(server.service());
 		List<Assignment> own = snapshot.held().assignments(server.service());
@@ -194,12 +199,12 @@
 	}
 
 	/**
-	 * What the grants are made from. All but the service are made anew when they change,
-	 * so it's enough to look whether they are the same objects.
+	 * The inputs of the grants. All but the service are replaced by new objects when they
+	 * change, so comparing by identity is enough.
 	 */
-	private record Sources(ServiceName service, RouteTable held, RouteTable routes, ServiceCatalog catalog) {
+	private record Inputs(ServiceName service, RouteTable held, RouteTable routes, ServiceCatalog catalog) {
 
-		boolean sameAs(@Nullable Sources other) {
+		boolean sameAs(@Nullable Inputs other) {
 			return other != null && this.service.equals(other.service) && this.held == other.held
 					&& this.routes == other.routes && this.catalog == other.catalog;
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/package-info.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The backend server beside this daemon: announcements, orders, grants.
+ * Communication with the backend server of this daemon: announcements, requests, grants.
  */
 @NullMarked
 package org.brasspier.daemon.internal.backend;
--- a/daemon/src/test/java/org/brasspier/daemon/internal/backend/BackendCallsTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/backend/BackendCallsTests.java
@@ -14,13 +14,13 @@
 
 class BackendCallsTests {
 
-	/** Later than the calls' time limit, sooner than the HTTP client's next look. */
+	/** Later than the timeout of the calls, sooner than the HTTP client's own check. */
 	private static final long LATE_MILLIS = 900;
 
-	// Guards against a silent connection that holds the only call of grants under way for
-	// longer than grants are valid.
+	// Guards against a silent connection that blocks the only grants call in flight for
+	// longer than the grants are valid.
 	@Test
-	void aCallOverASilentConnectionEndsInTimeAndClosesIt() throws IOException {
+	void aCallOnASilentConnectionTimesOutAndClosesTheConnection() throws IOException {
 		List<String> order = new ArrayList<>();
 		Eventloop loop = Eventloop.builder().withCurrentThread().build();
 		try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/daemon/src/test/java/org/brasspier/daemon/internal/backend/GrantRenewalTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/backend/GrantRenewalTests.java
@@ -31,10 +31,10 @@
 
 	private static final Fence FENCE = new Fence(7);
 
-	// Guards against a release that overlooks the grant of a range that has been split
-	// since: its frozen server still has the whole of it.
+	// Guards against the release of a part of a range while its frozen server may still
+	// hold a grant of the whole: the range was split after the grant was sent.
 	@Test
-	void aGrantThatGotNoAnswerHoldsForEachPartOfItsRange() throws IOException {
+	void anUnansweredGrantCountsForEachPartOfItsRange() throws IOException {
 		Eventloop loop = Eventloop.builder().withCurrentThread().build();
 		long now = System.nanoTime();
 		try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
