--- a/daemon/src/main/java/org/brasspier/daemon/internal/caller/AnswerWriter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/caller/AnswerWriter.java
@@ -17,7 +17,7 @@
 import org.brasspier.daemon.internal.request.Outcome;
 
 /**
- * Writes the answer to a caller as docs/API.md has it. Stateless and thread-safe.
+ * Writes the answer to a caller as specified in docs/API.md. Stateless and thread-safe.
  */
 final class AnswerWriter {
 
@@ -86,15 +86,16 @@
 		return builder;
 	}
 
-	// Of a resend that was turned away nobody can say that the posting did not run: an
-	// earlier send may have. Only its owner's memory can, and that speaks in other kinds.
+	// A rejected resend doesn't show that the posting did not run, since an earlier
+	// send may have run. Only the owner's ledger can tell, and it uses other error
+	// kinds.
 	private static Ran ran(CallerRequest request, ErrorKind kind) {
 		boolean resend = request.requestClass() == RequestClass.POSTING && request.identity().ticket().isPresent()
 				&& !request.identity().firstAttempt();
-		return (resend && turnedAway(kind)) ? Ran.UNKNOWN : kind.ran();
+		return (resend && isRejection(kind)) ? Ran.UNKNOWN : kind.ran();
 	}
 
-	private static boolean turnedAway(ErrorKind kind) {
+	private static boolean isRejection(ErrorKind kind) {
 		return switch (kind) {
 			case OVERLOADED, NO_FREE_SLOT, NO_OWNER, NOT_OWNER, NO_BACKEND, DEADLINE_PASSED, BODY_TOO_LARGE -> true;
 			default -> false;
@@ -106,12 +107,12 @@
 	}
 
 	/**
-	 * The body of an error's answer.
+	 * The body of an error answer.
 	 *
-	 * @param error the error's kind
+	 * @param error the error kind
 	 * @param ran whether the request ran
-	 * @param detail one sentence for a person
-	 * @param retryAfterMillis when a resend makes sense, 0 if at once or never
+	 * @param detail a human-readable sentence
+	 * @param retryAfterMillis delay before a resend makes sense, 0 if at once or never
 	 */
 	private record ErrorBody(String error, String ran, String detail, long retryAfterMillis) {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/caller/CallerConnections.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/caller/CallerConnections.java
@@ -20,10 +20,11 @@
 import org.brasspier.daemon.internal.request.Cancellation;
 
 /**
- * Notices when a caller goes away while its request is served. The HTTP server itself
- * tells it only after the answer was written, but its sockets see the end of the stream
- * at once; each socket is told to an observer just before the connection that it carries,
- * so the two are matched. Belongs to the thread of requests.
+ * Cancels a request when its caller disconnects while it is served. The HTTP server
+ * reports a disconnect only after the answer was written, but the socket sees the end of
+ * the stream at once. The inspector is notified of each socket just before the connection
+ * on it, so the two are matched by order. Not thread-safe; confined to the request
+ * thread.
  */
 final class CallerConnections extends AbstractInspector<HttpServer.Inspector> implements HttpServer.Inspector {
 
@@ -64,17 +65,17 @@
 
 	@Override
 	public void onHttpRequest(HttpRequest request) {
-		// The servlet sees it.
+		// The servlet handles requests.
 	}
 
 	@Override
 	public void onHttpResponse(HttpRequest request, HttpResponse response) {
-		// The servlet has written it.
+		// The servlet handles responses.
 	}
 
 	@Override
 	public void onHttpResponseComplete(HttpServerConnection connection) {
-		// Nothing waits for it.
+		// Not needed.
 	}
 
 	@Override
@@ -84,7 +85,7 @@
 
 	@Override
 	public void onHttpError(HttpServerConnection connection, Exception ex) {
-		gone(connection);
+		cancel(connection);
 	}
 
 	@Override
@@ -95,10 +96,10 @@
 
 	@Override
 	public void onDisconnect(HttpServerConnection connection) {
-		gone(connection);
+		cancel(connection);
 	}
 
-	private void gone(HttpServerConnection connection) {
+	private void cancel(HttpServerConnection connection) {
 		Optional.ofNullable(this.running.remove(connection)).ifPresent(Cancellation::cancel);
 	}
 
@@ -111,22 +112,23 @@
 
 		@Override
 		public void onReadEndOfStream(TcpSocket socket) {
-			left(socket);
+			onStreamEnd(socket);
 		}
 
 		@Override
 		public void onReadError(TcpSocket socket, IOException ex) {
-			left(socket);
+			onStreamEnd(socket);
 		}
 
 		@Override
 		public void onDisconnect(TcpSocket socket) {
-			left(socket);
+			onStreamEnd(socket);
 			CallerConnections.this.connections.remove(socket);
 		}
 
-		private void left(TcpSocket socket) {
-			Optional.ofNullable(CallerConnections.this.connections.get(socket)).ifPresent(CallerConnections.this::gone);
+		private void onStreamEnd(TcpSocket socket) {
+			Optional.ofNullable(CallerConnections.this.connections.get(socket))
+				.ifPresent(CallerConnections.this::cancel);
 		}
 
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/caller/CallerListener.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/caller/CallerListener.java
@@ -12,28 +12,33 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Listens for callers, and ends that in a planned stop without cutting a request off.
+ * Listens for callers, and closes the port in a planned stop without cutting off a
+ * request.
  *
  * <p>
- * It guards against a request that is on its way over a kept connection in the moment the
- * daemon closes it: its caller sees a reset, and can't know whether a posting ran. Each
- * answer promises in {@code Keep-Alive} for how long its connection may be used again. A
- * daemon that leaves refuses new connections at once, so that callers go elsewhere before
- * they send anything, and answers on the open ones for as long as the promise lasts; who
- * keeps to it sends nothing afterwards. Belongs to the thread of requests.
+ * A request may be in transit on a persistent connection at the moment the daemon closes
+ * it: its caller sees a reset and can't know whether a posting ran. Therefore each answer
+ * states in {@code Keep-Alive} how long its connection may be reused. A daemon that stops
+ * refuses new connections at once, so that callers go elsewhere before they send
+ * anything, and serves the open ones until that time has passed; a caller that respects
+ * it sends nothing afterwards. Not thread-safe; confined to the request thread.
  */
 public final class CallerListener {
 
 	/**
-	 * A connection may be used again for so long after its last answer. Short, since a
-	 * planned stop has to last as long; long enough for a caller that asks each second.
+	 * How long a connection may be reused after its last answer. Short, since a planned
+	 * stop lasts at least as long; long enough for a caller that sends a request each
+	 * second.
 	 */
 	static final Duration REUSE = Duration.ofSeconds(2);
 
-	/** The way to a caller and back, and a pause of either end, on top of the promise. */
-	private static final Duration ALLOWANCE = Duration.ofMillis(500);
+	/**
+	 * Added to the reuse time for the round trip to a caller and a pause of either
+	 * process.
+	 */
+	private static final Duration REUSE_MARGIN = Duration.ofMillis(500);
 
-	private static final Duration LOOK_AGAIN = Duration.ofMillis(20);
+	private static final Duration CLOSE_CHECK_INTERVAL = Duration.ofMillis(20);
 
 	private final NioReactor reactor;
 
@@ -43,7 +48,7 @@
 
 	private @Nullable ServerSocketChannel channel;
 
-	private long heldUntilNanos = System.nanoTime();
+	private long reusableUntilNanos = System.nanoTime();
 
 	CallerListener(NioReactor reactor, HttpServer server, InetSocketAddress address) {
 		this.reactor = reactor;
@@ -53,7 +58,7 @@
 
 	/**
 	 * Opens the port.
-	 * @throws IOException if it can't be opened
+	 * @throws IOException if the port can't be opened
 	 */
 	public void listen() throws IOException {
 		this.server.listen();
@@ -71,11 +76,11 @@
 	}
 
 	/**
-	 * Refuses new connections from now on. Those that wait to be accepted are taken
-	 * first: the kernel would reset them, though their callers may have sent something.
+	 * Closes the port to new connections. Connections in the backlog are accepted first:
+	 * the kernel would reset them, though their callers may have sent a request.
 	 */
 	public void refuseNew() {
-		this.heldUntilNanos = System.nanoTime() + REUSE.plus(ALLOWANCE).toNanos();
+		this.reusableUntilNanos = System.nanoTime() + REUSE.plus(REUSE_MARGIN).toNanos();
 		ServerSocketChannel open = this.channel;
 		if (open == null) {
 			return;
@@ -87,24 +92,24 @@
 			}
 		}
 		catch (IOException ex) {
-			// What waits can't be taken any more; closing is all that is left.
+			// The backlog can't be accepted any more; the port is closed anyway.
 		}
 		this.reactor.closeChannel(open, open.keyFor(this.reactor.ensureSelector()));
 		this.channel = null;
 	}
 
 	/**
-	 * Closes all connections as soon as no caller may use one any more and all requests
-	 * are answered.
+	 * Closes all connections as soon as none may be reused any more and all requests are
+	 * answered.
 	 * @param closed called when the last one is closed
 	 */
 	public void close(Runnable closed) {
 		boolean unused = this.server.getConnectionsCount() == 0;
-		if (unused || System.nanoTime() - this.heldUntilNanos >= 0) {
+		if (unused || System.nanoTime() - this.reusableUntilNanos >= 0) {
 			this.server.close().whenComplete(closed::run);
 		}
 		else {
-			this.reactor.delay(LOOK_AGAIN, () -> close(closed));
+			this.reactor.delay(CLOSE_CHECK_INTERVAL, () -> close(closed));
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/caller/CallerPort.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/caller/CallerPort.java
@@ -36,15 +36,19 @@
 import org.brasspier.daemon.internal.request.RequestRouter;
 
 /**
- * The port for callers: {@code /v1/SERVICE/PATH} with what brasspier needs to know in
- * header fields that begin with {@code Brasspier-}. Belongs to the thread of requests.
+ * Serves callers: {@code /v1/SERVICE/PATH}, with the parameters of the request in header
+ * fields that begin with {@code Brasspier-}. Not thread-safe; confined to the request
+ * thread.
  */
 public final class CallerPort implements AsyncServlet {
 
-	/** A caller that stops halfway through its head or body is cut off after this. */
-	private static final Duration HALF_REQUEST_TIMEOUT = Duration.ofSeconds(10);
+	/**
+	 * A caller that stops sending within the head or body is disconnected after this
+	 * time.
+	 */
+	private static final Duration READ_TIMEOUT = Duration.ofSeconds(10);
 
-	/** Longer than any caller may use a connection again, see {@link CallerListener}. */
+	/** Longer than a caller may reuse a connection, see {@link CallerListener}. */
 	private static final Duration KEEP_ALIVE = Duration.ofSeconds(60);
 
 	private static final HttpHeaderValue REUSE = HttpHeaderValue.of("timeout=" + CallerListener.REUSE.toSeconds());
@@ -75,10 +79,10 @@
 
 	/**
 	 * Creates the port's servlet.
-	 * @param context what every duty needs
-	 * @param router where requests go
-	 * @param ownership where owners are
-	 * @param catalog the services as the document in force describes them
+	 * @param context the shared services and settings of the daemon
+	 * @param router routes the requests
+	 * @param ownership the current owners and their addresses
+	 * @param catalog the services of the document in force
 	 */
 	public CallerPort(DaemonContext context, RequestRouter router, Supplier<OwnershipSnapshot> ownership,
 			Supplier<ServiceCatalog> catalog) {
@@ -97,14 +101,14 @@
 	}
 
 	/**
-	 * Builds the listening server.
-	 * @param reactor the reactor of the thread of requests
-	 * @param context where to listen, and for how long a planned stop may last
-	 * @return the port, to be told to listen
+	 * Builds the server for callers.
+	 * @param reactor the reactor of the request thread
+	 * @param context provides the address and the maximum duration of a planned stop
+	 * @return the listener, not yet listening
 	 */
 	public CallerListener listenOn(NioReactor reactor, DaemonContext context) {
 		HttpServer server = HttpServer.builder(reactor, this)
-			.withReadWriteTimeout(HALF_REQUEST_TIMEOUT)
+			.withReadWriteTimeout(READ_TIMEOUT)
 			.withKeepAliveTimeout(KEEP_ALIVE)
 			.withServeTimeoutShutdown(Duration.ofMillis(context.settings().limits().maxLeaveMillis()))
 			.withSocketInspector(this.connections.sockets())
@@ -115,8 +119,7 @@
 	}
 
 	/**
-	 * Tells callers with each answer from now on to use its connection no more, so that
-	 * they go elsewhere.
+	 * Closes the connection with each later answer, so that callers go elsewhere.
 	 */
 	public void leave() {
 		this.leaving = true;
@@ -124,7 +127,7 @@
 
 	@Override
 	public Promise<HttpResponse> serve(HttpRequest request) {
-		long begun = System.nanoTime();
+		long startNanos = System.nanoTime();
 		Either<Failure, RequestReader.Addressed> addressed = this.reader.address(request);
 		if (addressed.isLeft()) {
 			return refuse(addressed.getLeft());
@@ -133,8 +136,9 @@
 		if (declaredLength(request) > maxBytes) {
 			return refuse(tooLarge(maxBytes));
 		}
-		return Promises.timeout(HALF_REQUEST_TIMEOUT, WholeBody.read(request, maxBytes))
-			.then((body) -> serve(request, addressed.get(), body, begun), (ex) -> refuse(unread(ex, maxBytes)));
+		return Promises.timeout(READ_TIMEOUT, WholeBody.read(request, maxBytes))
+			.then((body) -> serve(request, addressed.get(), body, startNanos),
+					(ex) -> refuse(unreadable(ex, maxBytes)));
 	}
 
 	private static long declaredLength(HttpRequest request) {
@@ -146,7 +150,7 @@
 		return Failure.of(ErrorKind.BODY_TOO_LARGE, "the body is larger than %d bytes".formatted(maxBytes));
 	}
 
-	private static Failure unread(Exception ex, int maxBytes) {
+	private static Failure unreadable(Exception ex, int maxBytes) {
 		if (ex instanceof WholeBody.TooLargeException) {
 			return tooLarge(maxBytes);
 		}
@@ -155,8 +159,8 @@
 		return Failure.of(ErrorKind.BAD_REQUEST, "the body could not be read: " + why);
 	}
 
-	private Promise<HttpResponse> serve(HttpRequest http, RequestReader.Addressed to, byte[] body, long begunNanos) {
-		long spentMillis = (System.nanoTime() - begunNanos) / NANOS_PER_MILLI;
+	private Promise<HttpResponse> serve(HttpRequest http, RequestReader.Addressed to, byte[] body, long startNanos) {
+		long spentMillis = (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
 		Either<Failure, CallerRequest> read = this.reader.read(http, to, body, spentMillis);
 		if (read.isLeft()) {
 			return refuse(read.getLeft());
@@ -192,8 +196,8 @@
 		}
 	}
 
-	// What can't be read is refused; its connection is not to be used again, since the
-	// rest of the body may still be on its way.
+	// Refuses a request that can't be read. Its connection is not reused, since the
+	// rest of the body may still be in transit.
 	private Promise<HttpResponse> refuse(Failure failure) {
 		count(failure.kind());
 		this.events.record(EventKind.BAD_CALLER_INPUT, "caller port", failure.kind() + ": " + failure.detail());
--- a/daemon/src/main/java/org/brasspier/daemon/internal/caller/RequestReader.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/caller/RequestReader.java
@@ -28,7 +28,8 @@
 import org.brasspier.core.request.Ticket;
 
 /**
- * Reads a caller's request as docs/API.md has it. Belongs to the thread of requests.
+ * Parses a caller's request as specified in docs/API.md. Not thread-safe; confined to the
+ * request thread.
  */
 final class RequestReader {
 
@@ -50,8 +51,8 @@
 
 	private static final HttpHeader DEADLINE = HttpHeaders.of("Brasspier-Deadline-Millis");
 
-	/** Fields that belong to one connection or are written anew for the server. */
-	private static final Set<String> NOT_PASSED = Set.of("connection", "keep-alive", "transfer-encoding",
+	/** Header fields of a single connection, or rewritten for the backend server. */
+	private static final Set<String> NOT_FORWARDED = Set.of("connection", "keep-alive", "transfer-encoding",
 			"content-length", "host", "upgrade", "te", "trailer", "expect", "proxy-connection", "proxy-authorization");
 
 	private static final Set<HttpMethod> NOT_SERVED = Set.of(HttpMethod.CONNECT, HttpMethod.TRACE);
@@ -62,7 +63,7 @@
 
 	private static final int MAX_DEADLINE_MILLIS = 600_000;
 
-	private static final int ROOM_FOR_HEADERS = 100;
+	private static final int MAX_HEADER_FIELDS = 100;
 
 	private static final CallerId ANONYMOUS = new CallerId("anonymous");
 
@@ -72,7 +73,7 @@
 		this.catalog = catalog;
 	}
 
-	// The service asked for and what holds for it; this much is known before the body.
+	// Reads the service and its policy, which are known before the body is read.
 	Either<Failure, Addressed> address(HttpRequest request) {
 		String path = request.getPathAndQuery();
 		if (!path.startsWith(PREFIX) || NOT_SERVED.contains(request.getMethod())) {
@@ -107,10 +108,10 @@
 			RequestClass requestClass = requestClass(request);
 			Optional<String> key = key(request);
 			int deadline = deadline(request, to.policy().limit(requestClass).deadlineMillis());
-			return Either
-				.right(new CallerRequest(to.service(), key, byKey(to.policy(), key), identity(request, requestClass),
-						requestClass, caller(request), (int) Math.max(0, deadline - spentMillis),
-						new CallerRequest.Target(request.getMethod().name(), to.path()), passedThrough(request), body));
+			return Either.right(new CallerRequest(to.service(), key, isSharded(to.policy(), key),
+					identity(request, requestClass), requestClass, caller(request),
+					(int) Math.max(0, deadline - spentMillis),
+					new CallerRequest.Target(request.getMethod().name(), to.path()), forwardedFields(request), body));
 		}
 		catch (IllegalArgumentException ex) {
 			return bad(String.valueOf(ex.getMessage()));
@@ -121,7 +122,7 @@
 		return Either.left(Failure.of(ErrorKind.BAD_REQUEST, detail));
 	}
 
-	private static boolean byKey(ServicePolicy policy, Optional<String> key) {
+	private static boolean isSharded(ServicePolicy policy, Optional<String> key) {
 		return switch (policy.division()) {
 			case BY_KEY -> true;
 			case BY_REQUEST_ID -> false;
@@ -154,10 +155,10 @@
 			throw new IllegalArgumentException(
 					"Brasspier-Ticket is not one that brasspier issued (see TROUBLESHOOTING.md#bad-ticket)");
 		});
-		return new RequestIdentity(id.orElseGet(RequestReader::madeUp), id.isEmpty(), firstSend(request), ticket);
+		return new RequestIdentity(id.orElseGet(RequestReader::generatedId), id.isEmpty(), firstSend(request), ticket);
 	}
 
-	private static RequestId madeUp() {
+	private static RequestId generatedId() {
 		return new RequestId("made-up-" + UUID.randomUUID());
 	}
 
@@ -200,29 +201,29 @@
 		return value;
 	}
 
-	private static List<HeaderField> passedThrough(HttpRequest request) {
+	private static List<HeaderField> forwardedFields(HttpRequest request) {
 		List<HeaderField> passed = request.getHeaders()
 			.stream()
 			.map((entry) -> new HeaderField(entry.getKey().toString(), entry.getValue().toString()))
-			.filter((header) -> passes(header.name().toLowerCase(Locale.ROOT)))
+			.filter((header) -> isForwarded(header.name().toLowerCase(Locale.ROOT)))
 			.toList();
-		if (passed.size() > ROOM_FOR_HEADERS) {
+		if (passed.size() > MAX_HEADER_FIELDS) {
 			throw new IllegalArgumentException(
-					"%d header fields are more than %d".formatted(passed.size(), ROOM_FOR_HEADERS));
+					"%d header fields are more than %d".formatted(passed.size(), MAX_HEADER_FIELDS));
 		}
 		return passed;
 	}
 
-	private static boolean passes(String name) {
-		return !NOT_PASSED.contains(name) && !name.startsWith(OWN_FIELDS);
+	private static boolean isForwarded(String name) {
+		return !NOT_FORWARDED.contains(name) && !name.startsWith(OWN_FIELDS);
 	}
 
 	/**
-	 * Where a request wants to go.
+	 * The target of a request.
 	 *
 	 * @param service the service
 	 * @param path the path and query for the backend server
-	 * @param policy what holds for the service
+	 * @param policy the policy of the service
 	 */
 	record Addressed(ServiceName service, String path, ServicePolicy policy) {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/caller/package-info.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/caller/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The port for callers.
+ * The HTTP port for callers.
  */
 @NullMarked
 package org.brasspier.daemon.internal.caller;
