--- a/daemon/src/main/java/org/brasspier/daemon/internal/http/BackendPool.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/http/BackendPool.java
@@ -15,34 +15,35 @@
 import org.brasspier.daemon.mesh.RawRequest;
 
 /**
- * The connections to one backend server. They are kept as long as the server allows,
- * since each new one costs it a round trip and may hold a slot; the one used last is used
- * first, so that the others can grow old and close. Belongs to the thread of requests.
+ * A pool of connections to one backend server. Connections are kept as long as the server
+ * allows, since each new one costs it a round trip and may hold a slot. The most recently
+ * used connection is reused first, so that the others expire and close. Not thread-safe;
+ * confined to the request thread.
  */
 public final class BackendPool {
 
 	private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
 	/**
-	 * An order that can't be repeated goes on a connection that carried an answer within
-	 * this time, or on a new one: a connection may have gone silent, or its server may
-	 * have forgotten it, while it rested.
+	 * A request that can't be repeated only reuses a connection that carried an answer
+	 * within this time: an idle connection may have gone silent, or its server may have
+	 * dropped it.
 	 */
-	private static final long FRESH_NANOS = Duration.ofSeconds(2).toNanos();
+	private static final long RECENT_USE_NANOS = Duration.ofSeconds(2).toNanos();
 
 	private final NioReactor reactor;
 
 	private final int maxBodyBytes;
 
-	private final Deque<BackendSocket> resting = new ArrayDeque<>();
+	private final Deque<BackendSocket> idle = new ArrayDeque<>();
 
 	private InetSocketAddress address;
 
 	/**
-	 * Creates a pool with no connection.
-	 * @param reactor the reactor of the thread of requests
-	 * @param address where the server listens
-	 * @param maxBodyBytes the largest body of an answer, in bytes
+	 * Creates an empty pool.
+	 * @param reactor the reactor of the request thread
+	 * @param address the address of the server
+	 * @param maxBodyBytes the maximum size of an answer body, in bytes
 	 */
 	public BackendPool(NioReactor reactor, InetSocketAddress address, int maxBodyBytes) {
 		this.reactor = reactor;
@@ -51,24 +52,26 @@
 	}
 
 	/**
-	 * Closes what rests, as when another life of the server has begun.
+	 * Closes all idle connections, for example when a new incarnation of the server has
+	 * started.
 	 */
 	public void forget() {
-		this.resting.forEach(BackendSocket::close);
-		this.resting.clear();
+		this.idle.forEach(BackendSocket::close);
+		this.idle.clear();
 	}
 
 	/**
-	 * Sends an order.
-	 * @param request the order
-	 * @param repeatable whether it may run twice
-	 * @param own tells its answer from one to an earlier order
-	 * @param allowed whether it may still be sent, asked once a new connection is open
-	 * @return its run
+	 * Sends a request.
+	 * @param request the request
+	 * @param repeatable whether the request may run twice
+	 * @param own accepts the answer to this request and no answer to an earlier one
+	 * @param allowed whether the request may still be sent, evaluated once a new
+	 * connection is open
+	 * @return the running request
 	 */
 	public BackendRun run(RawRequest request, boolean repeatable, Predicate<Answer> own, BooleanSupplier allowed) {
 		BackendRun run = new BackendRun();
-		BackendSocket kept = kept(repeatable);
+		BackendSocket kept = takeIdle(repeatable);
 		if (kept != null) {
 			begin(run, kept, request, own);
 			return run;
@@ -94,14 +97,14 @@
 	}
 
 	/**
-	 * Opens a connection and keeps it for the next order.
+	 * Opens a connection and keeps it for the next request.
 	 * @return false if nothing listens at the server's address; never an exception
 	 */
 	public Promise<Boolean> open() {
 		return BackendSocket.connect(this.reactor, this.address, CONNECT_TIMEOUT, this.maxBodyBytes)
 			.then((socket, ex) -> {
 				if (ex == null) {
-					this.resting.addFirst(socket);
+					this.idle.addFirst(socket);
 				}
 				return Promise.of(!(ex instanceof ConnectException));
 			});
@@ -111,17 +114,17 @@
 		run.on(socket);
 		socket.exchange(request, own).whenResult((reply) -> {
 			if (socket.usable(System.nanoTime())) {
-				this.resting.addFirst(socket);
+				this.idle.addFirst(socket);
 			}
 			run.end(reply);
 		});
 	}
 
-	private @org.jspecify.annotations.Nullable BackendSocket kept(boolean repeatable) {
+	private @org.jspecify.annotations.Nullable BackendSocket takeIdle(boolean repeatable) {
 		long now = System.nanoTime();
-		while (!this.resting.isEmpty()) {
-			BackendSocket first = this.resting.removeFirst();
-			if (first.usable(now) && (repeatable || first.restedNanos(now) < FRESH_NANOS)) {
+		while (!this.idle.isEmpty()) {
+			BackendSocket first = this.idle.removeFirst();
+			if (first.usable(now) && (repeatable || first.restedNanos(now) < RECENT_USE_NANOS)) {
 				return first;
 			}
 			first.close();
@@ -130,7 +133,7 @@
 	}
 
 	/**
-	 * One order on its way.
+	 * A request in flight.
 	 */
 	public static final class BackendRun {
 
@@ -141,7 +144,7 @@
 		private boolean ended;
 
 		/**
-		 * How it ends.
+		 * Returns the result of the request.
 		 * @return the reply; never an exception
 		 */
 		public Promise<BackendReply> reply() {
@@ -149,7 +152,8 @@
 		}
 
 		/**
-		 * Gives it up: its connection is closed, at which most servers drop it.
+		 * Abandons the request by closing its connection; most servers then stop working
+		 * on it.
 		 */
 		public void giveUp() {
 			if (this.ended) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/http/BackendReply.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/http/BackendReply.java
@@ -3,12 +3,12 @@
 import org.brasspier.core.request.Answer;
 
 /**
- * How an order to a backend server ended. Immutable and thread-safe.
+ * The result of a request to a backend server. Immutable and thread-safe.
  */
 public sealed interface BackendReply {
 
 	/**
-	 * An answer came whole.
+	 * A complete answer came.
 	 *
 	 * @param answer the answer
 	 */
@@ -16,7 +16,7 @@
 	}
 
 	/**
-	 * No byte of the order left this process, so it certainly did not run.
+	 * No byte of the request left this process, so it certainly did not run.
 	 *
 	 * @param reason why
 	 */
@@ -24,7 +24,7 @@
 	}
 
 	/**
-	 * Nothing listens at the server's address, so the order certainly did not run.
+	 * Nothing listens at the server's address, so the request certainly did not run.
 	 */
 	record Closed() implements BackendReply {
 	}
@@ -38,14 +38,14 @@
 	}
 
 	/**
-	 * What came is no answer, or is cut short.
+	 * The answer is malformed or truncated.
 	 *
-	 * @param reason which of them
+	 * @param reason which of these
 	 */
 	record Garbled(String reason) implements BackendReply {
 	}
 
-	/** The order was given up here. */
+	/** This daemon abandoned the request. */
 	record GivenUp() implements BackendReply {
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/http/BackendSocket.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/http/BackendSocket.java
@@ -23,8 +23,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection to a backend server, with one order on it at a time. Belongs to the
- * thread of requests.
+ * A connection to a backend server that carries one request at a time. Not thread-safe;
+ * confined to the request thread.
  */
 final class BackendSocket {
 
@@ -35,16 +35,17 @@
 	private static final long NANOS_PER_SECOND = 1_000_000_000;
 
 	/**
-	 * How long a connection may rest if the server doesn't say: servers that say nothing
-	 * close after some seconds.
+	 * Idle time of a connection if the server states none: such servers close idle
+	 * connections after some seconds.
 	 */
-	private static final long USUAL_REST_NANOS = NANOS_PER_SECOND;
+	private static final long DEFAULT_IDLE_NANOS = NANOS_PER_SECOND;
 
 	/**
-	 * Taken off what the server says, for the way of its closing and a pause of this
-	 * process: an order sent into a closing connection has an unknown outcome.
+	 * Subtracted from the idle time that the server states, for the transit time of its
+	 * close and a pause of this process: a request sent on a closing connection has an
+	 * unknown outcome.
 	 */
-	private static final long REST_MARGIN_NANOS = NANOS_PER_SECOND;
+	private static final long IDLE_MARGIN_NANOS = NANOS_PER_SECOND;
 
 	private final TcpSocket socket;
 
@@ -60,9 +61,9 @@
 
 	private boolean endOfStream;
 
-	private long restUntilNanos;
+	private long reusableUntilNanos;
 
-	private long restsSinceNanos;
+	private long idleSinceNanos;
 
 	private BackendSocket(TcpSocket socket, int maxBodyBytes) {
 		this.socket = socket;
@@ -80,7 +81,7 @@
 		});
 	}
 
-	// Sends a request; an answer that isn't its own is passed over.
+	// Sends a request and skips answers that belong to another one.
 	Promise<BackendReply> exchange(RawRequest request, Predicate<Answer> own) {
 		Exchange begun = new Exchange(own, new SettablePromise<>());
 		this.exchange = begun;
@@ -112,7 +113,7 @@
 
 	private void take(ByteBuffer bytes) {
 		if (this.exchange == null) {
-			// Bytes that nobody asked for: what follows can't be told apart any more.
+			// Unsolicited bytes: the boundaries of later answers are unknown.
 			broken("bytes came that belong to no order");
 			return;
 		}
@@ -155,8 +156,8 @@
 		this.exchange = null;
 		if (reusable) {
 			long now = System.nanoTime();
-			this.restsSinceNanos = now;
-			this.restUntilNanos = now + restNanos(answer);
+			this.idleSinceNanos = now;
+			this.reusableUntilNanos = now + maxIdleNanos(answer);
 		}
 		else {
 			close();
@@ -164,19 +165,19 @@
 		current.reply.trySet(new BackendReply.Whole(answer));
 	}
 
-	private static long restNanos(Answer answer) {
+	private static long maxIdleNanos(Answer answer) {
 		return answer.headers()
 			.stream()
 			.filter((field) -> field.name().equalsIgnoreCase("Keep-Alive"))
 			.map(HeaderField::value)
 			.map(KEEP_ALIVE_SECONDS::matcher)
 			.filter(Matcher::find)
-			.map((found) -> Math.max(0, Long.parseLong(found.group(1)) * NANOS_PER_SECOND - REST_MARGIN_NANOS))
+			.map((found) -> Math.max(0, Long.parseLong(found.group(1)) * NANOS_PER_SECOND - IDLE_MARGIN_NANOS))
 			.findFirst()
-			.orElse(USUAL_REST_NANOS);
+			.orElse(DEFAULT_IDLE_NANOS);
 	}
 
-	// An answer without a length ends with its connection.
+	// An answer without a length ends at the end of the connection.
 	private void ended() {
 		this.endOfStream = true;
 		if (this.exchange != null) {
@@ -197,8 +198,9 @@
 		finish(this.collector.headComplete() ? new BackendReply.Garbled(detail) : new BackendReply.Broken(detail));
 	}
 
-	// Ends the order at hand, if any, and the connection. The order is taken off first:
-	// closing ends the pending read at once, which would report the connection as broken.
+	// Ends the current request, if any, and the connection. The request is detached
+	// first: closing ends the pending read at once, which would report the connection
+	// as broken.
 	void finish(BackendReply end) {
 		Exchange current = this.exchange;
 		this.exchange = null;
@@ -216,18 +218,18 @@
 	}
 
 	boolean usable(long now) {
-		return !this.closed && this.exchange == null && now < this.restUntilNanos;
+		return !this.closed && this.exchange == null && now < this.reusableUntilNanos;
 	}
 
 	long restedNanos(long now) {
-		return now - this.restsSinceNanos;
+		return now - this.idleSinceNanos;
 	}
 
 	private record Exchange(Predicate<Answer> own, SettablePromise<BackendReply> reply) {
 	}
 
 	/**
-	 * Collects answers.
+	 * Collects the parts of an answer.
 	 */
 	private static final class Collector extends MessageCollector implements HttpParser.ResponseHandler {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/http/CallerServer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/http/CallerServer.java
@@ -23,15 +23,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The port for callers. Belongs to the thread of requests.
+ * The HTTP server for callers. Not thread-safe; confined to the request thread.
  */
 public final class CallerServer {
 
-	private static final Duration LOOK_EVERY = Duration.ofSeconds(1);
+	private static final Duration TIMEOUT_CHECK_INTERVAL = Duration.ofSeconds(1);
 
 	private static final SocketSettings SOCKETS = SocketSettings.builder().withTcpNoDelay(true).build();
 
-	/** Connections that may wait to be accepted while the daemon is busy or paused. */
+	/** Length of the accept queue, for times when the daemon is busy or paused. */
 	private static final int BACKLOG = 1024;
 
 	private final NioReactor reactor;
@@ -49,11 +49,11 @@
 	private boolean leaving;
 
 	/**
-	 * Creates a port that doesn't listen yet.
-	 * @param reactor the reactor of the thread of requests
-	 * @param address where to listen
+	 * Creates a server that doesn't listen yet.
+	 * @param reactor the reactor of the request thread
+	 * @param address the address to listen on
 	 * @param handler serves the requests
-	 * @param limits what callers may send, as in force now
+	 * @param limits supplies the limits currently in force
 	 */
 	public CallerServer(NioReactor reactor, InetSocketAddress address, Handler handler, Supplier<CallerLimits> limits) {
 		this.reactor = reactor;
@@ -64,12 +64,12 @@
 
 	/**
 	 * Opens the port.
-	 * @throws IOException if it can't be opened
+	 * @throws IOException if the port can't be opened
 	 */
 	public void listen() throws IOException {
 		ServerSocketSettings settings = ServerSocketSettings.builder().withBacklog(BACKLOG).build();
 		this.channel = this.reactor.listen(this.address, settings, this::accept);
-		this.reactor.delayBackground(LOOK_EVERY, this::look);
+		this.reactor.delayBackground(TIMEOUT_CHECK_INTERVAL, this::checkTimeouts);
 	}
 
 	private void accept(SocketChannel accepted) {
@@ -85,22 +85,22 @@
 		}
 	}
 
-	private void look() {
-		this.reactor.delayBackground(LOOK_EVERY, this::look);
+	private void checkTimeouts() {
+		this.reactor.delayBackground(TIMEOUT_CHECK_INTERVAL, this::checkTimeouts);
 		long now = System.nanoTime();
-		List.copyOf(this.sockets).forEach((socket) -> socket.look(now));
+		List.copyOf(this.sockets).forEach((socket) -> socket.checkTimeouts(now));
 	}
 
 	/**
-	 * Tells callers with each answer from now on that their connection ends.
+	 * Closes the connection with each later answer.
 	 */
 	public void leave() {
 		this.leaving = true;
 	}
 
 	/**
-	 * Refuses new connections. Those that wait to be accepted are taken first: the kernel
-	 * would reset them, though their callers may have sent something.
+	 * Closes the port to new connections. Connections in the accept queue are accepted
+	 * first: the kernel would reset them, though their callers may have sent a request.
 	 */
 	public void refuseNew() {
 		ServerSocketChannel listening = this.channel;
@@ -121,7 +121,7 @@
 	}
 
 	/**
-	 * Closes connections on which nothing is asked for.
+	 * Closes connections with no request in flight.
 	 * @return whether none are left
 	 */
 	public boolean closeIdle() {
@@ -157,22 +157,22 @@
 		/**
 		 * Serves a request.
 		 * @param request the request
-		 * @param cancellation tells when its caller is gone
+		 * @param cancellation cancelled when the caller disconnects
 		 * @return the answer; never an exception
 		 */
 		Promise<Answer> serve(RawRequest request, Cancellation cancellation);
 
 		/**
-		 * The answer to a request that can't be served as it is.
-		 * @param request as much of it as came
-		 * @param failure what is wrong
+		 * Returns the answer to a request that can't be served.
+		 * @param request the part of the request that was received
+		 * @param failure the reason
 		 * @return the answer
 		 */
 		Answer failed(RawRequest request, Failure failure);
 
 		/**
-		 * Counts and logs what is no request.
-		 * @param detail what came
+		 * Counts and logs input that is not an HTTP request.
+		 * @param detail what is wrong with the input
 		 */
 		void malformed(String detail);
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/http/CallerSocket.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/http/CallerSocket.java
@@ -24,23 +24,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One caller's connection. Requests that are sent before earlier ones are answered run
- * side by side; answers go out in the order of the requests. Belongs to the thread of
- * requests.
+ * The connection of one caller. Pipelined requests run concurrently; answers are sent in
+ * the order of the requests. Not thread-safe; confined to the request thread.
  */
 final class CallerSocket {
 
 	/**
-	 * Requests of one connection that may be open at once. More wait unread, so that one
-	 * caller can't fill the memory.
+	 * Maximum number of unanswered requests of a connection. Further requests stay
+	 * unread, so that one caller can't exhaust the memory.
 	 */
-	private static final int MAX_OPEN = 16;
+	private static final int MAX_UNANSWERED = 16;
 
 	private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
 	private final ITcpSocket socket;
 
-	private final CallerServer door;
+	private final CallerServer server;
 
 	private final CallerLimits limits;
 
@@ -58,15 +57,15 @@
 
 	private boolean last;
 
-	private long quietSinceNanos;
+	private long lastActivityNanos;
 
-	CallerSocket(ITcpSocket socket, CallerServer door, CallerLimits limits, long now) {
+	CallerSocket(ITcpSocket socket, CallerServer server, CallerLimits limits, long now) {
 		this.socket = socket;
-		this.door = door;
+		this.server = server;
 		this.limits = limits;
 		this.collector = new Collector(limits.maxBodyBytes());
 		this.parser = new HttpParser(this.collector, limits.maxHeaderBytes());
-		this.quietSinceNanos = now;
+		this.lastActivityNanos = now;
 	}
 
 	void begin() {
@@ -77,14 +76,14 @@
 		if (this.reading || this.closed || this.last) {
 			return;
 		}
-		if (this.open.size() >= MAX_OPEN) {
+		if (this.open.size() >= MAX_UNANSWERED) {
 			return;
 		}
 		this.reading = true;
 		this.socket.read().whenComplete((buf, ex) -> {
 			this.reading = false;
 			if (buf == null) {
-				gone();
+				onDisconnect();
 				return;
 			}
 			take(buf.asArray());
@@ -92,7 +91,7 @@
 	}
 
 	private void take(byte[] bytes) {
-		this.quietSinceNanos = System.nanoTime();
+		this.lastActivityNanos = System.nanoTime();
 		ByteBuffer all = ByteBuffer.allocate(this.unread.remaining() + bytes.length);
 		all.put(this.unread).put(bytes).flip();
 		this.unread = all;
@@ -100,7 +99,7 @@
 	}
 
 	private void parse() {
-		while (this.unread.hasRemaining() && this.open.size() < MAX_OPEN && !this.closed && !this.last) {
+		while (this.unread.hasRemaining() && this.open.size() < MAX_UNANSWERED && !this.closed && !this.last) {
 			this.parser.parseNext(this.unread);
 			if (this.collector.fault().isPresent()) {
 				malformed(this.collector.fault().get());
@@ -133,11 +132,11 @@
 		this.last = close;
 		Open opened = new Open(request, new Cancellation());
 		this.open.add(opened);
-		this.door.serve(request, opened.cancellation).whenResult((answer) -> answered(opened, answer));
+		this.server.serve(request, opened.cancellation).whenResult((answer) -> answered(opened, answer));
 	}
 
 	private void malformed(HttpException fault) {
-		this.door.malformed(String.valueOf(fault.getReason()));
+		this.server.malformed(String.valueOf(fault.getReason()));
 		ErrorKind kind = (fault.getCode() == HttpStatus.REQUEST_HEADER_FIELDS_TOO_LARGE_431
 				|| fault.getCode() == HttpStatus.URI_TOO_LONG_414) ? ErrorKind.HEAD_TOO_LARGE : ErrorKind.BAD_REQUEST;
 		refuse(Failure.of(kind, "not HTTP/1.1: " + fault.getReason()));
@@ -147,7 +146,7 @@
 		this.last = true;
 		Open opened = new Open(this.collector.request(), new Cancellation());
 		this.open.add(opened);
-		answered(opened, this.door.failed(opened.request, failure));
+		answered(opened, this.server.failed(opened.request, failure));
 	}
 
 	private void answered(Open opened, Answer answer) {
@@ -157,7 +156,7 @@
 		}
 		while (!this.open.isEmpty() && this.open.peek().answer != null) {
 			Open next = this.open.remove();
-			boolean close = this.open.isEmpty() && (this.last || this.door.leaving());
+			boolean close = this.open.isEmpty() && (this.last || this.server.leaving());
 			this.last |= close;
 			write(next, close);
 		}
@@ -171,7 +170,7 @@
 		if (this.closed || answer == null) {
 			return;
 		}
-		this.quietSinceNanos = System.nanoTime();
+		this.lastActivityNanos = System.nanoTime();
 		boolean toHead = next.request.method().equals("HEAD");
 		Promise<Void> written = write(MessageText.answer(answer, toHead, close));
 		if (close) {
@@ -183,13 +182,13 @@
 		if (this.closed) {
 			return Promise.complete();
 		}
-		return this.socket.write(ByteBuf.wrapForReading(bytes)).whenException((ex) -> gone());
+		return this.socket.write(ByteBuf.wrapForReading(bytes)).whenException((ex) -> onDisconnect());
 	}
 
-	// The caller closed, or its connection broke: nobody will read what it asked for.
-	private void gone() {
+	// The caller closed the connection, or it broke: nobody will read the answers.
+	private void onDisconnect() {
 		close();
-		// Cancelling answers some of them at once, which must find none of them here.
+		// Cancelling answers some requests at once, and the queue must be empty by then.
 		List<Open> unanswered = List.copyOf(this.open);
 		this.open.clear();
 		unanswered.forEach((opened) -> opened.cancellation.cancel());
@@ -199,11 +198,11 @@
 		if (!this.closed) {
 			this.closed = true;
 			this.socket.closeEx(new AsyncCloseException("done"));
-			this.door.closed(this);
+			this.server.closed(this);
 		}
 	}
 
-	// Whether nothing is asked for here.
+	// Whether no request is in flight or partly received.
 	boolean idle() {
 		return this.open.isEmpty() && this.parser.isStart() && !this.unread.hasRemaining();
 	}
@@ -215,19 +214,20 @@
 		return this.closed;
 	}
 
-	// A caller that stops halfway, or rests for too long, would hold its socket for good.
-	void look(long now) {
-		long quiet = now - this.quietSinceNanos;
-		if (this.open.isEmpty() && idle() && quiet > this.limits.idleTimeout().toNanos()) {
+	// Without these timeouts a caller that stops within a request, or stays idle, would
+	// hold its socket forever.
+	void checkTimeouts(long now) {
+		long inactiveNanos = now - this.lastActivityNanos;
+		if (this.open.isEmpty() && idle() && inactiveNanos > this.limits.idleTimeout().toNanos()) {
 			close();
 		}
-		else if (!this.parser.isStart() && !this.last && quiet > this.limits.headerTimeout().toNanos()) {
+		else if (!this.parser.isStart() && !this.last && inactiveNanos > this.limits.headerTimeout().toNanos()) {
 			refuse(Failure.of(ErrorKind.REQUEST_TIMEOUT, "the request did not come whole in time"));
 		}
 	}
 
 	/**
-	 * A request that was read and is not yet answered.
+	 * A request that was received and is not yet answered.
 	 */
 	private static final class Open {
 
@@ -245,7 +245,7 @@
 	}
 
 	/**
-	 * Collects requests.
+	 * Collects the parts of a request.
 	 */
 	private static final class Collector extends MessageCollector implements HttpParser.RequestHandler {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/http/MessageCollector.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/http/MessageCollector.java
@@ -12,8 +12,8 @@
 import org.eclipse.jetty.http.HttpParser;
 
 /**
- * Collects one message after the other from a parser's events. Belongs to the thread of
- * its connection.
+ * Collects messages one by one from the events of a parser. Not thread-safe; confined to
+ * the thread of its connection.
  */
 abstract class MessageCollector implements HttpParser.HttpHandler {
 
@@ -100,8 +100,8 @@
 		return false;
 	}
 
-	// True stops the parser, so that what follows on the connection is looked at as a
-	// message of its own.
+	// Returns true to stop the parser, so that the bytes that follow are parsed as a
+	// message of their own.
 	@Override
 	public boolean messageComplete() {
 		this.whole = true;
@@ -110,7 +110,7 @@
 
 	@Override
 	public void earlyEOF() {
-		// The connection's owner sees that the message isn't whole.
+		// The connection finds the message incomplete.
 	}
 
 	@Override
--- a/daemon/src/main/java/org/brasspier/daemon/internal/http/MessageText.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/http/MessageText.java
@@ -12,13 +12,13 @@
 import org.eclipse.jetty.http.HttpStatus;
 
 /**
- * Writes HTTP/1.1 messages with a stated length. Stateless and thread-safe.
+ * Encodes HTTP/1.1 messages with a stated length. Stateless and thread-safe.
  */
 final class MessageText {
 
 	private static final String LINE_END = "\r\n";
 
-	/** Fields that concern one connection or are written anew. */
+	/** Header fields of a single connection, or rewritten here. */
 	private static final Set<String> OWN = Set.of("connection", "keep-alive", "content-length", "transfer-encoding");
 
 	private static final int NO_CONTENT = 204;
--- a/daemon/src/test/java/org/brasspier/daemon/internal/http/BackendPoolTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/http/BackendPoolTests.java
@@ -22,12 +22,12 @@
 			new byte[0]);
 
 	/**
-	 * A caller's deadline passes while a backend server is at work. The order is given up
-	 * by closing its connection, and that end was taken for the server's: the caller was
-	 * told 502 instead of 504, and the server counted as failing.
+	 * A caller's deadline passes while a backend server works on its request. The request
+	 * is abandoned by closing its connection, and that close was taken for the server's:
+	 * the caller got 502 instead of 504, and the server was counted as failing.
 	 */
 	@Test
-	void anOrderThatIsGivenUpIsNotReportedAsBroken() throws Exception {
+	void anAbandonedRequestIsNotReportedAsBroken() throws Exception {
 		try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			CompletableFuture<Void> read = CompletableFuture.runAsync(() -> readOneByte(server));
 			Eventloop loop = Eventloop.create();
@@ -48,11 +48,11 @@
 	}
 
 	/**
-	 * Guards against an order that reaches a server which began to leave while the
-	 * connection to it was opened.
+	 * Guards against a request that reaches a server which started to drain while the
+	 * connection to it was being opened.
 	 */
 	@Test
-	void anOrderThatIsNoLongerAllowedOnceTheConnectionIsOpenIsNotSent() throws Exception {
+	void aRequestThatIsNoLongerAllowedOnceTheConnectionIsOpenIsNotSent() throws Exception {
 		try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			Eventloop loop = Eventloop.create();
 			BackendPool pool = new BackendPool(loop, (InetSocketAddress) server.getLocalSocketAddress(),
@@ -71,7 +71,7 @@
 		}
 	}
 
-	// The connection stays open as long as the process.
+	// The connection stays open until the process ends.
 	private static void readOneByte(ServerSocket server) {
 		try {
 			Socket socket = server.accept();
