--- a/daemon/src/main/java/org/brasspier/daemon/internal/loop/Duty.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/loop/Duty.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread with one event loop and one duty. What another thread wants of it goes
- * through a {@link Ring}. Starting and stopping is thread-safe; all else belongs to the
- * thread itself.
+ * A thread with an event loop for one task of the daemon. Other threads pass work to it
+ * through a {@link Ring}. Starting and stopping is thread-safe; all else is confined to
+ * the thread itself.
  */
 public final class Duty {
 
@@ -40,8 +40,8 @@
 		this.thread.setDaemon(true);
 	}
 
-	// The library's own clock is the time of day. Where that jumps by seconds, timeouts
-	// would fire at once or seconds late; the steady clock doesn't jump.
+	// The default clock of ActiveJ is the time of day. If that jumps by seconds,
+	// timeouts fire at once or seconds late; the steady clock doesn't jump.
 	private static long steadyMillis() {
 		return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
 	}
@@ -51,7 +51,7 @@
 	}
 
 	/**
-	 * The loop's reactor, for building servers and clients on.
+	 * Returns the reactor of the event loop, for building servers and clients.
 	 * @return the reactor
 	 */
 	public NioReactor reactor() {
@@ -67,7 +67,7 @@
 	}
 
 	/**
-	 * Starts the thread and opens what it listens on, in the thread itself.
+	 * Starts the thread and opens its ports in the thread itself.
 	 * @param opening opens the ports
 	 * @throws IOException if a port can't be opened
 	 */
@@ -79,7 +79,7 @@
 				opening.open();
 				opened.complete(null);
 			}
-			// Anything else that goes wrong would leave the starting thread waiting.
+			// Any of these, if not passed on, would leave the starting thread waiting.
 			catch (IOException | RuntimeException | LinkageError ex) {
 				opened.completeExceptionally(ex);
 			}
@@ -97,8 +97,8 @@
 	}
 
 	/**
-	 * Runs a task in the thread. For starting and stopping only: what flows during normal
-	 * work goes through a {@link Ring}, which is bounded.
+	 * Runs a task in the thread. For starting and stopping only: work during normal
+	 * operation goes through a {@link Ring}, which is bounded.
 	 * @param task the task
 	 */
 	public void execute(Runnable task) {
@@ -106,7 +106,7 @@
 	}
 
 	/**
-	 * Ends the thread after the tasks at hand.
+	 * Stops the thread after the tasks already queued.
 	 * @throws InterruptedException if the calling thread is interrupted while it waits
 	 */
 	public void stop() throws InterruptedException {
@@ -121,7 +121,7 @@
 	public interface Opening {
 
 		/**
-		 * Opens them; called once, in the duty's thread.
+		 * Opens the ports; called once, in the duty's thread.
 		 * @throws IOException if one can't be opened
 		 */
 		void open() throws IOException;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/loop/Ring.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/loop/Ring.java
@@ -6,11 +6,11 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * A bounded way from any thread into one duty's thread. Where it is full the sender is
- * told at once and decides what is lost: nothing is dropped in silence. Any thread may
- * offer.
+ * A bounded queue from any thread to the thread of one duty. If it is full, the sender is
+ * told at once and decides what is lost: nothing is dropped silently. Thread-safe for
+ * senders.
  *
- * @param <T> what is passed
+ * @param <T> the type of the entries
  */
 public final class Ring<T> {
 
@@ -24,7 +24,7 @@
 
 	/**
 	 * Creates a ring.
-	 * @param capacity how many entries may wait; rounded up to a power of two
+	 * @param capacity maximum number of queued entries; rounded up to a power of two
 	 * @param duty the receiving duty
 	 * @param receiver called in the duty's thread for each entry
 	 */
@@ -35,7 +35,7 @@
 	}
 
 	/**
-	 * Passes an entry on.
+	 * Enqueues an entry.
 	 * @param entry the entry
 	 * @return false if the ring is full and the entry was not taken
 	 */
--- a/daemon/src/main/java/org/brasspier/daemon/internal/loop/WholeBody.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/loop/WholeBody.java
@@ -13,16 +13,16 @@
 import io.activej.promise.SettablePromise;
 
 /**
- * Reads the body of an HTTP message up to a limit. ActiveJ's own loading does not end
+ * Reads the body of an HTTP message up to a limit. Loading by ActiveJ itself does not end
  * when a chunked body passes its limit, so a caller would hang until a timeout.
  *
  * <p>
- * It gives no buffer back to the library's pool. A message's header fields are places in
- * the buffer that was read from the socket, and a body that ends that buffer is the same
- * buffer: once given back, another thread's next read would overwrite fields that this
- * one has yet to look at. That shows under load as a request without its key, an answer
- * with another message's fields, or a "not run" that is not seen. The collector takes the
- * buffers. Belongs to the thread of its message.
+ * Buffers are not returned to ActiveJ's pool. The header fields of a message are slices
+ * of the buffer that was read from the socket, and a body at the end of that buffer
+ * shares it: once it is returned, another thread's next read would overwrite header
+ * fields that are still unread here. Under load this shows as a request without its key,
+ * an answer with the fields of another message, or an overlooked "not run". The garbage
+ * collector frees the buffers. Confined to the thread of its message.
  */
 public final class WholeBody {
 
@@ -45,20 +45,20 @@
 	/**
 	 * Reads a body.
 	 * @param message the message
-	 * @param maxBytes the largest body accepted, in bytes
-	 * @return the body, or {@link TooLargeException}, or why it was cut short
+	 * @param maxBytes the maximum size of the body, in bytes
+	 * @return the body, or {@link TooLargeException}, or the reason why it was truncated
 	 */
 	public static Promise<byte[]> read(HttpMessage message, int maxBytes) {
 		return read(message, maxBytes, Optional.empty());
 	}
 
 	/**
-	 * Reads a body that may take as long as it likes, if it keeps coming.
+	 * Reads a body without a limit on the total time, as long as data keeps arriving.
 	 * @param message the message
-	 * @param maxBytes the largest body accepted, in bytes
-	 * @param silence how long nothing of it may come
-	 * @return the body, or {@link TooLargeException} or {@link SilentException}, or why
-	 * it was cut short
+	 * @param maxBytes the maximum size of the body, in bytes
+	 * @param silence maximum time without data
+	 * @return the body, or {@link TooLargeException} or {@link SilentException}, or the
+	 * reason why it was truncated
 	 */
 	public static Promise<byte[]> read(HttpMessage message, int maxBytes, Duration silence) {
 		return read(message, maxBytes, Optional.of(silence));
@@ -97,7 +97,7 @@
 
 	private void take(byte[] bytes) {
 		if (this.body.size() + bytes.length > this.maxBytes) {
-			// The rest is left unread; closing the stream here would cut off the answer.
+			// The rest stays unread; closing the stream here would cut off the answer.
 			this.whole.trySetException(new TooLargeException(this.maxBytes));
 			return;
 		}
@@ -106,7 +106,7 @@
 	}
 
 	/**
-	 * The rest of the body does not come.
+	 * The body stopped arriving before its end.
 	 */
 	public static final class SilentException extends Exception {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/loop/package-info.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/loop/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Threads, one for each duty, and the bounded rings that join them.
+ * Event loop threads, one for each duty, and the bounded queues between them.
  */
 @NullMarked
 package org.brasspier.daemon.internal.loop;
