--- a/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendWatch.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/backend/BackendWatch.java
@@ -13,12 +13,15 @@
 import org.brasspier.daemon.internal.ownership.RequestsReport.BackendStatus;
 
 /**
- * Knows the backend server's announcements and whether it is there. Belongs to the thread
- * of requests.
+ * Tracks the announcements of the backend server and probes whether it is alive. Not
+ * thread-safe; confined to the request thread.
  */
 public final class BackendWatch {
 
-	/** A frozen server is then lost after about 1.7 s, a dead one after 0.1 s. */
+	/**
+	 * At this interval a frozen server is declared lost after about 1.7 s, a dead one
+	 * after 0.1 s.
+	 */
 	private static final long PROBE_EVERY_MILLIS = 100;
 
 	private final NioReactor reactor;
@@ -38,10 +41,10 @@
 	private boolean probing;
 
 	/**
-	 * Creates a watch over a backend server that is not known yet.
-	 * @param reactor the reactor of the thread of requests
-	 * @param calls the way to the backend server
-	 * @param events the time line
+	 * Creates a watch for a backend server that has not announced itself yet.
+	 * @param reactor the reactor of the request thread
+	 * @param calls sends calls to the backend server
+	 * @param events the event log
 	 */
 	public BackendWatch(NioReactor reactor, BackendCalls calls, EventLog events) {
 		this.reactor = reactor;
@@ -50,15 +53,15 @@
 	}
 
 	/**
-	 * Tells a listener of each change from now on.
+	 * Adds a listener for changes of the status.
 	 * @param listener the listener
 	 */
-	public void listen(Listener listener) {
+	public void addListener(Listener listener) {
 		this.listeners.add(listener);
 	}
 
 	/**
-	 * Begins to probe.
+	 * Starts probing.
 	 */
 	public void start() {
 		this.reactor.delayBackground(PROBE_EVERY_MILLIS, this::tick);
@@ -67,7 +70,7 @@
 	private void tick() {
 		this.reactor.delayBackground(PROBE_EVERY_MILLIS, this::tick);
 		probe();
-		tell();
+		reportChange();
 	}
 
 	private void probe() {
@@ -75,54 +78,55 @@
 			return;
 		}
 		this.probing = true;
-		answersNow().whenResult((answers) -> this.probing = false);
+		probeNow().whenResult((answers) -> this.probing = false);
 	}
 
 	/**
-	 * Asks the backend server for a sign of life, as after a broken connection.
-	 * @return false if nobody listens or nothing came in time; never an exception
+	 * Probes the backend server at once, for example after a broken connection.
+	 * @return false if the connection was refused or no answer came in time; never an
+	 * exception
 	 */
-	public Promise<Boolean> answersNow() {
+	public Promise<Boolean> probeNow() {
 		return this.calls.health().map((health) -> {
 			switch (health) {
 				case ANSWERED -> this.liveness.onAnswer();
 				case SILENT -> this.liveness.onProbeTimeout();
 				case REFUSED -> this.liveness.onConnectionRefused();
 			}
-			tell();
+			reportChange();
 			return health == BackendCalls.Health.ANSWERED;
 		});
 	}
 
 	/**
-	 * Takes an announcement.
+	 * Handles an announcement.
 	 * @param latest the announcement
 	 */
-	public void announced(BackendAnnouncement latest) {
+	public void onAnnouncement(BackendAnnouncement latest) {
 		this.announcement = Optional.of(latest);
-		this.calls.address(latest.address());
+		this.calls.setAddress(latest.address());
 		this.liveness.onAnnouncement(System.nanoTime());
-		tell();
+		reportChange();
 	}
 
 	/**
-	 * An order was answered, which shows life.
+	 * Records that a request was answered, which shows that the server is alive.
 	 */
-	public void heard() {
+	public void onAnswer() {
 		this.liveness.onAnswer();
 	}
 
 	/**
-	 * Whether its process is known to be gone, so that nothing it was at can still take
-	 * effect.
+	 * Returns whether the process is known to have ended, so that none of its requests
+	 * can still take effect.
 	 * @return false if it may only be frozen
 	 */
-	public boolean gone() {
+	public boolean isGone() {
 		return this.liveness.isGone();
 	}
 
 	/**
-	 * What the backend server announced last.
+	 * Returns the latest announcement.
 	 * @return empty before its first announcement
 	 */
 	public Optional<BackendAnnouncement> announcement() {
@@ -130,7 +134,7 @@
 	}
 
 	/**
-	 * What may be done with the backend server.
+	 * Returns the announced state, or LOST if the server is not alive.
 	 * @return empty before its first announcement
 	 */
 	public Optional<BackendState> state() {
@@ -139,7 +143,7 @@
 	}
 
 	/**
-	 * The state as the thread of ownership wants it.
+	 * Returns the status for the ownership thread.
 	 * @return empty before the first announcement
 	 */
 	public Optional<BackendStatus> status() {
@@ -147,7 +151,7 @@
 				known.address(), known.slots(), known.connections(), known.checksFences(), known.coldStartMillis())));
 	}
 
-	private void tell() {
+	private void reportChange() {
 		Optional<BackendStatus> now = status();
 		if (now.equals(this.reported)) {
 			return;
@@ -157,20 +161,20 @@
 			EventKind kind = (status.state() == BackendState.LOST) ? EventKind.BACKEND_LOST
 					: EventKind.BACKEND_ANNOUNCED;
 			this.events.record(kind, status.service(), status.address() + " is " + status.state());
-			this.listeners.forEach((listener) -> listener.changed(status));
+			this.listeners.forEach((listener) -> listener.onStatusChanged(status));
 		});
 	}
 
 	/**
-	 * Told of changes.
+	 * Receives changes of the status.
 	 */
 	public interface Listener {
 
 		/**
-		 * What is known of the backend server has changed.
-		 * @param status what is known now
+		 * Called when the status of the backend server has changed.
+		 * @param status the new status
 		 */
-		void changed(BackendStatus status);
+		void onStatusChanged(BackendStatus status);
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRunner.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/OrderRunner.java
@@ -86,7 +86,7 @@
 			this.reactor.post(() -> slotFree.accept(RunOutcome.NOT_STARTED));
 			return OrderRun.completed(refusal);
 		}
-		this.watch.announcement().ifPresent((known) -> this.client.address(known.address()));
+		this.watch.announcement().ifPresent((known) -> this.client.setAddress(known.address()));
 		boolean checksFences = this.watch.announcement().filter((known) -> known.checksFences()).isPresent();
 		RunningOrder started = new RunningOrder(this, order, checksFences, slotFree);
 		this.running.add(started);
@@ -119,7 +119,7 @@
 
 	private Promise<Boolean> awaitGrant(Order order, long giveUpNanos) {
 		long now = System.nanoTime();
-		if (this.grants.acknowledged(order.held(), now) || now - giveUpNanos >= 0) {
+		if (this.grants.isAcknowledged(order.held(), now) || now - giveUpNanos >= 0) {
 			return Promise.of(now - giveUpNanos < 0);
 		}
 		return Promises.delay(POLL_INTERVAL).then(() -> awaitGrant(order, giveUpNanos));
@@ -136,7 +136,7 @@
 
 	// The server is paused or has ended: no order that it runs will be answered.
 	void onServerLost() {
-		this.client.forgetConnections();
+		this.client.closeIdleConnections();
 		List.copyOf(this.running).forEach((order) -> order.abandon("the backend server is lost"));
 		long now = System.nanoTime();
 		this.connectionLosses.stream()
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
@@ -11,7 +11,7 @@
 import org.brasspier.core.RequestClass;
 import org.brasspier.core.admission.RunOutcome;
 import org.brasspier.core.event.EventKind;
-import org.brasspier.daemon.internal.backend.BackendOrder;
+import org.brasspier.daemon.internal.backend.BackendRequest;
 import org.brasspier.daemon.internal.backend.BackendReply;
 import org.brasspier.daemon.internal.backend.BackendRun;
 
@@ -104,7 +104,7 @@
 		long timeOfDayMillis = System.currentTimeMillis();
 		long deadlineAtMillis = timeOfDayMillis + (this.sentDeadlineNanos - System.nanoTime()) / NANOS_PER_MILLI;
 		BackendRun next = this.runner.client()
-			.run(new BackendOrder(this.order.request(), this.order.held(), deadlineAtMillis, waitMillis));
+			.run(new BackendRequest(this.order.request(), this.order.held(), deadlineAtMillis, waitMillis));
 		this.run = Optional.of(next);
 		next.reply().whenResult((reply) -> {
 			long now = System.nanoTime();
@@ -112,7 +112,7 @@
 				this.runner.record(EventKind.CONNECTION_REPLACED, this.order,
 						"no answer on the first connection; trying a new one");
 				this.secondAttempt = true;
-				this.runner.client().forgetConnections();
+				this.runner.client().closeIdleConnections();
 				sendAgain();
 				return;
 			}
@@ -162,7 +162,7 @@
 	private void end(BackendReply reply) {
 		switch (reply) {
 			case BackendReply.Whole(var answer) -> {
-				this.runner.watch().heard();
+				this.runner.watch().onAnswer();
 				this.runner.record(EventKind.REQUEST_ANSWERED, this.order, "status " + answer.status());
 				complete(new Outcome.Answered(answer, this.order.held().fence(), ""), RunOutcome.ANSWERED);
 			}
@@ -170,11 +170,11 @@
 				notRun(ErrorKind.OVERLOADED, "the backend server shed the request",
 						retryAfter.isZero() ? RETRY_AFTER : retryAfter, shedOutcome());
 			case BackendReply.FenceRefused ignored -> {
-				this.runner.grants().forget();
+				this.runner.grants().forgetAcknowledged();
 				notRun(ErrorKind.NO_OWNER, "the backend server refused the fence", RETRY_AFTER, RunOutcome.NOT_STARTED);
 			}
 			case BackendReply.NotSent(String reason) -> {
-				this.runner.watch().answersNow();
+				this.runner.watch().probeNow();
 				notRun(ErrorKind.NO_BACKEND, "the backend server can't be reached: " + reason, RETRY_AFTER,
 						RunOutcome.NOT_STARTED);
 			}
@@ -207,7 +207,7 @@
 			failBackendLost(kind, detail);
 			return;
 		}
-		this.runner.watch().answersNow().whenResult((answers) -> {
+		this.runner.watch().probeNow().whenResult((answers) -> {
 			if (answers) {
 				this.runner.onConnectionLost(this.order);
 				complete(Outcome.failed(kind, detail), RunOutcome.INTERRUPTED);
@@ -252,7 +252,7 @@
 	// When a paused server resumes, it starts orders that it has not read yet, until
 	// the deadline of the order or, if it checks fences, until the end of its grant.
 	private long residualRunNanos(RunOutcome slot) {
-		if (slot != RunOutcome.INTERRUPTED || this.runner.watch().gone()) {
+		if (slot != RunOutcome.INTERRUPTED || this.runner.watch().isGone()) {
 			return 0;
 		}
 		long now = System.nanoTime();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/ServerGate.java
@@ -90,7 +90,7 @@
 		this.grants = grants;
 		this.runner = runner;
 		this.catalog = catalog;
-		watch.listen(this);
+		watch.addListener(this);
 	}
 
 	/**
@@ -105,7 +105,7 @@
 		if (server.isEmpty() || !isAvailable()) {
 			return OrderRun.completed(noBackend("the owner's backend server is not available"));
 		}
-		if (server.get().checksFences() && !this.grants.acknowledged(order.held(), System.nanoTime())) {
+		if (server.get().checksFences() && !this.grants.isAcknowledged(order.held(), System.nanoTime())) {
 			return afterGrant(order, cancellation);
 		}
 		return offer(order, cancellation);
@@ -143,7 +143,7 @@
 	boolean hasGrant(HeldRange held) {
 		boolean byId = this.catalog.get().isShardedByRequestId(held.service());
 		boolean checksFences = this.watch.announcement().filter(BackendAnnouncement::checksFences).isPresent();
-		return checksFences && !byId && !this.watch.gone() && this.grants.remainingNanos(held, System.nanoTime()) > 0;
+		return checksFences && !byId && !this.watch.isGone() && this.grants.remainingNanos(held, System.nanoTime()) > 0;
 	}
 
 	private void updatePolicy(ServiceName service) {
@@ -232,7 +232,7 @@
 	}
 
 	@Override
-	public void changed(BackendStatus status) {
+	public void onStatusChanged(BackendStatus status) {
 		if (status.state() == BackendState.DRAINING && this.state != BackendState.DRAINING) {
 			this.drainingSinceNanos = System.nanoTime();
 		}
@@ -240,7 +240,7 @@
 		this.admission.updateLimits(
 				new AdmissionLimits(status.slots(), Math.max(1, status.connections() - RESERVED_CONNECTIONS)));
 		if (status.state() == BackendState.LOST) {
-			this.grants.forget();
+			this.grants.forgetAcknowledged();
 			List<RefusedRequest> refused = this.admission
 				.refuseWaiting(new Failure(ErrorKind.NO_BACKEND, "the backend server is lost", RETRY_AFTER));
 			refused.forEach(this::refuse);
--- a/daemon/src/test/java/org/brasspier/daemon/internal/backend/GrantRenewalTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/backend/GrantRenewalTests.java
@@ -31,16 +31,16 @@
 
 	private static final Fence FENCE = new Fence(7);
 
-	// Guards against a release that overlooks the grant of a range that has been split
-	// since: its frozen server still has the whole of it.
+	// Guards against the release of a part of a range while its frozen server may still
+	// hold a grant of the whole: the range was split after the grant was sent.
 	@Test
-	void aGrantThatGotNoAnswerHoldsForEachPartOfItsRange() throws IOException {
+	void anUnansweredGrantCountsForEachPartOfItsRange() throws IOException {
 		Eventloop loop = Eventloop.builder().withCurrentThread().build();
 		long now = System.nanoTime();
 		try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			String address = "127.0.0.1:" + silent.getLocalPort();
 			BackendCalls calls = new BackendCalls(loop);
-			calls.address(address);
+			calls.setAddress(address);
 			OwnershipSnapshot snapshot = holding(KeyRange.ALL, now + TimeUnit.MINUTES.toNanos(1));
 			GrantRenewal grants = new GrantRenewal(calls, () -> snapshot, () -> ServiceCatalog.OPEN);
 			loop.post(() -> grants.renew(announced(address), now));
