--- a/cli/src/main/java/org/brasspier/cli/Main.java
+++ b/cli/src/main/java/org/brasspier/cli/Main.java
@@ -8,7 +8,7 @@
 import org.brasspier.cli.internal.Terminal;
 
 /**
- * The program {@code brasspier}.
+ * Entry point of the {@code brasspier} command-line tool.
  */
 public final class Main {
 
@@ -16,8 +16,8 @@
 	}
 
 	/**
-	 * Runs one command. The exit code is 0, or that of the error's kind, as docs/API.md
-	 * lists them.
+	 * Runs one command. The exit code is 0 on success, otherwise that of the error kind
+	 * as listed in docs/API.md.
 	 * @param arguments the command line
 	 */
 	public static void main(String[] arguments) {
--- a/cli/src/main/java/org/brasspier/cli/internal/Command.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/Command.java
@@ -4,14 +4,14 @@
 import org.brasspier.wire.operator.ErrorAnswer;
 
 /**
- * One command of the tool.
+ * A command of the command-line tool.
  */
 interface Command {
 
 	/**
 	 * Runs the command.
-	 * @param session what every command needs
-	 * @return what it found, or the error
+	 * @param session client, terminal and draft file of this invocation
+	 * @return the result, or the error
 	 */
 	Either<ErrorAnswer, Report> run(Session session);
 
--- a/cli/src/main/java/org/brasspier/cli/internal/CommandLine.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/CommandLine.java
@@ -22,8 +22,8 @@
 import org.brasspier.wire.operator.OperatorJson;
 
 /**
- * Reads the command line, runs the command and shows what came of it. Serves one command
- * line; not thread-safe.
+ * Parses the command line, runs the command and prints its result. An object runs one
+ * command line; not thread-safe.
  */
 public final class CommandLine {
 
@@ -38,9 +38,9 @@
 	private final Map<String, Command> commands = new LinkedHashMap<>();
 
 	/**
-	 * Creates the tool.
-	 * @param terminal where the operator sits
-	 * @param environment the environment's variables
+	 * Creates the tool with all its commands.
+	 * @param terminal the operator's terminal
+	 * @param environment environment variables
 	 */
 	public CommandLine(Terminal terminal, Map<String, String> environment) {
 		this.terminal = terminal;
@@ -66,7 +66,7 @@
 	public int run(String... arguments) {
 		JCommander commander = commander();
 		try {
-			// Help is given wherever it's asked for, also in the midst of a half line.
+			// A help flag anywhere prints help, even if the rest is incomplete.
 			if (Arrays.stream(arguments).anyMatch(HELP::contains)) {
 				help(commander, arguments);
 				return 0;
@@ -94,7 +94,7 @@
 	private static void parse(JCommander commander, String[] arguments) {
 		String[] expanded = FormCommand.expand(arguments);
 		commander.parse(expanded);
-		// A mistyped flag would else pass for one of the command's words.
+		// JCommander would accept a mistyped flag as an operand of the command.
 		Set<String> known = Stream.concat(Stream.of(commander), commander.getCommands().values().stream())
 			.flatMap((part) -> part.getParameters().stream())
 			.flatMap((description) -> Arrays.stream(description.getParameter().names()))
@@ -119,7 +119,7 @@
 		if (!List.of("table", "json").contains(this.flags.output)) {
 			throw new IllegalArgumentException("--output \"%s\" must be table or json".formatted(this.flags.output));
 		}
-		Path draft = (this.flags.draft.isEmpty()) ? DraftFile.usual(this.environment) : Path.of(this.flags.draft);
+		Path draft = (this.flags.draft.isEmpty()) ? DraftFile.defaultPath(this.environment) : Path.of(this.flags.draft);
 		return new Session(
 				new OperatorClient(daemons(), secret(), Duration.ofSeconds(Math.max(1, this.flags.timeoutSeconds))),
 				this.terminal, new DraftFile(draft), json());
--- a/cli/src/main/java/org/brasspier/cli/internal/ConfigCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/ConfigCommand.java
@@ -15,7 +15,7 @@
 import org.brasspier.wire.operator.StatusAnswer;
 
 /**
- * Shows the versions of the document.
+ * Shows the versions of the configuration document.
  */
 @Parameters(commandDescription = "the document in force and the versions before it")
 final class ConfigCommand implements Command {
@@ -27,15 +27,15 @@
 			  history  the latest versions, newest first
 			  diff     what changed from one version to another, else by the latest one
 			  status   the version in force on each daemon""")
-	private List<String> words = new ArrayList<>();
+	private List<String> operands = new ArrayList<>();
 
 	@Parameter(names = "--count", description = "how many versions to look back, up to 100")
 	private int count = 100;
 
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
-		String verb = (this.words.isEmpty()) ? "" : this.words.getFirst();
-		if (this.words.stream().skip(1).anyMatch((word) -> !word.matches("[0-9]{1,18}"))) {
+		String verb = (this.operands.isEmpty()) ? "" : this.operands.getFirst();
+		if (this.operands.stream().skip(1).anyMatch((word) -> !word.matches("[0-9]{1,18}"))) {
 			return Session.refuse("a version is a whole number");
 		}
 		return switch (verb) {
@@ -52,10 +52,10 @@
 	}
 
 	private Either<ErrorAnswer, DocumentAnswer> version(Session session, int word) {
-		if (this.words.size() <= word) {
+		if (this.operands.size() <= word) {
 			return session.inForce();
 		}
-		long wanted = Long.parseLong(this.words.get(word));
+		long wanted = Long.parseLong(this.operands.get(word));
 		return history(session).flatMap((history) -> find(history, wanted));
 	}
 
@@ -104,7 +104,7 @@
 	}
 
 	private Either<ErrorAnswer, DocumentAnswer> older(Session session, DocumentAnswer newer) {
-		return (this.words.size() > 1) ? version(session, 1)
+		return (this.operands.size() > 1) ? version(session, 1)
 				: history(session).flatMap((history) -> find(history, Math.max(0, newer.version() - 1)));
 	}
 
@@ -122,11 +122,11 @@
 	}
 
 	/**
-	 * The version in force on a daemon, for programs.
+	 * JSON output: the version in force on a daemon.
 	 *
-	 * @param daemon its address
-	 * @param instance its instance
-	 * @param version the version
+	 * @param daemon address of the daemon's operator port
+	 * @param instance instance that the daemon runs on
+	 * @param version document version in force
 	 */
 	private record VersionOnDaemon(String daemon, String instance, long version) {
 
--- a/cli/src/main/java/org/brasspier/cli/internal/DeclareLostCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/DeclareLostCommand.java
@@ -11,23 +11,23 @@
 import org.brasspier.wire.operator.OrderRequest;
 
 /**
- * States that an instance is gone for good.
+ * Declares an instance permanently lost.
  */
 @Parameters(commandDescription = "state that an instance is gone for good (dangerous: asks first)")
 final class DeclareLostCommand implements Command {
 
 	@Parameter(description = "INSTANCE")
-	private List<String> words = new ArrayList<>();
+	private List<String> operands = new ArrayList<>();
 
 	@Parameter(names = "--yes", description = "confirm the danger without being asked")
 	private boolean yes;
 
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
-		if (this.words.size() != 1) {
+		if (this.operands.size() != 1) {
 			return Session.refuse("name one instance: declare-lost INSTANCE");
 		}
-		String instance = this.words.getFirst();
+		String instance = this.operands.getFirst();
 		session.terminal()
 			.progress("DANGER: what %s owned moves at once. If its daemon or backend server still runs anywhere, "
 				.formatted(instance)
--- a/cli/src/main/java/org/brasspier/cli/internal/Differences.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/Differences.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Differences of documents for programs. Stateless and thread-safe.
+ * Converts differences between documents to JSON output. Stateless and thread-safe.
  */
 final class Differences {
 
@@ -22,11 +22,11 @@
 	}
 
 	/**
-	 * One place whose value differs.
+	 * A field whose value differs.
 	 *
-	 * @param path the place
-	 * @param before the older value, absent if there was none
-	 * @param after the newer value, absent if there is none
+	 * @param path path of the field
+	 * @param before older value, absent if the field was not set
+	 * @param after newer value, absent if the field is not set
 	 */
 	record Entry(String path, @Nullable String before, @Nullable String after) {
 
--- a/cli/src/main/java/org/brasspier/cli/internal/DraftCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/DraftCommand.java
@@ -20,7 +20,7 @@
 import org.brasspier.wire.operator.SubmitRequest;
 
 /**
- * Shows, checks, submits, moves or discards the draft.
+ * Shows, checks, submits, rebases or discards the draft.
  */
 @Parameters(commandDescription = "show, check, submit, rebase or discard the draft that forms fill in")
 final class DraftCommand implements Command {
@@ -33,14 +33,14 @@
 			  submit   bring it into force, if the version it began from still is
 			  rebase   move its changes onto the version in force, after a conflict
 			  discard  throw it away""")
-	private List<String> words = new ArrayList<>();
+	private List<String> operands = new ArrayList<>();
 
 	@Parameter(names = "--no-wait", description = "don't wait until the version is in force on every daemon")
 	private boolean noWait;
 
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
-		String verb = (this.words.size() == 1) ? this.words.getFirst() : "";
+		String verb = (this.operands.size() == 1) ? this.operands.getFirst() : "";
 		Optional<DraftFile.Kept> kept = session.drafts().read();
 		if (kept.isEmpty() && Stream.of("check", "submit", "rebase").anyMatch(verb::equals)) {
 			return Session.refuse("there is no draft: fill in a form first (see TROUBLESHOOTING.md#draft-file)");
@@ -130,29 +130,29 @@
 	}
 
 	/**
-	 * The draft for programs.
+	 * JSON output: the draft.
 	 *
-	 * @param baseVersion the version that it began from
-	 * @param changes what it changes
+	 * @param baseVersion version of the document that the draft is based on
+	 * @param changes changes of the draft against its base
 	 */
 	private record DraftMessage(long baseVersion, List<Differences.Entry> changes) {
 
 	}
 
 	/**
-	 * A moved draft for programs.
+	 * JSON output: a rebased draft.
 	 *
-	 * @param baseVersion the version that it's on now
-	 * @param overlaps what both changed
+	 * @param baseVersion version of the document that the draft is based on now
+	 * @param overlaps fields changed both by the draft and in the document
 	 */
 	private record RebaseMessage(long baseVersion, List<Differences.Entry> overlaps) {
 
 	}
 
 	/**
-	 * Whether there was a draft to discard, for programs.
+	 * JSON output: result of discarding the draft.
 	 *
-	 * @param discarded whether there was one
+	 * @param discarded whether a draft existed
 	 */
 	private record Discarded(boolean discarded) {
 
--- a/cli/src/main/java/org/brasspier/cli/internal/DraftFile.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/DraftFile.java
@@ -19,8 +19,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps the draft on the operator's own machine, with the id under which it's submitted:
- * a draft that is submitted again after a lost answer is the same submission. Not
+ * Stores the draft on the operator's machine together with its submission id, so that a
+ * draft submitted again after a lost response counts as the same submission. Not
  * thread-safe.
  */
 final class DraftFile {
@@ -32,11 +32,11 @@
 	}
 
 	/**
-	 * Where the draft is kept unless a flag says otherwise.
-	 * @param environment the environment's variables
-	 * @return the file
+	 * Returns the path of the draft file if no flag sets one.
+	 * @param environment environment variables
+	 * @return path of the draft file
 	 */
-	static Path usual(Map<String, String> environment) {
+	static Path defaultPath(Map<String, String> environment) {
 		String home = environment.getOrDefault("HOME", ".");
 		String state = environment.getOrDefault("XDG_STATE_HOME", home + "/.local/state");
 		return Path.of(state, "brasspier", "draft.json");
@@ -58,9 +58,9 @@
 	}
 
 	/**
-	 * Keeps a changed draft, as a new submission.
+	 * Stores a changed draft under a new submission id.
 	 * @param draft the draft
-	 * @return what is kept now
+	 * @return the stored draft
 	 */
 	Kept write(Draft draft) {
 		Kept kept = new Kept(draft, UUID.randomUUID().toString());
@@ -69,10 +69,11 @@
 			if (folder != null) {
 				Files.createDirectories(folder);
 			}
-			// Written aside and renamed: a draft is never half there.
-			Path aside = this.file.resolveSibling(this.file.getFileName() + ".new");
-			Files.writeString(aside, OperatorJson.pretty(DraftJson.of(kept)), StandardCharsets.UTF_8);
-			Files.move(aside, this.file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+			// Written to a temporary file and renamed, so that the draft file is never
+			// partly written.
+			Path temporary = this.file.resolveSibling(this.file.getFileName() + ".new");
+			Files.writeString(temporary, OperatorJson.pretty(DraftJson.of(kept)), StandardCharsets.UTF_8);
+			Files.move(temporary, this.file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
 			return kept;
 		}
 		catch (IOException ex) {
@@ -90,17 +91,17 @@
 	}
 
 	/**
-	 * A draft as it's kept.
+	 * Stored draft with its submission id.
 	 *
 	 * @param draft the draft
-	 * @param submission the id under which it's submitted
+	 * @param submission submission id, the same for every retry
 	 */
 	record Kept(Draft draft, String submission) {
 
 	}
 
 	/**
-	 * The file's JSON.
+	 * JSON content of the draft file.
 	 */
 	private record DraftJson(long baseVersion, @Nullable String submission, @Nullable Map<String, String> base,
 			@Nullable List<ChangeJson> changes) {
@@ -126,7 +127,7 @@
 	}
 
 	/**
-	 * One change of the file's JSON.
+	 * JSON form of one change in the draft file.
 	 */
 	private record ChangeJson(String path, @Nullable String value) {
 
--- a/cli/src/main/java/org/brasspier/cli/internal/DrainCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/DrainCommand.java
@@ -16,28 +16,28 @@
 import org.brasspier.wire.operator.OrderRequest;
 
 /**
- * Takes all ranges from an instance, and shows how many are left.
+ * Drains an instance of all its ranges and shows how many it still owns.
  */
 @Parameters(commandDescription = "take all ranges from an instance, cutting off nothing")
 final class DrainCommand implements Command {
 
-	/** As long as a planned stop of a daemon may take. */
-	private static final Duration LIMIT = Duration.ofSeconds(60);
+	/** Equals the time allowed for a planned stop of a daemon. */
+	private static final Duration WAIT_TIMEOUT = Duration.ofSeconds(60);
 
-	private static final Duration PAUSE = Duration.ofMillis(500);
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(500);
 
 	@Parameter(description = "INSTANCE")
-	private List<String> words = new ArrayList<>();
+	private List<String> operands = new ArrayList<>();
 
 	@Parameter(names = "--no-wait", description = "don't wait until nothing is owned any more")
 	private boolean noWait;
 
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
-		if (this.words.size() != 1) {
+		if (this.operands.size() != 1) {
 			return Session.refuse("name one instance: drain INSTANCE");
 		}
-		String instance = this.words.getFirst();
+		String instance = this.operands.getFirst();
 		return session.client()
 			.post("/v1/drain", new OrderRequest(instance, "", "", false), OrderAnswer.class, true)
 			.flatMap((answer) -> (this.noWait) ? Either.right(Report.of(answer, answer.result()))
@@ -45,7 +45,7 @@
 	}
 
 	private static Either<ErrorAnswer, Report> await(Session session, String instance, OrderAnswer answer) {
-		long end = System.nanoTime() + LIMIT.toNanos();
+		long end = System.nanoTime() + WAIT_TIMEOUT.toNanos();
 		long last = -1;
 		while (System.nanoTime() - end < 0) {
 			Either<ErrorAnswer, CellAnswer> cell = session.client().get("/v1/cell", CellAnswer.class);
@@ -59,11 +59,11 @@
 				session.terminal().progress("%s still owns %d ranges".formatted(instance, left));
 				last = left;
 			}
-			LockSupport.parkNanos(PAUSE.toNanos());
+			LockSupport.parkNanos(POLL_INTERVAL.toNanos());
 		}
 		return Either.left(ErrorAnswer.of(Failure.of(ErrorKind.ORDER_REFUSED,
 				"%s is drained, but still owns ranges after %d s (see TROUBLESHOOTING.md#drain-slow)"
-					.formatted(instance, LIMIT.toSeconds()))));
+					.formatted(instance, WAIT_TIMEOUT.toSeconds()))));
 	}
 
 }
--- a/cli/src/main/java/org/brasspier/cli/internal/FormCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/FormCommand.java
@@ -22,14 +22,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Shows a form, and fills it in by flags or by questions. What is filled in goes into the
- * draft; nothing takes effect before {@code draft submit}.
+ * Shows a form, and fills it in from flags or prompts. The values go into the draft;
+ * nothing takes effect before {@code draft submit}.
  */
 @Parameters(commandDescription = "show a form, or fill it in for the draft")
 final class FormCommand implements Command {
 
 	@Parameter(description = "service|limits SERVICE, or domains|targets|weights|secrets")
-	private List<String> words = new ArrayList<>();
+	private List<String> operands = new ArrayList<>();
 
 	@DynamicParameter(names = "--set", description = "FIELD=VALUE; the same as --FIELD VALUE")
 	private Map<String, String> values = new LinkedHashMap<>();
@@ -41,9 +41,9 @@
 	private boolean ask;
 
 	/**
-	 * Makes flags of fields: {@code --FIELD VALUE} becomes {@code --set FIELD=VALUE}.
-	 * @param arguments the whole command line
-	 * @return the command line as JCommander can read it
+	 * Rewrites field flags: {@code --FIELD VALUE} becomes {@code --set FIELD=VALUE}.
+	 * @param arguments complete command line
+	 * @return the command line in the form that JCommander parses
 	 */
 	static String[] expand(String[] arguments) {
 		List<String> expanded = new ArrayList<>();
@@ -67,13 +67,13 @@
 		if (form.isEmpty()) {
 			return Session.refuse("name one of the forms " + names() + " (see TROUBLESHOOTING.md#bad-field)");
 		}
-		boolean named = this.words.size() == ((form.get().hasSubject()) ? 2 : 1);
+		boolean named = this.operands.size() == ((form.get().hasSubject()) ? 2 : 1);
 		if (!named) {
 			return Session
 				.refuse((form.get().hasSubject()) ? "name one service: form %s SERVICE".formatted(form.get().key())
 						: "form %s takes no service".formatted(form.get().key()));
 		}
-		String subject = (form.get().hasSubject()) ? this.words.get(1) : "";
+		String subject = (form.get().hasSubject()) ? this.operands.get(1) : "";
 		return session.draft()
 			.flatMap((draft) -> fill(draft, form.get(), subject))
 			.map((draft) -> (this.ask) ? new FormDialog(session.terminal(), form.get(), subject).fill(draft) : draft)
@@ -82,7 +82,7 @@
 	}
 
 	private Optional<Form> form() {
-		return this.words.stream()
+		return this.operands.stream()
 			.findFirst()
 			.flatMap((word) -> Stream.of(Form.values()).filter((form) -> form.key().equals(word)).findFirst());
 	}
@@ -130,25 +130,25 @@
 	}
 
 	/**
-	 * A form for programs.
+	 * JSON output: a form.
 	 *
-	 * @param form its name
-	 * @param subject the service, empty if it has none
-	 * @param fields its fields
-	 * @param document the whole draft
+	 * @param form name of the form
+	 * @param subject service that the form is for, empty if the form has none
+	 * @param fields fields of the form
+	 * @param document all fields of the document with the draft applied
 	 */
 	private record FormMessage(String form, String subject, List<FieldValue> fields, Map<String, String> document) {
 
 	}
 
 	/**
-	 * A field for programs.
+	 * JSON output: a field of a form.
 	 *
-	 * @param path its place
-	 * @param value its value, absent if the usual one holds
-	 * @param usual the usual value
-	 * @param unit its unit
-	 * @param allowed what it allows
+	 * @param path path of the field in the document
+	 * @param value value of the field, absent if the default applies
+	 * @param usual default value
+	 * @param unit unit of the value
+	 * @param allowed description of the allowed values
 	 */
 	private record FieldValue(String path, @Nullable String value, String usual, String unit, String allowed) {
 
--- a/cli/src/main/java/org/brasspier/cli/internal/FormDialog.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/FormDialog.java
@@ -10,12 +10,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Asks for each field of a form, and asks again where a value isn't allowed. Not
+ * Prompts for each field of a form, and repeats the prompt after an invalid value. Not
  * thread-safe.
  */
 final class FormDialog {
 
-	private static final String TAKE_OUT = "-";
+	private static final String UNSET_INPUT = "-";
 
 	private final Terminal terminal;
 
@@ -51,7 +51,7 @@
 				return draft;
 			}
 			Either<Failure, Draft> filled = draft.fill(this.form, this.subject, field.name(),
-					Optional.of(typed).filter((value) -> !value.equals(TAKE_OUT)));
+					Optional.of(typed).filter((value) -> !value.equals(UNSET_INPUT)));
 			if (filled.isRight()) {
 				return filled.get();
 			}
--- a/cli/src/main/java/org/brasspier/cli/internal/GlobalFlags.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/GlobalFlags.java
@@ -6,7 +6,7 @@
 import com.beust.jcommander.Parameter;
 
 /**
- * The flags that stand before the command, as JCommander fills them in.
+ * Flags that precede the command name. JCommander fills them in.
  */
 final class GlobalFlags {
 
--- a/cli/src/main/java/org/brasspier/cli/internal/HelpText.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/HelpText.java
@@ -15,12 +15,12 @@
 import org.brasspier.core.document.Form;
 
 /**
- * The help of the tool: an overview of one screen, and a page for each command. Stateless
+ * Help texts of the tool: a one-screen overview and a page for each command. Stateless
  * and thread-safe.
  */
 final class HelpText {
 
-	/** The kinds that an operator may meet; the others are for callers. */
+	/** Error kinds that an operator can get; callers get the others. */
 	private static final List<ErrorKind> KINDS = List.of(ErrorKind.INTERNAL_ERROR, ErrorKind.BAD_REQUEST,
 			ErrorKind.UNAUTHORIZED, ErrorKind.DOCUMENT_INVALID, ErrorKind.DOCUMENT_CONFLICT,
 			ErrorKind.STORE_OUTCOME_UNKNOWN, ErrorKind.STORE_UNAVAILABLE, ErrorKind.STATE_UNREADABLE,
@@ -35,7 +35,8 @@
 			.forEach((name, command) -> text
 				.append("  %-14s%s%n".formatted(name, commander.getUsageFormatter().getCommandDescription(name))));
 		text.append("\n`brasspier COMMAND --help` explains a command.\n\nFlags, before the command:\n");
-		// JCommander reads the flags' descriptions only when its own usage is made.
+		// JCommander loads the descriptions of flags only when it formats its own usage
+		// text.
 		commander.getUsageFormatter().usage(new StringBuilder());
 		flags(text, commander);
 		text.append("\nA first session:\n")
@@ -75,13 +76,13 @@
 			.stream()
 			.sorted((one, other) -> one.getNames().compareTo(other.getNames()))
 			.forEach((flag) -> text
-				.append("  %s%n      %s%s%n".formatted(flag.getNames(), flag.getDescription(), usual(flag))));
+				.append("  %s%n      %s%s%n".formatted(flag.getNames(), flag.getDescription(), defaultValue(flag))));
 	}
 
-	private static String usual(ParameterDescription flag) {
+	private static String defaultValue(ParameterDescription flag) {
 		String text = String.valueOf(flag.getDefault());
-		boolean telling = !Stream.of("", "false", "null", "[]", "{}", "0").anyMatch(text::equals);
-		return (telling) ? " (usually %s)".formatted(text) : "";
+		boolean shown = !Stream.of("", "false", "null", "[]", "{}", "0").anyMatch(text::equals);
+		return (shown) ? " (usually %s)".formatted(text) : "";
 	}
 
 	private static void fields(StringBuilder text, Form form) {
--- a/cli/src/main/java/org/brasspier/cli/internal/InForceWait.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/InForceWait.java
@@ -13,15 +13,15 @@
 import org.brasspier.wire.operator.SubmitAnswer;
 
 /**
- * Waits until a version is in force on every daemon of the cell, and shows how far it is.
- * Not thread-safe.
+ * Waits until a document version is in force on every daemon of the cell, and reports
+ * progress. Not thread-safe.
  */
 final class InForceWait {
 
-	/** A change is in force everywhere within 9 s; a daemon that is gone takes longer. */
-	private static final Duration LIMIT = Duration.ofSeconds(30);
+	/** A change is in force on all daemons within 9 s, or later if a daemon is gone. */
+	private static final Duration WAIT_TIMEOUT = Duration.ofSeconds(30);
 
-	private static final Duration PAUSE = Duration.ofMillis(200);
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(200);
 
 	private final Session session;
 
@@ -30,29 +30,29 @@
 	}
 
 	Either<ErrorAnswer, Report> await(SubmitAnswer accepted) {
-		long end = System.nanoTime() + LIMIT.toNanos();
+		long end = System.nanoTime() + WAIT_TIMEOUT.toNanos();
 		Set<String> daemons = this.session.allDaemons();
 		Set<String> behind = new TreeSet<>(daemons);
 		int last = -1;
 		while (!behind.isEmpty() && System.nanoTime() - end < 0) {
-			behind.removeIf((daemon) -> reached(daemon, accepted.version()));
+			behind.removeIf((daemon) -> isInForceOn(daemon, accepted.version()));
 			int done = daemons.size() - behind.size();
 			if (done != last) {
 				this.session.terminal().progress("in force on %d of %d daemons".formatted(done, daemons.size()));
 				last = done;
 			}
 			if (!behind.isEmpty()) {
-				LockSupport.parkNanos(PAUSE.toNanos());
+				LockSupport.parkNanos(POLL_INTERVAL.toNanos());
 			}
 		}
 		String line = "version %d is in force on all %d daemons".formatted(accepted.version(), daemons.size());
 		return (behind.isEmpty()) ? Either.right(Report.of(accepted, line)) : Either.left(ErrorAnswer.of(Failure.of(
 				ErrorKind.DAEMON_UNREACHABLE,
 				"version %d was accepted, but %s did not say within %d s that it is in force (see TROUBLESHOOTING.md#version-behind)"
-					.formatted(accepted.version(), String.join(", ", behind), LIMIT.toSeconds()))));
+					.formatted(accepted.version(), String.join(", ", behind), WAIT_TIMEOUT.toSeconds()))));
 	}
 
-	private boolean reached(String daemon, long version) {
+	private boolean isInForceOn(String daemon, long version) {
 		return this.session.client()
 			.get(daemon, "/v1/status", StatusAnswer.class)
 			.map((status) -> status.documentVersion() >= version)
--- a/cli/src/main/java/org/brasspier/cli/internal/MeasuresCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/MeasuresCommand.java
@@ -15,7 +15,7 @@
 import org.brasspier.wire.operator.MeasuresAnswer;
 
 /**
- * Shows imbalance, churn and unavailable time against the targets.
+ * Shows imbalance, churn and unavailable time compared with the targets.
  */
 @Parameters(commandDescription = "imbalance, churn and unavailable time against the targets")
 final class MeasuresCommand implements Command {
--- a/cli/src/main/java/org/brasspier/cli/internal/MoveCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/MoveCommand.java
@@ -16,18 +16,18 @@
 @Parameters(commandDescription = "move a range to an instance")
 final class MoveCommand implements Command {
 
-	private static final int WORDS = 3;
+	private static final int OPERAND_COUNT = 3;
 
 	@Parameter(description = "SERVICE RANGE INSTANCE\n\nThe RANGE as `status --ranges` shows it.")
-	private List<String> words = new ArrayList<>();
+	private List<String> operands = new ArrayList<>();
 
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
-		if (this.words.size() != WORDS) {
+		if (this.operands.size() != OPERAND_COUNT) {
 			return Session.refuse("name a service, a range and an instance: move SERVICE RANGE INSTANCE");
 		}
 		return session.client()
-			.post("/v1/move", new OrderRequest(this.words.get(2), this.words.get(0), this.words.get(1), false),
+			.post("/v1/move", new OrderRequest(this.operands.get(2), this.operands.get(0), this.operands.get(1), false),
 					OrderAnswer.class, false)
 			.map((answer) -> Report.of(answer, answer.result()));
 	}
--- a/cli/src/main/java/org/brasspier/cli/internal/OperatorClient.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/OperatorClient.java
@@ -25,11 +25,11 @@
 import org.brasspier.wire.operator.OperatorJson;
 
 /**
- * Calls the operator ports of daemons, one call at a time. Not thread-safe.
+ * HTTP client of the daemons' operator ports, one call at a time. Not thread-safe.
  */
 public final class OperatorClient {
 
-	/** Every address is an IP number, so no name is ever looked up. */
+	/** Placeholder: every address is an IP address, so no name is ever looked up. */
 	private static final InetSocketAddress NO_NAME_SERVER = new InetSocketAddress("127.0.0.1", 53);
 
 	private static final int MAX_BODY_BYTES = 64 << 20;
@@ -46,9 +46,9 @@
 
 	/**
 	 * Creates a client.
-	 * @param daemons operator ports as IP:PORT, tried in turn
+	 * @param daemons addresses of operator ports as IP:PORT, tried in order
 	 * @param secret the operators' secret
-	 * @param timeout how long one call may take
+	 * @param timeout read and write timeout of a call
 	 */
 	public OperatorClient(List<String> daemons, String secret, Duration timeout) {
 		this.daemons = List.copyOf(daemons);
@@ -57,51 +57,51 @@
 	}
 
 	/**
-	 * The daemons that were named on the command line.
-	 * @return their addresses
+	 * Returns the daemons given on the command line.
+	 * @return addresses of their operator ports
 	 */
 	public List<String> daemons() {
 		return this.daemons;
 	}
 
 	/**
-	 * Reads from the first daemon that answers.
-	 * @param <T> what is expected
-	 * @param path the path with its query
-	 * @param type what is expected
-	 * @return the answer, or the error
+	 * Sends a GET request to the first daemon that answers.
+	 * @param <T> type of the response
+	 * @param path path and query of the request
+	 * @param type class of the response
+	 * @return the response, or the error
 	 */
 	public <T> Either<ErrorAnswer, T> get(String path, Class<T> type) {
-		return eachInTurn((daemon) -> get(daemon, path, type), true);
+		return tryInOrder((daemon) -> get(daemon, path, type), true);
 	}
 
 	/**
-	 * Reads from one daemon.
-	 * @param <T> what is expected
-	 * @param daemon its address
-	 * @param path the path with its query
-	 * @param type what is expected
-	 * @return the answer, or the error
+	 * Sends a GET request to one daemon.
+	 * @param <T> type of the response
+	 * @param daemon address of the daemon's operator port
+	 * @param path path and query of the request
+	 * @param type class of the response
+	 * @return the response, or the error
 	 */
 	public <T> Either<ErrorAnswer, T> get(String daemon, String path, Class<T> type) {
 		return call(HttpRequest.builder(HttpMethod.GET, "http://" + daemon + path), type);
 	}
 
 	/**
-	 * Sends an order to the first daemon that can be reached.
-	 * @param <T> what is expected
-	 * @param path the path
-	 * @param message the order
-	 * @param type what is expected
-	 * @param repeatable whether the order may reach two daemons without harm
-	 * @return the answer, or the error
+	 * Sends an order in a POST request to the first daemon that can be reached.
+	 * @param <T> type of the response
+	 * @param path path of the request
+	 * @param message order, sent as JSON
+	 * @param type class of the response
+	 * @param repeatable whether the order is idempotent, so that it may reach two daemons
+	 * @return the response, or the error
 	 */
 	public <T> Either<ErrorAnswer, T> post(String path, Object message, Class<T> type, boolean repeatable) {
-		return eachInTurn((daemon) -> call(HttpRequest.builder(HttpMethod.POST, "http://" + daemon + path)
+		return tryInOrder((daemon) -> call(HttpRequest.builder(HttpMethod.POST, "http://" + daemon + path)
 			.withBody(OperatorJson.write(message).getBytes(StandardCharsets.UTF_8)), type), repeatable);
 	}
 
-	private <T> Either<ErrorAnswer, T> eachInTurn(Function<String, Either<ErrorAnswer, T>> call, boolean repeatable) {
+	private <T> Either<ErrorAnswer, T> tryInOrder(Function<String, Either<ErrorAnswer, T>> call, boolean repeatable) {
 		Either<ErrorAnswer, T> last = unreachable("no daemon was named (see TROUBLESHOOTING.md#no-daemon)");
 		for (String daemon : this.daemons) {
 			last = call.apply(daemon);
--- a/cli/src/main/java/org/brasspier/cli/internal/OwnerCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/OwnerCommand.java
@@ -12,21 +12,21 @@
 import org.brasspier.wire.operator.OwnerAnswer;
 
 /**
- * Says who owns a key.
+ * Shows the owner of a key.
  */
 @Parameters(commandDescription = "who owns a key")
 final class OwnerCommand implements Command {
 
 	@Parameter(description = "SERVICE KEY")
-	private List<String> words = new ArrayList<>();
+	private List<String> operands = new ArrayList<>();
 
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
-		if (this.words.size() != 2) {
+		if (this.operands.size() != 2) {
 			return Session.refuse("name a service and a key: owner SERVICE KEY");
 		}
 		return session.client()
-			.get("/v1/owner?service=%s&key=%s".formatted(encode(this.words.get(0)), encode(this.words.get(1))),
+			.get("/v1/owner?service=%s&key=%s".formatted(encode(this.operands.get(0)), encode(this.operands.get(1))),
 					OwnerAnswer.class)
 			.map((answer) -> new Report(answer, new Table("SERVICE", "POINT", "RANGE", "OWNER", "FENCE", "CALLERS")
 				.row(answer.service(), answer.point(), answer.range(),
--- a/cli/src/main/java/org/brasspier/cli/internal/Report.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/Report.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What a command has found. Immutable as long as nobody changes the message; thread-safe.
+ * Result of a command. Immutable and thread-safe as long as the message is not modified.
  *
- * @param message the result for programs
- * @param lines the result for people
+ * @param message result that is printed as JSON
+ * @param lines result as lines of text
  */
 record Report(Object message, List<String> lines) {
 
--- a/cli/src/main/java/org/brasspier/cli/internal/Session.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/Session.java
@@ -14,12 +14,12 @@
 import org.brasspier.wire.operator.ErrorAnswer;
 
 /**
- * What every command needs. Not thread-safe.
+ * Context of one invocation that every command uses. Not thread-safe.
  *
- * @param client the way to the daemons
- * @param terminal where the operator sits
- * @param drafts keeps the draft
- * @param json whether results are for programs
+ * @param client client of the daemons' operator ports
+ * @param terminal the operator's terminal
+ * @param drafts file that stores the draft
+ * @param json whether results are printed as JSON
  */
 record Session(OperatorClient client, Terminal terminal, DraftFile drafts, boolean json) {
 
@@ -28,16 +28,16 @@
 	}
 
 	/**
-	 * The document in force.
-	 * @return the document, or why it can't be read
+	 * Reads the document in force.
+	 * @return the document, or the error
 	 */
 	Either<ErrorAnswer, DocumentAnswer> inForce() {
 		return this.client.get("/v1/document", DocumentAnswer.class);
 	}
 
 	/**
-	 * The draft that is kept, or a new one of the document in force.
-	 * @return the draft, or why there is none
+	 * Returns the stored draft, or a new one based on the document in force.
+	 * @return the draft, or the error
 	 */
 	Either<ErrorAnswer, Draft> draft() {
 		return this.drafts.read()
@@ -50,8 +50,9 @@
 	}
 
 	/**
-	 * The operator ports of all daemons: those of the cell, and those that were named.
-	 * @return their addresses
+	 * Returns the operator ports of the daemons of the cell and of those given on the
+	 * command line.
+	 * @return addresses as IP:PORT
 	 */
 	Set<String> allDaemons() {
 		Set<String> all = new TreeSet<>(this.client.daemons());
--- a/cli/src/main/java/org/brasspier/cli/internal/StatusCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/StatusCommand.java
@@ -16,7 +16,8 @@
 import org.brasspier.wire.operator.StatusAnswer;
 
 /**
- * Shows the cell: services, failure domains, instances, leases, owners and queues.
+ * Shows the state of the cell: services, failure domains, instances, leases, owners and
+ * queues.
  */
 @Parameters(commandDescription = "services, failure domains, instances, leases, owners and queues")
 final class StatusCommand implements Command {
@@ -116,10 +117,10 @@
 	}
 
 	/**
-	 * The status for programs.
+	 * JSON output: the status.
 	 *
-	 * @param cell the cell
-	 * @param daemons the state of each daemon that answered, by instance
+	 * @param cell state of the cell
+	 * @param daemons status of each daemon that answered, by instance
 	 */
 	private record StatusMessage(CellAnswer cell, Map<String, StatusAnswer> daemons) {
 
--- a/cli/src/main/java/org/brasspier/cli/internal/Table.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/Table.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 
 /**
- * Lines of cells, each column as wide as its widest cell. Not thread-safe.
+ * Text table whose columns are as wide as their widest cell. Not thread-safe.
  */
 final class Table {
 
--- a/cli/src/main/java/org/brasspier/cli/internal/Terminal.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/Terminal.java
@@ -8,19 +8,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Where the operator sits. Not thread-safe.
+ * Input and output streams of the operator's terminal. Not thread-safe.
  *
- * @param in what the operator types
- * @param out results
- * @param err questions, progress and errors, so that results can be piped
- * @param interactive whether there is somebody to ask
+ * @param in input typed by the operator
+ * @param out stream for results
+ * @param err stream for prompts, progress and errors, separate so that results can be
+ * piped
+ * @param interactive whether an operator can answer prompts
  */
 public record Terminal(BufferedReader in, PrintStream out, PrintStream err, boolean interactive) {
 
 	/**
-	 * Asks the operator.
-	 * @param question the question
-	 * @return the line that was typed, without blanks around it; null at the end of input
+	 * Prompts the operator for one line.
+	 * @param question prompt text
+	 * @return the line without surrounding whitespace; null at the end of input
 	 */
 	@Nullable String ask(String question) {
 		this.err.print(question);
@@ -35,9 +36,9 @@
 	}
 
 	/**
-	 * Asks for a yes.
-	 * @param question the question
-	 * @return whether the answer was yes; false where nobody can be asked
+	 * Asks the operator to confirm an action.
+	 * @param question prompt text
+	 * @return whether the answer was yes; false if the terminal is not interactive
 	 */
 	boolean confirm(String question) {
 		return this.interactive && "yes".equalsIgnoreCase(ask(question + " Type yes to go on: "));
--- a/cli/src/main/java/org/brasspier/cli/internal/TimelineCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/TimelineCommand.java
@@ -19,12 +19,12 @@
 import org.brasspier.wire.operator.OperatorJson;
 
 /**
- * Shows the events of all daemons in one order that respects cause and effect.
+ * Shows the events of all daemons merged in causal order.
  */
 @Parameters(commandDescription = "the events of all daemons in one order")
 final class TimelineCommand implements Command {
 
-	private static final Duration PAUSE = Duration.ofMillis(500);
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(500);
 
 	private static final Comparator<EventsAnswer.Entry> ORDER = Comparator.comparingLong(EventsAnswer.Entry::stamp)
 		.thenComparing(EventsAnswer.Entry::instance)
@@ -56,7 +56,7 @@
 
 	private final Map<String, Long> lastNumbers = new HashMap<>();
 
-	private final Map<String, Long> lostSaid = new HashMap<>();
+	private final Map<String, Long> reportedLosses = new HashMap<>();
 
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
@@ -100,12 +100,12 @@
 	}
 
 	Stream<Loss> losses(EventsAnswer answer) {
-		long before = this.lostSaid.getOrDefault(answer.instance(), 0L);
-		this.lostSaid.put(answer.instance(), answer.lost());
+		long before = this.reportedLosses.getOrDefault(answer.instance(), 0L);
+		this.reportedLosses.put(answer.instance(), answer.lost());
 		boolean first = before == 0 && !this.follow;
 		Loss loss = new Loss(answer.instance(), Math.max(0, answer.lost() - before),
 				(first) ? answer.pushedOutUntil() : 0);
-		return (loss.nothing()) ? Stream.empty() : Stream.of(loss);
+		return (loss.isEmpty()) ? Stream.empty() : Stream.of(loss);
 	}
 
 	private static String line(EventsAnswer.Entry entry) {
@@ -117,25 +117,25 @@
 
 	private Either<ErrorAnswer, Report> follow(Session session) {
 		long end = System.nanoTime() + Duration.ofSeconds(this.forSeconds).toNanos();
-		List<EventsAnswer.Entry> held = new ArrayList<>();
+		List<EventsAnswer.Entry> pending = new ArrayList<>();
 		while (this.forSeconds == 0 || System.nanoTime() - end < 0) {
-			LockSupport.parkNanos(PAUSE.toNanos());
+			LockSupport.parkNanos(POLL_INTERVAL.toNanos());
 			List<EventsAnswer> answers = read(session);
 			List<Loss> losses = answers.stream().flatMap((answer) -> losses(answer)).toList();
-			// What a round brought waits for the next one, since another daemon may still
-			// tell of something earlier.
-			long roundBegan = System.currentTimeMillis() - PAUSE.toMillis();
-			held.addAll(merge(answers));
-			held.sort(ORDER);
-			List<EventsAnswer.Entry> due = held.stream().filter((entry) -> entry.millis() < roundBegan).toList();
+			// Holds the events of one poll until the next one, since another daemon may
+			// still report an earlier event.
+			long pollStart = System.currentTimeMillis() - POLL_INTERVAL.toMillis();
+			pending.addAll(merge(answers));
+			pending.sort(ORDER);
+			List<EventsAnswer.Entry> due = pending.stream().filter((entry) -> entry.millis() < pollStart).toList();
 			print(session, losses, due);
-			held.removeAll(due);
+			pending.removeAll(due);
 		}
-		print(session, List.of(), held);
+		print(session, List.of(), pending);
 		return Either.right(Report.of(new Followed(true)));
 	}
 
-	// One line for each, also for programs, which read them as they come.
+	// One line for each entry, also as JSON, so that programs can read them as a stream.
 	private static void print(Session session, List<Loss> losses, List<EventsAnswer.Entry> entries) {
 		losses.forEach(
 				(loss) -> session.terminal().out().println((session.json()) ? OperatorJson.write(loss) : loss.line()));
@@ -145,25 +145,26 @@
 	}
 
 	/**
-	 * The time line for programs.
+	 * JSON output: the time line.
 	 *
-	 * @param losses what is missing in it
-	 * @param events the events
+	 * @param losses events missing from the time line
+	 * @param events events in causal order
 	 */
 	private record Events(List<Loss> losses, List<EventsAnswer.Entry> events) {
 
 	}
 
 	/**
-	 * What the time line of one daemon lacks.
+	 * Events missing from the time line of one daemon.
 	 *
-	 * @param instance the daemon's instance
-	 * @param lost how many events a full ring could not take
-	 * @param pushedOutUntil the number up to which older events gave way, 0 if none did
+	 * @param instance instance that the daemon runs on
+	 * @param lost number of events dropped because the ring buffer was full
+	 * @param pushedOutUntil highest number of an event evicted by newer ones, 0 if none
+	 * was
 	 */
 	record Loss(String instance, long lost, long pushedOutUntil) {
 
-		boolean nothing() {
+		boolean isEmpty() {
 			return this.lost == 0 && this.pushedOutUntil == 0;
 		}
 
@@ -178,7 +179,7 @@
 	}
 
 	/**
-	 * The end of following, for programs.
+	 * JSON output: the end of {@code --follow}.
 	 *
 	 * @param followed always true
 	 */
--- a/cli/src/main/java/org/brasspier/cli/internal/UndrainCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/UndrainCommand.java
@@ -11,21 +11,21 @@
 import org.brasspier.wire.operator.OrderRequest;
 
 /**
- * Lets a drained instance own ranges again.
+ * Ends the drain of an instance, so that it can own ranges again.
  */
 @Parameters(commandDescription = "let a drained instance own ranges again")
 final class UndrainCommand implements Command {
 
 	@Parameter(description = "INSTANCE")
-	private List<String> words = new ArrayList<>();
+	private List<String> operands = new ArrayList<>();
 
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
-		if (this.words.size() != 1) {
+		if (this.operands.size() != 1) {
 			return Session.refuse("name one instance: undrain INSTANCE");
 		}
 		return session.client()
-			.post("/v1/undrain", new OrderRequest(this.words.getFirst(), "", "", false), OrderAnswer.class, true)
+			.post("/v1/undrain", new OrderRequest(this.operands.getFirst(), "", "", false), OrderAnswer.class, true)
 			.map((answer) -> Report.of(answer, answer.result()));
 	}
 
--- a/cli/src/main/java/org/brasspier/cli/internal/package-info.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the command line tool is made of. Nothing here is meant for use from outside.
+ * Implementation of the command-line tool. Not a public API.
  */
 @NullMarked
 package org.brasspier.cli.internal;
--- a/cli/src/main/java/org/brasspier/cli/package-info.java
+++ b/cli/src/main/java/org/brasspier/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line tool for operators.
+ * Command-line tool for operators.
  */
 @NullMarked
 package org.brasspier.cli;
--- a/cli/src/test/java/org/brasspier/cli/internal/FormCommandTests.java
+++ b/cli/src/test/java/org/brasspier/cli/internal/FormCommandTests.java
@@ -21,7 +21,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Forms are filled in by flags or by questions, without a daemon once a draft has begun.
+ * Forms are filled in from flags or prompts; no daemon is needed once a draft exists.
  */
 class FormCommandTests {
 
@@ -50,7 +50,7 @@
 	}
 
 	@Test
-	void aWrongValueIsRefusedWithWhatIsAllowedAndNothingIsKept() {
+	void anInvalidValueIsRefusedWithTheAllowedValuesAndNothingIsStored() {
 		assertThat(run("", "form", "service", "hullbook", "--divided-by-key", "yes", "--run-limit-millis", "0"))
 			.isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
 		assertThat(said()).contains("run-limit-millis \"0\" must be a whole number from 1 to 600000");
@@ -93,8 +93,8 @@
 		assertThat(shown()).contains("--guard-millis");
 	}
 
-	// A stranger asks for help. All of it fits a terminal of a hundred columns, says what
-	// a field means and what holds without it, and shows no empty defaults.
+	// Guards against help that a new operator cannot use: lines over 120 columns, fields
+	// without meaning or default, and empty defaults printed as such.
 	@Test
 	void helpIsReadable() {
 		for (String command : List.of("", "form", "draft", "config", "status", "owner", "measures", "timeline", "drain",
@@ -110,7 +110,7 @@
 	}
 
 	@Test
-	void aCommandLineThatMakesNoSenseIsRefused() {
+	void anInvalidCommandLineIsRefused() {
 		assertThat(run("")).isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
 		assertThat(run("", "frm")).isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
 		assertThat(run("", "--output", "xml", "draft", "show")).isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
@@ -120,7 +120,7 @@
 	}
 
 	@Test
-	void whereNoDaemonAnswersTheExitCodeSaysSo() {
+	void theExitCodeTellsThatNoDaemonAnswered() {
 		assertThat(run("", "--daemon", "127.0.0.1:1", "status")).isEqualTo(ErrorKind.DAEMON_UNREACHABLE.exitCode());
 	}
 
--- a/cli/src/test/java/org/brasspier/cli/internal/TimelineCommandTests.java
+++ b/cli/src/test/java/org/brasspier/cli/internal/TimelineCommandTests.java
@@ -8,7 +8,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * The events of all daemons come in one order.
+ * Tests the merged order of events and the report of missing ones.
  */
 class TimelineCommandTests {
 
@@ -21,15 +21,15 @@
 			.map((entry) -> entry.instance() + entry.number())).containsExactly("a1", "b8", "a2", "b9").inOrder();
 	}
 
-	// A burst filled a daemon's ring. The operator must see that there is a hole, once
-	// for each new one, rather than take the rest for all that happened.
+	// Guards against a time line that looks complete although a burst filled a daemon's
+	// ring buffer: each new gap is reported once.
 	@Test
-	void whatAFullRingLostIsSaidOnce() {
+	void eventsLostByAFullRingAreReportedOnce() {
 		TimelineCommand command = new TimelineCommand();
-		EventsAnswer hole = new EventsAnswer("a", 9, 3, 0, List.of());
-		assertThat(command.losses(hole).map(TimelineCommand.Loss::line))
+		EventsAnswer gap = new EventsAnswer("a", 9, 3, 0, List.of());
+		assertThat(command.losses(gap).map(TimelineCommand.Loss::line))
 			.containsExactly("# a lost 3 events: its ring was full");
-		assertThat(command.losses(hole)).isEmpty();
+		assertThat(command.losses(gap)).isEmpty();
 		EventsAnswer older = new EventsAnswer("b", 9, 5, 7, List.of());
 		assertThat(command.losses(older).map(TimelineCommand.Loss::line)).containsExactly(
 				"# b lost 5 events: its ring was full; keeps only its latest events; some up to number 7 are gone");
