--- a/cli/src/main/java/org/brasspier/cli/internal/ConfigCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/ConfigCommand.java
@@ -35,7 +35,7 @@
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
 		String verb = (this.operands.isEmpty()) ? "" : this.operands.getFirst();
-		if (this.operands.stream().skip(1).anyMatch((word) -> !word.matches("[0-9]{1,18}"))) {
+		if (this.operands.stream().skip(1).anyMatch((operand) -> !operand.matches("[0-9]{1,18}"))) {
 			return Session.refuse("a version is a whole number");
 		}
 		return switch (verb) {
@@ -51,11 +51,11 @@
 		return session.client().get("/v1/document/history?count=" + this.count, HistoryAnswer.class);
 	}
 
-	private Either<ErrorAnswer, DocumentAnswer> version(Session session, int word) {
-		if (this.operands.size() <= word) {
+	private Either<ErrorAnswer, DocumentAnswer> version(Session session, int operandIndex) {
+		if (this.operands.size() <= operandIndex) {
 			return session.inForce();
 		}
-		long wanted = Long.parseLong(this.operands.get(word));
+		long wanted = Long.parseLong(this.operands.get(operandIndex));
 		return history(session).flatMap((history) -> find(history, wanted));
 	}
 
