--- a/core/src/main/java/org/brasspier/core/choosing/BackendChooser.java
+++ b/core/src/main/java/org/brasspier/core/choosing/BackendChooser.java
@@ -191,7 +191,7 @@
 	private Optional<Candidate> trial(List<Candidate> candidates, Optional<Candidate> quickest,
 			RequestClass requestClass, long now) {
 		// A posting that fails can't be resent, so postings are never used as trials.
-		if (!requestClass.idempotent()) {
+		if (!requestClass.isIdempotent()) {
 			return Optional.empty();
 		}
 		this.trialCredit = Math.min(1, this.trialCredit + TRIAL_SHARE);
--- a/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
+++ b/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
@@ -13,11 +13,11 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * The lease manager's side: whom this process renews, whom it revokes or promised not to
- * renew, and how long it may do so itself. Made for the loss of any process at any
- * moment: the two managers renew every member, so the loss of one interrupts nobody, and
- * a range leaves a silent member only when nobody can be renewing it any more. Not
- * thread-safe; copied cheaply, since its fields are numbers and persistent collections.
+ * The lease manager's state: which members it renews, which it revokes or has promised
+ * not to renew, and how long it may do so itself. Any process may be lost at any moment.
+ * Both managers renew every member, so the loss of one interrupts no member, and a range
+ * leaves a silent member only when no manager can still be renewing that member. Not
+ * thread-safe; cheap to copy, since its fields are numbers and persistent collections.
  */
 final class LeaseManager {
 
@@ -25,7 +25,7 @@
 
 	private final Timing timing;
 
-	private final Guards guards;
+	private final EnabledGuards guards;
 
 	private Optional<ManagerPair> pair = Optional.empty();
 
@@ -37,7 +37,7 @@
 
 	private Optional<MemberKey> replaced = Optional.empty();
 
-	private SortedMap<InstanceId, MemberWatch> watches = TreeMap.empty();
+	private SortedMap<InstanceId, MemberRecord> memberRecords = TreeMap.empty();
 
 	private SortedMap<MemberKey, Revocation> revoking = TreeMap.empty();
 
@@ -45,84 +45,85 @@
 
 	private final ManagerAuthority authority;
 
-	private final OldPairs oldPairs;
+	private final FormerPairs formerPairs;
 
-	LeaseManager(MemberKey self, Timing timing, Guards guards) {
+	LeaseManager(MemberKey self, Timing timing, EnabledGuards guards) {
 		this.self = self;
 		this.timing = timing;
 		this.guards = guards;
 		this.authority = new ManagerAuthority(timing, guards);
-		this.oldPairs = new OldPairs(self, timing);
+		this.formerPairs = new FormerPairs(self, timing);
 	}
 
 	LeaseManager copy() {
 		LeaseManager copy = new LeaseManager(this.self, this.timing, this.guards);
 		copy.pair = this.pair;
 		copy.since = this.since;
-		copy.authority.take(this.authority);
+		copy.authority.copyFrom(this.authority);
 		copy.peerBeatSentAt = this.peerBeatSentAt;
 		copy.minVersion = this.minVersion;
 		copy.replaced = this.replaced;
-		copy.watches = this.watches;
+		copy.memberRecords = this.memberRecords;
 		copy.revoking = this.revoking;
 		copy.promised = this.promised;
-		copy.oldPairs.take(this.oldPairs);
+		copy.formerPairs.copyFrom(this.formerPairs);
 		return copy;
 	}
 
 	List<Object> state() {
 		return List.of(this.pair, this.since, this.authority.state(), this.peerBeatSentAt, this.minVersion,
-				this.replaced, this.watches, this.revoking, this.promised, this.oldPairs.state());
+				this.replaced, this.memberRecords, this.revoking, this.promised, this.formerPairs.state());
 	}
 
 	/**
-	 * Takes the newest row: whether this process manages leases, and with whom.
+	 * Applies the newest row, which determines whether this process manages leases and
+	 * with which peer.
 	 * @param known the row
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 * @return whether the epoch changed
 	 */
 	boolean adopt(VersionedRow known, long now) {
 		this.minVersion = Math.max(this.minVersion, known.version());
 		Optional<ManagerPair> next = known.row().managers().filter((managers) -> managers.includes(this.self));
 		if (next.equals(this.pair)) {
-			next.ifPresent((managers) -> watchAll(known.row(), now));
+			next.ifPresent((managers) -> addMemberRecords(known.row(), now));
 			return false;
 		}
 		Optional<ManagerPair> before = this.pair;
 		this.pair = next;
 		this.since = now;
-		this.authority.begin(next.isPresent(), now);
+		this.authority.startEpoch(next.isPresent(), now);
 		this.peerBeatSentAt = Long.MIN_VALUE;
 		this.revoking = TreeMap.empty();
 		this.promised = TreeSet.empty();
-		this.oldPairs.begin();
-		// The peer that this process replaced was renewed, as a member, by nobody else.
+		this.formerPairs.reset();
+		// Only this process renewed the replaced peer's lease as a member.
 		this.replaced = before.flatMap((old) -> old.peerOf(this.self))
 			.filter((peer) -> next
 				.filter((managers) -> !managers.includes(peer) && managers.epoch() == before.get().epoch() + 1
 						&& managers.primary().equals(this.self))
 				.isPresent());
-		next.ifPresent((managers) -> watchAll(known.row(), now));
+		next.ifPresent((managers) -> addMemberRecords(known.row(), now));
 		return true;
 	}
 
-	private void watchAll(CellRow row, long now) {
+	private void addMemberRecords(CellRow row, long now) {
 		row.members()
-			.forEach((member) -> this.watches = this.watches.put(member.instance(),
-					this.watches.get(member.instance())
+			.forEach((member) -> this.memberRecords = this.memberRecords.put(member.instance(),
+					this.memberRecords.get(member.instance())
 						.filter((watch) -> watch.incarnation() == member.key().incarnation())
-						.getOrElse(() -> MemberWatch.unheard(member.key().incarnation(), now))));
+						.getOrElse(() -> MemberRecord.initial(member.key().incarnation(), now))));
 	}
 
-	boolean active() {
+	boolean isActive() {
 		return this.pair.isPresent();
 	}
 
-	boolean primary() {
+	boolean isPrimary() {
 		return this.pair.filter((managers) -> managers.primary().equals(this.self)).isPresent();
 	}
 
-	boolean lone() {
+	boolean isLone() {
 		return this.pair.filter((managers) -> managers.secondary().isEmpty()).isPresent();
 	}
 
@@ -138,55 +139,57 @@
 		return this.authority;
 	}
 
-	Optional<MemberWatch> watch(MemberKey key) {
-		return this.watches.get(key.instance())
+	Optional<MemberRecord> memberRecord(MemberKey key) {
+		return this.memberRecords.get(key.instance())
 			.filter((watch) -> watch.incarnation() == key.incarnation())
 			.toJavaOptional();
 	}
 
 	/**
-	 * Notes that this process's own epoch was seen in the table.
-	 * @param sentAt when the call left that showed it
+	 * Records that this process's own epoch was seen in the table.
+	 * @param sentAt when the call that showed it was sent
 	 */
-	void tableShows(long sentAt) {
-		this.authority.tableShows(sentAt, lone());
+	void onEpochSeen(long sentAt) {
+		this.authority.onEpochSeen(sentAt, isLone());
 	}
 
 	/**
-	 * Answers a heartbeat. Whoever may be moved soon is not renewed, nor is anybody
-	 * beyond the time for which this manager's own authority is confirmed.
-	 * @param key who sent it
+	 * Answers a heartbeat. Members whose ranges may move soon are not renewed, and no
+	 * renewal lasts longer than this manager's own authority is confirmed.
+	 * @param key the sender
 	 * @param heartbeat the heartbeat
 	 * @param row the newest known row
-	 * @param writing whether a write is under way that may move the sender's ranges
-	 * @param now the time
-	 * @return how long the lease runs from the sending, 0 for not at all
+	 * @param writing whether a write is in progress that may move the sender's ranges
+	 * @param now current time, milliseconds
+	 * @return duration of the lease from the sending, 0 if it is not renewed
 	 */
 	long renew(MemberKey key, ControlMessage.Heartbeat heartbeat, CellRow row, boolean writing, long now) {
-		hear(key, heartbeat, row, writing, now);
+		recordHeartbeat(key, heartbeat, row, writing, now);
 		boolean refused = this.revoking.containsKey(key) || this.promised.contains(key)
 				|| (key.equals(this.self) && this.guards.on(Guard.MANAGER_RENEWED_BY_PEER)) || !row.has(key)
-				|| heartbeat.epoch() > epoch() || !active();
-		long span = this.authority.span(now);
+				|| heartbeat.epoch() > epoch() || !isActive();
+		long span = this.authority.maxRenewalMillis(now);
 		if (refused || span <= 0) {
 			return 0;
 		}
-		this.watches = this.watches
-			.computeIfPresent(key.instance(), (instance, watch) -> watch.renewed(now + drift(span)))
+		this.memberRecords = this.memberRecords
+			.computeIfPresent(key.instance(), (instance, watch) -> watch.withRenewal(now + drift(span)))
 			._2();
 		return span;
 	}
 
-	private void hear(MemberKey key, ControlMessage.Heartbeat heartbeat, CellRow row, boolean writing, long now) {
-		MemberWatch watch = watch(key).orElse(MemberWatch.unheard(key.incarnation(), now));
-		if (watch(key).isPresent() || row.has(key)) {
+	private void recordHeartbeat(MemberKey key, ControlMessage.Heartbeat heartbeat, CellRow row, boolean writing,
+			long now) {
+		MemberRecord watch = memberRecord(key).orElse(MemberRecord.initial(key.incarnation(), now));
+		if (memberRecord(key).isPresent() || row.has(key)) {
 			long bound = now + drift(heartbeat.leaseLeft());
-			this.watches = this.watches.put(key.instance(), watch.heard(now, heartbeat.epoch(), bound));
+			this.memberRecords = this.memberRecords.put(key.instance(),
+					watch.withHeartbeat(now, heartbeat.epoch(), bound));
 		}
 		if (!writing) {
 			this.revoking = this.revoking.remove(key);
 		}
-		this.oldPairs.heard(key, heartbeat.epoch(), row, now);
+		this.formerPairs.onHeartbeat(key, heartbeat.epoch(), row, now);
 	}
 
 	private long drift(long span) {
@@ -194,57 +197,58 @@
 	}
 
 	/**
-	 * Answers the peer's beat, and keeps promises: a secondary stops renewing whom the
-	 * primary wants to revoke, if it too finds it silent.
+	 * Answers the peer's beat and keeps the promises: a secondary stops renewing members
+	 * that the primary asks to revoke if it finds them silent too.
 	 * @param from the peer
 	 * @param beat the beat
-	 * @param now the time
-	 * @return the answer, empty if the sender is no peer in this epoch
+	 * @param now current time, milliseconds
+	 * @return the answer, empty if the sender is not the peer in this epoch
 	 */
-	Optional<ControlMessage.BeatAnswer> answer(MemberKey from, ControlMessage.Beat beat, long now) {
+	Optional<ControlMessage.BeatAnswer> answerBeat(MemberKey from, ControlMessage.Beat beat, long now) {
 		if (!peer().filter(from::equals).isPresent() || beat.epoch() != epoch()) {
 			return Optional.empty();
 		}
-		this.authority.peerHeard(now);
+		this.authority.onPeerHeard(now);
 		if (beat.sentAt() > this.peerBeatSentAt) {
 			this.peerBeatSentAt = beat.sentAt();
 			this.minVersion = Math.max(this.minVersion, beat.version());
 			this.promised = TreeSet.ofAll(beat.revoking())
-				.filter((member) -> this.promised.contains(member) || silent(member, now) || neverHeard(member));
+				.filter((member) -> this.promised.contains(member) || isSilent(member, now) || neverHeard(member));
 		}
 		List<ControlMessage.Promised> promises = this.promised.toStream()
 			.map((member) -> new ControlMessage.Promised(member, leaseLeft(member, now)))
 			.toJavaList();
 		return Optional.of(new ControlMessage.BeatAnswer(from.incarnation(), beat.sentAt(), epoch(),
-				this.authority.confirms(now), this.authority.tableAge(now), promises));
+				this.authority.isConfirming(now), this.authority.tableAge(now), promises));
 	}
 
-	// Negative once it has run out: a guard counts from then, and if each answer said
-	// "just now", it would never be over.
+	// Negative after the lease has expired: the guard time counts from the expiry, and if
+	// each answer reported zero, it would never end.
 	private long leaseLeft(MemberKey member, long now) {
-		return Math.max(watch(member).map(MemberWatch::leaseBound).orElse(this.since), this.since) - now;
+		return Math.max(memberRecord(member).map(MemberRecord::leaseBound).orElse(this.since), this.since) - now;
 	}
 
 	private boolean neverHeard(MemberKey member) {
-		return watch(member).filter((watch) -> watch.ackedEpoch() > 0).isEmpty();
+		return memberRecord(member).filter((watch) -> watch.ackedEpoch() > 0).isEmpty();
 	}
 
-	boolean silent(MemberKey member, long now) {
-		return watch(member).filter((watch) -> now - watch.heardAt() <= this.timing.memberSilence()).isEmpty();
+	boolean isSilent(MemberKey member, long now) {
+		return memberRecord(member).filter((watch) -> now - watch.lastHeartbeatAt() <= this.timing.memberSilence())
+			.isEmpty();
 	}
 
 	/**
-	 * Takes the peer's answer to a beat.
+	 * Handles the peer's answer to a beat.
 	 * @param from the peer
 	 * @param answer the answer
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 */
-	void confirmed(MemberKey from, ControlMessage.BeatAnswer answer, long now) {
+	void onBeatAnswer(MemberKey from, ControlMessage.BeatAnswer answer, long now) {
 		if (!peer().filter(from::equals).isPresent() || answer.epoch() != epoch()) {
 			return;
 		}
-		this.authority.peerHeard(now);
-		this.authority.answered(answer);
+		this.authority.onPeerHeard(now);
+		this.authority.onBeatAnswer(answer);
 		for (ControlMessage.Promised promise : answer.promises()) {
 			this.revoking = this.revoking
 				.computeIfPresent(promise.member(),
@@ -255,15 +259,17 @@
 		}
 	}
 
-	// What ran out a while ago by the peer's clock did so a little later by this one.
+	// A lease that expired some time ago by the peer's clock expired a little later by
+	// this
+	// clock.
 	private long promisedSpan(long leaseLeft) {
 		return (leaseLeft < 0) ? 2 * leaseLeft + drift(-leaseLeft) : drift(leaseLeft);
 	}
 
 	/**
-	 * The beat that is due to the peer.
-	 * @param version the version of the row this process knows
-	 * @param now the time
+	 * Returns the beat to send to the peer.
+	 * @param version the version of the row that this process knows
+	 * @param now current time, milliseconds
 	 * @return the beat
 	 */
 	ControlMessage.Beat beat(long version, long now) {
@@ -272,52 +278,53 @@
 	}
 
 	/**
-	 * Begins to revoke the members that have been silent for too long. A heartbeat lost
-	 * now and then must not cost anybody its ranges, hence the silence is more than two
-	 * of them; longer would take from the second in which ranges are served again.
+	 * Starts to revoke the members that have been silent for too long. A single lost
+	 * heartbeat must not cost a member its ranges, so the limit is more than two
+	 * intervals; a longer limit would delay the recovery, which must complete within one
+	 * second.
 	 * @param row the newest known row
-	 * @param now the time
-	 * @return those whose revocation has just begun
+	 * @param now current time, milliseconds
+	 * @return the members whose revocation has just started
 	 */
 	List<MemberKey> revokeSilent(CellRow row, long now) {
 		List<MemberKey> begun = row.members()
 			.stream()
 			.map(MemberInfo::key)
 			.filter((key) -> !key.equals(this.self) && !peer().filter(key::equals).isPresent())
-			.filter((key) -> !this.revoking.containsKey(key) && silent(key, now))
+			.filter((key) -> !this.revoking.containsKey(key) && isSilent(key, now))
 			.toList();
 		begun.forEach((key) -> this.revoking = this.revoking.put(key, new Revocation(now, Optional.empty())));
 		return begun;
 	}
 
 	/**
-	 * Whose ranges may be given to others now: nobody renews it any more, and its lease
-	 * has run out by everybody's account.
+	 * Returns the members whose ranges may be reassigned now: no manager renews them any
+	 * longer, and their leases have expired by everyone's clock.
 	 * @param row the newest known row
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 * @return the members
 	 */
-	Set<MemberKey> lost(CellRow row, long now) {
+	Set<MemberKey> lostMembers(CellRow row, long now) {
 		return row.members()
 			.stream()
-			.filter((member) -> this.revoking.containsKey(member.key()) && runOut(member, row, now))
+			.filter((member) -> this.revoking.containsKey(member.key()) && hasExpired(member, row, now))
 			.map(MemberInfo::key)
 			.collect(Collectors.toUnmodifiableSet());
 	}
 
-	private boolean runOut(MemberInfo member, CellRow row, long now) {
+	private boolean hasExpired(MemberInfo member, CellRow row, long now) {
 		long guard = this.timing.withDrift(row.guardMillis(member));
 		Revocation revocation = this.revoking.get(member.key()).get();
-		boolean promiseKept = lone() || !this.guards.on(Guard.PROMISE_OF_PEER)
+		boolean promiseKept = isLone() || !this.guards.on(Guard.PROMISE_OF_PEER)
 				|| revocation.promiseUntil().filter((until) -> until + guard <= now).isPresent();
 		boolean ownRunOut = !this.guards.on(Guard.RENEWALS_RUN_OUT)
-				|| watch(member.key()).filter((watch) -> watch.leaseBound() > now - guard).isEmpty();
+				|| memberRecord(member.key()).filter((watch) -> watch.leaseBound() > now - guard).isEmpty();
 		return promiseKept && ownRunOut && noOldRenewals(member.key(), row, now - guard);
 	}
 
 	// Whether no lease manager of an earlier epoch can still be renewing a member.
 	private boolean noOldRenewals(MemberKey member, CellRow row, long now) {
-		long acked = watch(member).map(MemberWatch::ackedEpoch).orElse(0L);
+		long acked = memberRecord(member).map(MemberRecord::ackedEpoch).orElse(0L);
 		if (acked >= epoch() || !this.guards.on(Guard.OLD_AUTHORITY_ENDS)) {
 			return true;
 		}
@@ -328,22 +335,22 @@
 		return pairsClosed && now >= this.since + drift(this.timing.authority());
 	}
 
-	OldPairs oldPairs() {
-		return this.oldPairs;
+	FormerPairs formerPairs() {
+		return this.formerPairs;
 	}
 
 	/**
-	 * The pairs of the row that are known to have ended.
+	 * Returns the former pairs of the row that are known to have ended.
 	 * @param row the newest known row
-	 * @param now the time
+	 * @param now current time, milliseconds
 	 * @return the pairs
 	 */
-	List<ManagerPair> closed(CellRow row, long now) {
-		return this.oldPairs.closed(row, this.since, now);
+	List<ManagerPair> closedPairs(CellRow row, long now) {
+		return this.formerPairs.closed(row, this.since, now);
 	}
 
 	Map<InstanceId, Long> heardAt() {
-		return (active()) ? this.watches.mapValues(MemberWatch::heardAt).toJavaMap() : Map.of();
+		return (isActive()) ? this.memberRecords.mapValues(MemberRecord::lastHeartbeatAt).toJavaMap() : Map.of();
 	}
 
 	SortedMap<MemberKey, Revocation> revoking() {
@@ -351,7 +358,8 @@
 	}
 
 	/**
-	 * A version of the row that whoever gets its lease back must know at least.
+	 * Returns the minimum version of the row that a member must know to get its lease
+	 * back.
 	 * @return the version
 	 */
 	long minVersion() {
--- a/core/src/main/java/org/brasspier/core/ownership/ProcessParts.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ProcessParts.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * The parts of one process's state, shared by the steps that work on it. Not thread-safe;
- * copied cheaply.
+ * The components and state of one process, shared by the classes that handle its steps.
+ * Not thread-safe; cheap to copy.
  */
 final class ProcessParts {
 
 	final Timing timing;
 
-	final Guards guards;
+	final EnabledGuards guards;
 
 	final MemberLease lease;
 
@@ -19,7 +19,7 @@
 
 	final RowAccess access;
 
-	final PrimaryMemory memory;
+	final PrimaryState primaryState;
 
 	final Takeover takeover;
 
@@ -27,7 +27,7 @@
 
 	final Outbox out = new Outbox();
 
-	PrimaryMemory.Placement placement;
+	PrimaryState.Placement placement;
 
 	MemberInfo me;
 
@@ -35,17 +35,22 @@
 
 	long document;
 
-	/** Since when the backend server is lost and the ranges still to be given up. */
-	Optional<Long> givingUpSince = Optional.empty();
+	/**
+	 * Time at which the backend server was lost, while its ranges are still to be
+	 * released.
+	 */
+	Optional<Long> releasingSince = Optional.empty();
 
-	/** Since when this manager misses the other one and means to replace it. */
+	/**
+	 * Time from which this manager has not heard the other one and intends to replace it.
+	 */
 	Optional<Long> peerMissedSince = Optional.empty();
 
 	boolean leaving;
 
 	boolean left;
 
-	ProcessParts(MemberInfo me, Timing timing, PrimaryMemory.Placement placement, Guards guards, long now) {
+	ProcessParts(MemberInfo me, Timing timing, PrimaryState.Placement placement, EnabledGuards guards, long now) {
 		this.me = me;
 		this.timing = timing;
 		this.guards = guards;
@@ -53,7 +58,7 @@
 		this.lease = new MemberLease(me.key(), guards);
 		this.manager = new LeaseManager(me.key(), timing, guards);
 		this.access = new RowAccess();
-		this.memory = new PrimaryMemory();
+		this.primaryState = new PrimaryState();
 		this.takeover = new Takeover(me.key(), timing);
 		this.timers = new Timers();
 		this.managerHeardAt = now;
@@ -67,12 +72,12 @@
 		this.lease = other.lease.copy();
 		this.manager = other.manager.copy();
 		this.access = other.access.copy();
-		this.memory = other.memory.copy();
+		this.primaryState = other.primaryState.copy();
 		this.takeover = other.takeover.copy();
 		this.timers = other.timers.copy();
 		this.managerHeardAt = other.managerHeardAt;
 		this.document = other.document;
-		this.givingUpSince = other.givingUpSince;
+		this.releasingSince = other.releasingSince;
 		this.peerMissedSince = other.peerMissedSince;
 		this.leaving = other.leaving;
 		this.left = other.left;
@@ -83,14 +88,14 @@
 	}
 
 	List<Object> state() {
-		return List.of(this.lease.state(), this.manager.state(), this.access.state(), this.memory.state(),
-				this.takeover.state(), this.timers.state(), this.me, this.managerHeardAt, this.givingUpSince,
+		return List.of(this.lease.state(), this.manager.state(), this.access.state(), this.primaryState.state(),
+				this.takeover.state(), this.timers.state(), this.me, this.managerHeardAt, this.releasingSince,
 				this.peerMissedSince, this.leaving, this.left);
 	}
 
 	OwnershipState view() {
 		return new OwnershipState(this.me, this.lease.known(), this.lease.held(), this.lease.draining(),
-				this.lease.leaseEnd(), this.memory.moves(), this.manager.heardAt(), this.access.reachable());
+				this.lease.leaseEnd(), this.primaryState.moves(), this.manager.heardAt(), this.access.reachable());
 	}
 
 	VersionedRow known() {
--- a/core/src/main/java/org/brasspier/core/placement/SpreadUnowned.java
+++ b/core/src/main/java/org/brasspier/core/placement/SpreadUnowned.java
@@ -13,8 +13,8 @@
 import org.brasspier.core.placement.PlacementInput.Range;
 
 /**
- * The least that must be done: ranges without an owner, or of an owner that leaves, go
- * one by one to the instance that owns the fewest points for its slots. Stateless and
+ * The minimal policy: assigns ranges that have no owner, or whose owner is leaving, one
+ * by one to the instance that owns the fewest points for each slot. Stateless and
  * thread-safe.
  */
 public final class SpreadUnowned implements PlacementPolicy {
@@ -28,7 +28,7 @@
 		List<PlacementStep> steps = new ArrayList<>();
 		for (Range range : input.ranges()) {
 			Optional<PlacementStep.MoveCause> cause = cause(range, input.members());
-			Optional<Member> target = emptiest(input.members(), points);
+			Optional<Member> target = leastLoaded(input.members(), points);
 			if (cause.isPresent() && target.isPresent()) {
 				points.merge(target.get().instance(), range.range().size(), Long::sum);
 				steps.add(new PlacementStep.Move(range.range(), target.get().instance(), cause.get()));
@@ -49,7 +49,7 @@
 		};
 	}
 
-	private static Optional<Member> emptiest(List<Member> members, Map<InstanceId, Long> points) {
+	private static Optional<Member> leastLoaded(List<Member> members, Map<InstanceId, Long> points) {
 		return members.stream()
 			.filter((member) -> member.phase() == Phase.ACTIVE || member.phase() == Phase.COLD)
 			.min(Comparator
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
@@ -139,7 +139,7 @@
 	// by key.
 	private boolean mayOutlastLease() {
 		return this.checksFences
-				|| (!this.order.request().sharded() && this.order.request().requestClass().idempotent());
+				|| (!this.order.request().sharded() && this.order.request().requestClass().isIdempotent());
 	}
 
 	// A server that does not check fences may be paused with the order and resume after
@@ -275,7 +275,7 @@
 		this.cancelled = true;
 		this.runner.calls().cancel(this.order.request().id());
 		this.runner.record(EventKind.REQUEST_CANCELLED, this.order, "the caller is gone");
-		if (this.order.request().requestClass().idempotent()) {
+		if (this.order.request().requestClass().isIdempotent()) {
 			this.runner.reactor()
 				.delay(CANCEL_TIMEOUT, () -> this.run.ifPresent((current) -> current.abandon("cancelled")));
 		}
