--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RunningOrder.java
@@ -11,8 +11,8 @@
 import org.brasspier.core.RequestClass;
 import org.brasspier.core.admission.RunOutcome;
 import org.brasspier.core.event.EventKind;
-import org.brasspier.daemon.internal.backend.BackendRequest;
 import org.brasspier.daemon.internal.backend.BackendReply;
+import org.brasspier.daemon.internal.backend.BackendRequest;
 import org.brasspier.daemon.internal.backend.BackendRun;
 
 /**
