--- a/core/src/main/java/org/brasspier/core/admission/ConcurrencyLimit.java
+++ b/core/src/main/java/org/brasspier/core/admission/ConcurrencyLimit.java
@@ -22,22 +22,22 @@
 	 */
 	private static final double WEIGHT = 1.0 / 128;
 
-	/** Number of observations at one concurrency below which they are not significant. */
+	/** Number of observations from which the throughput at a concurrency is used. */
 	private static final int MIN_OBSERVATIONS = 100;
 
 	/** Number of observations between updates of the limit. */
 	private static final int UPDATE_INTERVAL = 50;
 
 	/**
-	 * Upper bound on the relative time of a run, for runs that a stall made hundreds of
-	 * times longer. A lower bound would truncate the long runs that indicate a full
+	 * Cap on the relative time of a run, for runs that a stall made hundreds of times
+	 * longer. A smaller cap would also truncate the long runs that indicate a full
 	 * server.
 	 */
 	private static final double MAX_RELATIVE_TIME = 20;
 
 	/**
-	 * Factor by which requests above the limit must be slower; random variation alone
-	 * makes two concurrencies differ by a tenth.
+	 * Factor by which requests above the sufficient concurrency must be slower; random
+	 * variation alone makes two concurrencies differ by a tenth.
 	 */
 	private static final double SLOWDOWN_FACTOR = 1.3;
 
@@ -89,8 +89,8 @@
 		this.limit = Math.clamp(Math.min(this.limit, concurrency - 1), 1, maxConcurrency());
 	}
 
-	// The limit is one above the sufficient concurrency, so that recovered slots are
-	// detected.
+	// If a higher concurrency is slower, the limit is set to one above the sufficient
+	// concurrency, so that recovered slots are detected. Otherwise it rises by one.
 	private void updateLimit() {
 		double best = observedLevels().mapToDouble(this::throughput).max().orElse(0);
 		int sufficient = observedLevels().filter((level) -> throughput(level) >= MIN_THROUGHPUT_SHARE * best)
--- a/core/src/main/java/org/brasspier/core/admission/RetryAfterEstimator.java
+++ b/core/src/main/java/org/brasspier/core/admission/RetryAfterEstimator.java
@@ -9,26 +9,28 @@
  * audit readers, although it has priority over them.
  * <p>
  * While the server is overloaded there is no capacity for retries: new requests alone
- * fill it, and a retry is refused again or takes the place of a new request. An overload
- * is expected to last as long again as it has lasted so far. Not thread-safe.
+ * fill it, and a retry is refused again or takes the place of a new request. The
+ * remaining time of an overload is estimated as the time that it has lasted so far. Not
+ * thread-safe.
  */
 final class RetryAfterEstimator {
 
-	/** Shortest pause: an earlier resend would meet the same queue. */
+	/** Shortest pause: an earlier retry would find the same queue. */
 	private static final long MIN_PAUSE_NANOS = Duration.ofMillis(50).toNanos();
 
 	/**
-	 * Longest pause: after a longer one, people resend by hand, and the backlog by then
-	 * can't be predicted.
+	 * Longest pause: during a longer one, people retry by hand, and the backlog after it
+	 * cannot be predicted.
 	 */
 	private static final long MAX_PAUSE_NANOS = Duration.ofSeconds(10).toNanos();
 
 	/**
-	 * Window of the refusals and starts that determine whether the server is overloaded.
+	 * Time constant with which the counts of refusals and starts decay exponentially; the
+	 * counts determine whether the server is overloaded.
 	 */
 	private static final double WINDOW_NANOS = Duration.ofMillis(500).toNanos();
 
-	/** Number of refusals in the window below which they are considered random. */
+	/** Decayed number of refusals below which they are considered random. */
 	private static final double MIN_REFUSED = 0.5;
 
 	/**
--- a/core/src/main/java/org/brasspier/core/admission/RunOutcome.java
+++ b/core/src/main/java/org/brasspier/core/admission/RunOutcome.java
@@ -18,8 +18,8 @@
 	NOT_STARTED,
 
 	/**
-	 * The request was cancelled, timed out or lost its connection; its duration is a
-	 * lower bound.
+	 * The request was cancelled, timed out or lost its connection; its duration is only a
+	 * lower bound of the full run time.
 	 */
 	INTERRUPTED
 
--- a/core/src/main/java/org/brasspier/core/choosing/SearchThrottle.java
+++ b/core/src/main/java/org/brasspier/core/choosing/SearchThrottle.java
@@ -4,12 +4,12 @@
  * Limits how often the requests of one daemon search for a free slot before they wait.
  * Needed for a saturated service with few servers and many daemons: no search succeeds,
  * and each takes processor time of the servers' daemons, which delays all their other
- * traffic. After each failed search a growing number of requests is sent without one. Not
- * thread-safe; use one instance per service.
+ * traffic. After each failed search, the next requests skip the search; their number
+ * doubles with each failure, up to 16. Not thread-safe; use one object per service.
  */
 public final class SearchThrottle {
 
-	/** The most consecutive requests without a search. */
+	/** Maximum number of consecutive requests that skip the search. */
 	private static final int MAX_SKIPPED = 16;
 
 	private int nextSkipCount = 1;
@@ -30,8 +30,8 @@
 
 	/**
 	 * Records that a request found a free slot without waiting. In a saturated service
-	 * this happens by chance from time to time, so the search frequency increases
-	 * gradually.
+	 * this happens by chance from time to time, so the number of requests that skip the
+	 * search is reduced only by a quarter each time.
 	 */
 	public void onSlotFound() {
 		this.nextSkipCount = Math.max(1, this.nextSkipCount * 3 / 4);
--- a/core/src/main/java/org/brasspier/core/crash/CrashDetector.java
+++ b/core/src/main/java/org/brasspier/core/crash/CrashDetector.java
@@ -17,10 +17,13 @@
  */
 public final class CrashDetector {
 
-	/** Within this time a crashed server is back or found to be gone. */
+	/**
+	 * Connections that ended longer ago are not attributed to a crash: within this time,
+	 * a crashed server has restarted or has been found to be gone.
+	 */
 	private static final long RETENTION_NANOS = Duration.ofSeconds(10).toNanos();
 
-	// The time at which the connection ended, by request.
+	// When the connection ended, by the fingerprint of its request.
 	private final Map<Long, Long> lostNanos = new LinkedHashMap<>();
 
 	private Optional<BackendIncarnation> incarnation = Optional.empty();
@@ -53,8 +56,9 @@
 	}
 
 	/**
-	 * Returns whether a connection has ended for a reason that is not known yet.
-	 * @return true if one has
+	 * Returns whether a connection has ended and it is not known yet whether the server
+	 * crashed.
+	 * @return true if there is such a connection
 	 */
 	public boolean hasUnexplainedLosses() {
 		return !this.lostNanos.isEmpty();
--- a/core/src/main/java/org/brasspier/core/document/Form.java
+++ b/core/src/main/java/org/brasspier/core/document/Form.java
@@ -37,7 +37,8 @@
 				.toList()),
 
 	/**
-	 * Names of the operators' secrets that are accepted; never the secrets themselves.
+	 * Names of the operators' secrets that are accepted. The form never holds the secrets
+	 * themselves.
 	 */
 	SECRETS(false,
 			List.of(new Field("operators-current", "", new ValueRule.Names(), "",
@@ -67,9 +68,8 @@
 				new Field("run-limit-millis", "ms", new ValueRule.WholeNumber(1, 600_000), "10000",
 						"maximum run time of a request"),
 				// Below 10 ms, a garbage collection pause alone can exceed the guard
-				// time; above 5 s,
-				// the loss of an instance leaves keys unserved for longer than any caller
-				// waits.
+				// time. Above 5 s, keys of a lost instance stay unserved for longer than
+				// any caller waits.
 				new Field("guard-millis", "ms", new ValueRule.WholeNumber(10, 5000), "200",
 						"how long the ranges of a lost server that checks no fences stay unassigned"));
 	}
@@ -102,8 +102,8 @@
 	}
 
 	private static String share(RequestClass requestClass) {
-		// A fifth is reserved for internal calls, so that the outer calls that wait for
-		// them cannot use up all slots.
+		// A fifth is reserved for internal calls, so that the requests that wait for
+		// these calls cannot occupy all slots.
 		return (requestClass == RequestClass.INTERNAL) ? "20" : "0";
 	}
 
--- a/core/src/main/java/org/brasspier/core/document/ValueRule.java
+++ b/core/src/main/java/org/brasspier/core/document/ValueRule.java
@@ -50,8 +50,8 @@
 	/**
 	 * A whole number.
 	 *
-	 * @param min the least
-	 * @param max the largest
+	 * @param min the smallest allowed value
+	 * @param max the largest allowed value
 	 */
 	record WholeNumber(long min, long max) implements ValueRule {
 
@@ -65,8 +65,8 @@
 	/**
 	 * A number that may have decimals.
 	 *
-	 * @param min the least
-	 * @param max the largest
+	 * @param min the smallest allowed value
+	 * @param max the largest allowed value
 	 */
 	record Decimal(double min, double max) implements ValueRule {
 
@@ -111,7 +111,7 @@
 	}
 
 	/**
-	 * A name for each of several names, as a comma-separated list of {@code NAME=NAME}.
+	 * Pairs of names, as a comma-separated list of {@code NAME=NAME}.
 	 *
 	 * @param left placeholder for the part before the equals sign, shown in forms
 	 * @param right placeholder for the part after the equals sign, shown in forms
--- a/core/src/main/java/org/brasspier/core/keys/GrantCall.java
+++ b/core/src/main/java/org/brasspier/core/keys/GrantCall.java
@@ -33,7 +33,7 @@
 	 * @param incarnation the incarnation of the backend server that the call addresses
 	 * @param span the keys
 	 * @param fence the fence
-	 * @param handover the previous holder's handover; empty if there is none
+	 * @param handover token from the previous holder; empty if there is none
 	 * @param hold how long the server may hold the keys from the arrival of the call
 	 */
 	record Grant(BackendIncarnation incarnation, KeySpan span, Fence fence, String handover,
--- a/core/src/main/java/org/brasspier/core/keys/GrantCallScheduler.java
+++ b/core/src/main/java/org/brasspier/core/keys/GrantCallScheduler.java
@@ -17,20 +17,23 @@
 public final class GrantCallScheduler {
 
 	/**
-	 * The longest time from computing a hold to the arrival of its call, which may have
-	 * to open a connection first.
+	 * The longest time from the computation of a grant's hold to the arrival of the call
+	 * at the backend server. The call may have to open a connection first.
 	 */
 	private static final long MAX_ARRIVAL_NANOS = Duration.ofMillis(500).toNanos();
 
-	/** A grant is renewed once the renewal would extend it by this time. */
+	/**
+	 * A grant is renewed once the renewal would extend it by at least this time, or by
+	 * the whole hold if that is shorter.
+	 */
 	private static final long RENEWAL_GAIN_NANOS = Duration.ofMillis(1500).toNanos();
 
 	/** Delay before a failed call is retried. */
 	private static final long RETRY_NANOS = Duration.ofMillis(150).toNanos();
 
 	/**
-	 * The most grants in flight at once. Each uses a connection of its own, and these
-	 * count toward the backend server's connection limit.
+	 * Maximum number of grants in flight at once. Each uses a connection of its own, and
+	 * these count toward the backend server's connection limit.
 	 */
 	private static final int MAX_PENDING_GRANTS = 8;
 
@@ -142,7 +145,7 @@
 	/**
 	 * Records that a release was answered: no requests for the keys are running any more.
 	 * @param call the release
-	 * @param handover the handover to the next holder; empty if there is none
+	 * @param handover token for the next holder; empty if there is none
 	 */
 	public void onReleased(GrantCall.Release call, String handover) {
 		this.pending.remove(call);
--- a/core/src/main/java/org/brasspier/core/keys/KeyGrant.java
+++ b/core/src/main/java/org/brasspier/core/keys/KeyGrant.java
@@ -7,7 +7,7 @@
  *
  * @param span the keys
  * @param fence the fence under which the server holds them
- * @param handover the previous holder's handover; empty if there is none
+ * @param handover token from the previous holder; empty if there is none
  */
 public record KeyGrant(KeySpan span, Fence fence, String handover) {
 }
--- a/core/src/main/java/org/brasspier/core/ownership/ServicePlan.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ServicePlan.java
@@ -14,9 +14,9 @@
 import org.brasspier.core.placement.PlacementStep.MoveCause;
 
 /**
- * Applies the policy's steps for one service to the row: ranges without an owner are
- * assigned at once, and owned ranges become moves that wait until their owners release
- * them. Used for one plan.
+ * Applies the steps of the placement policy for one service to the cell row. A range
+ * without an owner is assigned at once. For an owned range, a planned move is added that
+ * waits until the owner releases the range. Used for one plan only.
  */
 final class ServicePlan {
 
@@ -132,10 +132,8 @@
 	}
 
 	// Merges adjacent ranges with the same owner and fence. If the fences differ, the
-	// owner
-	// keeps separate records of request ids for them, so both ranges are first released
-	// and
-	// granted again together; a later plan finds them under one fence.
+	// owner keeps separate records of request ids for them, so both ranges are first
+	// released and granted again together; a later plan finds them under one fence.
 	private void merge(KeyRange first, KeyRange second) {
 		RangeState low = this.ranges.get(first);
 		RangeState high = this.ranges.get(second);
@@ -170,8 +168,8 @@
 		}
 	}
 
-	// If no other instance can take the ranges of a leaving instance, it releases them
-	// anyway after a while; otherwise it could never stop.
+	// If no instance can take the ranges of a leaving instance, it releases them without
+	// a successor after a waiting time; otherwise it could never stop.
 	private void releaseLeaving() {
 		if (!this.placeable.isEmpty()) {
 			return;
