--- a/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
+++ b/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
@@ -260,8 +260,7 @@
 	}
 
 	// A lease that expired some time ago by the peer's clock expired a little later by
-	// this
-	// clock.
+	// this clock.
 	private long promisedSpan(long leaseLeft) {
 		return (leaseLeft < 0) ? 2 * leaseLeft + drift(-leaseLeft) : drift(leaseLeft);
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerChoice.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerChoice.java
@@ -66,8 +66,7 @@
 	}
 
 	// The other manager in the next epoch: the current one if it is heard again,
-	// otherwise
-	// another member.
+	// otherwise another member.
 	Optional<MemberInfo> successor(CellRow row, long now) {
 		return this.manager.peer()
 			.filter((key) -> now - this.manager.authority().peerHeardAt() <= this.timing.peerSilence())
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerRole.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerRole.java
@@ -57,9 +57,8 @@
 	}
 
 	// The secondary sends its beat together with its answer to the primary's beat. Only
-	// if
-	// no beat arrives does it send one itself, at one and a half times the interval, so
-	// that the two managers do not send at the same moment and answer in separate TCP
+	// if no beat arrives does it send one itself, at one and a half times the interval,
+	// so that the two managers do not send at the same moment and answer in separate TCP
 	// segments.
 	private long beatEvery() {
 		long beat = this.parts.timing.beat();
@@ -67,25 +66,19 @@
 	}
 
 	// Managers are also members of each other. A heartbeat that would be due soon goes
-	// into
-	// the same TCP segment as the beat, since the segment's headers are larger than a
-	// heartbeat.
+	// into the same TCP segment as the beat, since the segment's headers are larger than
+	// a heartbeat.
 	private void beatWithHeartbeat(long now) {
 		this.parts.beat(now);
 		this.member.heartbeatIfDue(this.parts.lease.known().row(), this.parts.timing.beat() / 2, now);
 	}
 
 	// Prevents a cell from stopping for the rest of a table outage because its managers
-	// did
-	// not hear each other for a moment, for example on a busy machine. A manager that
-	// stops
-	// confirming does so for the whole epoch, and without the table there is no new
-	// epoch.
-	// So the table must first have answered a read that was sent after the peer was
-	// missed.
-	// A peer that is heard again before then is confirmed as before; a lost one is
-	// replaced
-	// one round trip later.
+	// did not hear each other for a moment, for example on a busy machine. A manager that
+	// stops confirming does so for the whole epoch, and without the table there is no new
+	// epoch. So the table must first have answered a read that was sent after the peer
+	// was missed. A peer that is heard again before then is confirmed as before; a lost
+	// one is replaced one round trip later.
 	void replacePeer(CellRow row, long now) {
 		if (!this.parts.manager.authority().hasStopped()) {
 			if (this.parts.peerMissedSince.isEmpty()) {
@@ -130,8 +123,7 @@
 		Optional<MemberInfo> peer = this.parts.manager.peer().flatMap((key) -> row.member(key.instance()));
 		if (!this.parts.access.isFast()) {
 			// While a planned change is being written, neither manager is confirmed, so
-			// it
-			// is postponed while the table is slow.
+			// it is postponed while the table is slow.
 			return Optional.empty();
 		}
 		boolean peerStays = peer.filter((member) -> member.phase() != MemberPhase.LEAVING).isPresent();
--- a/core/src/main/java/org/brasspier/core/ownership/MemberLease.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberLease.java
@@ -104,8 +104,7 @@
 		}
 		if (!valid(now) && renewal.version() > this.known.version() && this.guards.on(Guard.LAPSE_DROPS_ALL)) {
 			// Ranges may have moved while the lease was expired. Without the row that
-			// shows
-			// it, this member would serve ranges that another member owns now.
+			// shows it, this member would serve ranges that another member owns now.
 			return false;
 		}
 		return extend((this.guards.on(Guard.LEASE_FROM_SENDING)) ? renewal.sentAt() : now, renewal.lease(), now);
--- a/core/src/main/java/org/brasspier/core/ownership/MemberRole.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberRole.java
@@ -48,9 +48,8 @@
 		boolean withBeats = this.parts.manager.peer().isPresent();
 		heartbeatIfDue(row, (withBeats) ? -this.parts.timing.beat() / 2 : 0, now);
 		// For a member that reaches only one manager, or one manager of a pair whose
-		// other
-		// manager is lost: every second heartbeat would be lost, and a pause of 200 ms
-		// would cost the member its lease.
+		// other manager is lost: every second heartbeat would be lost, and a pause of 200
+		// ms would cost the member its lease.
 		if (row.has(this.parts.me.key())
 				&& this.parts.timers.heartbeatMissed(this.parts.managerHeardAt, HEARTBEAT_ANSWER_TIMEOUT_MILLIS, now)) {
 			heartbeat(row, now);
@@ -128,10 +127,8 @@
 
 	// A member may not take back a released range, and while the table is down no other
 	// member can get it. So a server that is silent for a moment during an outage would
-	// be
-	// unavailable for the rest of the outage. Therefore a read that was answered after
-	// the
-	// loss must first show that the table is available; this takes some milliseconds.
+	// be unavailable for the rest of the outage. Therefore a read that was answered after
+	// the loss must first show that the table is available; this takes some milliseconds.
 	void releaseIfTableAnswers() {
 		if (this.parts.releasingSince.filter((since) -> this.parts.access.readSentAt() >= since).isPresent()) {
 			this.parts.releasingSince = Optional.empty();
--- a/core/src/main/java/org/brasspier/core/ownership/RowHandler.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowHandler.java
@@ -90,8 +90,7 @@
 		this.parts.takeover.adopt(row.row(), now);
 		// A process that waited to become a member, as after a restart until its previous
 		// incarnation was removed from the row, was not renewed in the meantime. This is
-		// no
-		// sign that the managers are lost.
+		// no sign that the managers are lost.
 		if (change.newEpoch() || change.joined()) {
 			this.parts.managerHeardAt = now;
 		}
@@ -117,10 +116,9 @@
 	}
 
 	// Reduces traffic when ranges move one after another in a full cell: the whole row
-	// for
-	// each member was 39 KB for one move among 12. Most members have the previous row and
-	// get only the changes; a new member has no row, and a member that missed a change
-	// requests the whole row.
+	// for each member was 39 KB for one move among 12. Most members have the previous row
+	// and get only the changes; a new member has no row, and a member that missed a
+	// change requests the whole row.
 	private void pushToAll(VersionedRow before, VersionedRow row) {
 		RowDelta delta = RowDelta.between(before, row);
 		boolean worthwhile = before.version() > 0 && delta.worthwhile(row.row());
@@ -135,8 +133,7 @@
 	}
 
 	// Otherwise a heartbeat that was sent before the member received the new row would
-	// make
-	// it get the whole row although the difference is in transit.
+	// make it get the whole row although the difference is in transit.
 	private void recordPushes(CellRow row, long now) {
 		row.members().forEach((member) -> this.parts.timers.pushDue(member.instance(), now, 0));
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/Takeover.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Takeover.java
@@ -108,8 +108,7 @@
 	}
 
 	// Whether a manager's process has certainly ended: its instance runs another process
-	// at
-	// the same address.
+	// at the same address.
 	private boolean hasEnded(MemberKey manager, long now) {
 		if (manager.instance().equals(this.self.instance())) {
 			return manager.incarnation() != this.self.incarnation();
@@ -154,8 +153,7 @@
 	private CellRow takeOver(CellRow row, ManagerPair pair) {
 		List<ManagerPair> open = new ArrayList<>(row.unclosed());
 		// The authority of a lone manager depends on its reads of the table, so it ends
-		// by
-		// itself.
+		// by itself.
 		if (pair.secondary().isPresent()) {
 			open.add(pair);
 		}
--- a/core/src/main/java/org/brasspier/core/placement/BalancingPlacement.java
+++ b/core/src/main/java/org/brasspier/core/placement/BalancingPlacement.java
@@ -31,8 +31,7 @@
 
 	// Handles a member that is lost or leaving. If all its ranges went to one survivor,
 	// that member's queue would fill up. Only the ranges it owned move, so churn is
-	// limited
-	// to its share.
+	// limited to its share.
 	private static void spreadUnowned(PlanBuilder plan) {
 		double largest = plan.meanMemberLoad() * PlacementRules.MAX_RANGE_LOAD_SHARE;
 		while (splitLargestUnowned(plan, largest)) {
@@ -79,11 +78,9 @@
 
 	// Fills a member that has joined or whose warm share has grown. One batch does it,
 	// since many small steps would move some ranges twice. The member gets no more than
-	// its
-	// cold server can take, and gets ranges of typical load density: the hottest ones
-	// alone
-	// would use up its share of the load with a small part of the space, which becomes
-	// uneven when other keys get hot.
+	// its cold server can take, and gets ranges of typical load density: the hottest ones
+	// alone would use up its share of the load with a small part of the space, which
+	// becomes uneven when other keys get hot.
 	private static void fillNewMembers(PlanBuilder plan, PlacementInput input) {
 		plan.members()
 			.stream()
--- a/core/src/main/java/org/brasspier/core/placement/LoadRebalancer.java
+++ b/core/src/main/java/org/brasspier/core/placement/LoadRebalancer.java
@@ -96,8 +96,7 @@
 		double total = Math.max(Double.MIN_NORMAL, this.plan.meanMemberLoad() * this.plan.members().size());
 		double warmState = weights.churn() * planned.spaceShare();
 		// The requests of a range wait while it moves, so moving a less busy range
-		// affects
-		// fewer callers.
+		// affects fewer callers.
 		double unserved = weights.unavailable() * planned.busySlots() / total;
 		return (warmState + unserved) / this.plan.weight(planned);
 	}
--- a/core/src/test/java/org/brasspier/core/ownership/GuardTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/GuardTests.java
@@ -87,9 +87,8 @@
 	}
 
 	// A network switch fails: the primary and one member reach only each other. The
-	// primary
-	// continues to renew the member for as long as its authority allows, while the others
-	// replace the primary and reassign the member's ranges.
+	// primary continues to renew the member for as long as its authority allows, while
+	// the others replace the primary and reassign the member's ranges.
 	private static List<String> primaryAndOneMemberCutOff(EnabledGuards guards) {
 		List<String> violations = new ArrayList<>();
 		for (int run = 1; run <= 10 && violations.isEmpty(); run++) {
@@ -114,12 +113,10 @@
 	}
 
 	// The secondary does not hear the primary for a moment and replaces it. The write
-	// takes
-	// effect, but at this moment both managers and a member are disconnected from all
-	// others, so the answer is lost and the two managers hear each other again. The
-	// member
-	// that the write made a manager finds its primary silent, replaces it in turn, and
-	// waits for the former managers.
+	// takes effect, but at this moment both managers and a member are disconnected from
+	// all others, so the answer is lost and the two managers hear each other again. The
+	// member that the write made a manager finds its primary silent, replaces it in turn,
+	// and waits for the former managers.
 	private static List<String> cutOffAfterReplacingThePeer(EnabledGuards guards) {
 		CellModel cell = sixMembers(guards, 1);
 		ModelProcess primary = cell.primary();
--- a/core/src/test/java/org/brasspier/core/ownership/LeaseManagerTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/LeaseManagerTests.java
@@ -61,10 +61,9 @@
 	}
 
 	// Guards against counting a promise from before the revocation. The secondary
-	// promises,
-	// the member is heard again and renewed by both managers, then it is silent once
-	// more.
-	// The first promise arrives only now and says nothing about the later renewals.
+	// promises, the member is heard again and renewed by both managers, then it is silent
+	// once more. The first promise arrives only now and says nothing about the later
+	// renewals.
 	@Test
 	void aPromiseFromBeforeTheRevocationIsIgnored() {
 		ControlMessage.BeatAnswer late = answer(1900, List.of(new ControlMessage.Promised(MEMBER, 0)));
--- a/core/src/test/java/org/brasspier/core/ownership/MemberLeaseTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/MemberLeaseTests.java
@@ -45,9 +45,8 @@
 	}
 
 	// Guards against a lease that is extended by an answer that is half a second late or
-	// a
-	// duplicate: the managers assume that the lease runs at most from the sending of the
-	// heartbeat.
+	// a duplicate: the managers assume that the lease runs at most from the sending of
+	// the heartbeat.
 	@Test
 	void lateAndDuplicateAnswersDoNotExtendTheLease() {
 		MemberLease lease = lease();
@@ -59,8 +58,7 @@
 
 	// Guards against serving ranges from an outdated row. A member was disconnected until
 	// its lease had expired, its ranges moved, and it is renewed again before the row
-	// that
-	// shows this reaches it.
+	// that shows this reaches it.
 	@Test
 	void afterTheLeaseHasExpiredAnOlderRowAssignsNothing() {
 		MemberLease lease = lease();
@@ -72,9 +70,8 @@
 	}
 
 	// Guards against renewals by a manager that was replaced and continues for the rest
-	// of
-	// its authority. Its successors do not wait for them once the member has acknowledged
-	// the new epoch.
+	// of its authority. Its successors do not wait for them once the member has
+	// acknowledged the new epoch.
 	@Test
 	void renewalsOfAnOlderEpochAreRefused() {
 		MemberLease lease = lease();
--- a/core/src/test/java/org/brasspier/core/ownership/OwnershipMachineTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/OwnershipMachineTests.java
@@ -49,8 +49,7 @@
 
 	// Guards against requests that fail for more than a second after a daemon and its
 	// server are lost. The managers stop hearing the member, promise not to renew it,
-	// wait
-	// for its lease to expire and reassign its ranges.
+	// wait for its lease to expire and reassign its ranges.
 	@Test
 	void theRangesOfALostMemberAreServedAgainWithinASecond() {
 		this.cell.kill(this.cell.plain());
@@ -61,8 +60,7 @@
 
 	// Guards against a restarted instance that gets no ranges for the rest of the epoch:
 	// its previous incarnation was still suspected of being silent, and a suspected
-	// member
-	// gets no ranges. Here the daemon is restarted one minute after its loss.
+	// member gets no ranges. Here the daemon is restarted one minute after its loss.
 	@Test
 	void aMemberThatIsRestartedAfterALossGetsRangesAgain() {
 		ModelProcess lost = this.cell.plain();
@@ -78,11 +76,9 @@
 	}
 
 	// Guards against a needless epoch after a daemon was lost and restarted at once.
-	// While
-	// its previous incarnation is in the row, it waits to become a member; it counted
-	// this
-	// wait as silence of the managers and, with no other member to ask, replaced two
-	// healthy ones.
+	// While its previous incarnation is in the row, it waits to become a member; it
+	// counted this wait as silence of the managers and, with no other member to ask,
+	// replaced two healthy ones.
 	@Test
 	void aDaemonThatWaitedForItsPreviousIncarnationToLeaveTheRowDoesNotReplaceTheManagers() {
 		this.cell.kill(this.cell.plain());
@@ -119,9 +115,8 @@
 
 	// Guards against a member that loses its ranges in a short pause because it reaches
 	// only one of the managers, as in a partial partition. If it waited for that
-	// manager's
-	// turn, it would be renewed only every second heartbeat. An unanswered heartbeat is
-	// followed by one to the other manager.
+	// manager's turn, it would be renewed only every second heartbeat. An unanswered
+	// heartbeat is followed by one to the other manager.
 	@Test
 	void aHeartbeatThatIsNotAnsweredIsFollowedByOneToTheOtherManager() {
 		ModelProcess member = this.cell.plain();
@@ -139,10 +134,8 @@
 	}
 
 	// Guards against a member that routes callers to a former owner because its
-	// connection
-	// broke during a move and it missed one difference. The next difference does not
-	// apply
-	// to its row, so it must request the whole row.
+	// connection broke during a move and it missed one difference. The next difference
+	// does not apply to its row, so it must request the whole row.
 	@Test
 	void aMemberThatMissedADifferenceRequestsTheWholeRow() {
 		ModelProcess member = this.cell.plain();
--- a/core/src/test/java/org/brasspier/core/ownership/SmallCell.java
+++ b/core/src/test/java/org/brasspier/core/ownership/SmallCell.java
@@ -140,8 +140,7 @@
 	}
 
 	// A call reaches the table at once and its answer arrives in the next step, so a
-	// store
-	// fault that starts between them loses the answer of a write that took effect.
+	// store fault that starts between them loses the answer of a write that took effect.
 	private void run(ModelProcess process, List<OwnershipAction> actions) {
 		for (OwnershipAction action : actions) {
 			switch (action) {
--- a/integration/src/test/java/org/brasspier/integration/PartitionTests.java
+++ b/integration/src/test/java/org/brasspier/integration/PartitionTests.java
@@ -27,8 +27,7 @@
 	}
 
 	// A member reaches neither manager, but its callers and the store. Its lease runs
-	// out,
-	// it stops by its own clock, and others serve its ranges.
+	// out, it stops by its own clock, and others serve its ranges.
 	@ParameterizedTest
 	@EnumSource(names = { "RESET", "HELD", "HELD_FORTH", "HELD_BACK" })
 	void aMemberCutOffFromBothManagersStopsBeforeOthersBegin(LinkState state) {
--- a/integration/src/test/java/org/brasspier/integration/StoreFaultTests.java
+++ b/integration/src/test/java/org/brasspier/integration/StoreFaultTests.java
@@ -54,8 +54,7 @@
 	}
 
 	// The store is down, then a plain member is lost: its ranges can't move, callers of
-	// just
-	// these are turned away as not run. Once the store answers, others own them.
+	// just these are turned away as not run. Once the store answers, others own them.
 	@Test
 	void aLossDuringAnOutageCostsItsRangesUntilTheStoreAnswers() {
 		StandInInstance lost = plainMember();
--- a/standins/src/main/java/org/brasspier/standins/CallerFleet.java
+++ b/standins/src/main/java/org/brasspier/standins/CallerFleet.java
@@ -79,8 +79,7 @@
 	}
 
 	// Counts the time that has passed and not ticks: on a busy machine ticks come late,
-	// and
-	// the callers would send less than they say.
+	// and the callers would send less than they say.
 	private void tick(double[] owed, List<TrafficMix> mixes, long lastNanos) {
 		long now = System.nanoTime();
 		if (this.traffic != mixes && !this.traffic.equals(mixes)) {
--- a/standins/src/main/java/org/brasspier/standins/PersistentCaller.java
+++ b/standins/src/main/java/org/brasspier/standins/PersistentCaller.java
@@ -69,8 +69,7 @@
 			return send(conversation);
 		}
 		// Also of a first send this says "unknown": the entry daemon may itself have sent
-		// the
-		// posting twice, so a new id could run it a second time.
+		// the posting twice, so a new id could run it a second time.
 		if (attempt.error().equals("POSSIBLY_RAN_BEFORE")) {
 			return Promise.complete();
 		}
