--- a/daemon/src/main/java/org/brasspier/daemon/Main.java
+++ b/daemon/src/main/java/org/brasspier/daemon/Main.java
@@ -25,7 +25,7 @@
 	public static void main(String[] arguments) throws Exception {
 		SettingsReader reader = new SettingsReader(System.getenv());
 		Either<Failure, Settings> settings = reader.read(arguments);
-		if (reader.helpWanted()) {
+		if (reader.isHelpRequested()) {
 			System.out.print(reader.usage());
 			return;
 		}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/caller/CallerPort.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/caller/CallerPort.java
@@ -178,11 +178,11 @@
 		switch (outcome) {
 			case Outcome.Answered ignored -> {
 				this.answered.inc();
-				this.outcomes.answered(request.service());
+				this.outcomes.countAnswered(request.service());
 			}
 			case Outcome.Failed failure -> {
 				count(failure.failure().kind());
-				this.outcomes.failed(request.service(), failure.failure().kind());
+				this.outcomes.countFailed(request.service(), failure.failure().kind());
 				this.events.record(EventKind.REQUEST_REFUSED, request,
 						failure.failure().kind() + ": " + failure.failure().detail());
 			}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentFollower.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentFollower.java
@@ -25,10 +25,10 @@
  */
 final class DocumentFollower {
 
-	static final Duration MANAGER_PERIOD = Duration.ofSeconds(1);
+	static final Duration MANAGER_READ_PERIOD = Duration.ofSeconds(1);
 
 	/** Below the 9 s within which a change must be in force, with the fetch. */
-	static final Duration SILENT_PERIOD = Duration.ofSeconds(6);
+	static final Duration FALLBACK_READ_PERIOD = Duration.ofSeconds(6);
 
 	private final DocumentStore store;
 
@@ -38,7 +38,7 @@
 
 	private final EventLog events;
 
-	private final BooleanSupplier managing;
+	private final BooleanSupplier isLeaseManager;
 
 	private final LongSupplier nanoTime;
 
@@ -48,15 +48,15 @@
 
 	private boolean fetching;
 
-	private String lastUnreadable = "";
+	private String lastFailureDetail = "";
 
 	DocumentFollower(DocumentStore store, DocumentHolder holder, PeerDocuments peers, EventLog events,
-			BooleanSupplier managing, LongSupplier nanoTime) {
+			BooleanSupplier isLeaseManager, LongSupplier nanoTime) {
 		this.store = store;
 		this.holder = holder;
 		this.peers = peers;
 		this.events = events;
-		this.managing = managing;
+		this.isLeaseManager = isLeaseManager;
 		this.nanoTime = nanoTime;
 		this.nextReadNanos = nanoTime.getAsLong();
 	}
@@ -69,40 +69,41 @@
 			return;
 		}
 		this.reading = true;
-		this.store.pointer().then((row) -> follow(row)).whenComplete((nothing, ex) -> {
+		this.store.readPointer().then((row) -> applyRow(row)).whenComplete((ignored, ex) -> {
 			this.reading = false;
-			this.nextReadNanos = this.nanoTime.getAsLong() + period().toNanos();
+			this.nextReadNanos = this.nanoTime.getAsLong() + nextReadPeriod().toNanos();
 			if (ex != null) {
-				unreadable(ex);
+				recordUnreadable(ex);
 			}
 		});
 	}
 
-	private Duration period() {
-		boolean often = this.managing.getAsBoolean() || !this.holder.inForce().known();
-		Duration period = (often) ? MANAGER_PERIOD : SILENT_PERIOD;
+	private Duration nextReadPeriod() {
+		boolean frequent = this.isLeaseManager.getAsBoolean() || !this.holder.inForce().known();
+		Duration period = (frequent) ? MANAGER_READ_PERIOD : FALLBACK_READ_PERIOD;
 		// Daemons that were started together must not read together for ever after.
 		return period.multipliedBy(ThreadLocalRandom.current().nextLong(75, 100)).dividedBy(100);
 	}
 
-	private Promise<Void> follow(Optional<DocumentStore.PointerRow> row) {
+	private Promise<Void> applyRow(Optional<DocumentStore.PointerRow> row) {
 		if (row.isEmpty()) {
-			this.holder.offerNone();
+			this.holder.onStoreEmpty();
 			return Promise.complete();
 		}
 		if (row.get().pointer().version() <= this.holder.inForce().version()) {
 			return Promise.complete();
 		}
-		return this.store.body(row.get().pointer().hash())
-			.whenResult((body) -> this.holder.offer(body.bytes(), body.stored()))
+		return this.store.readBody(row.get().pointer().hash())
+			.whenResult((body) -> this.holder.applyIfNewer(body.bytes(), body.stored()))
 			.toVoid();
 	}
 
-	private void unreadable(Exception ex) {
+	private void recordUnreadable(Exception ex) {
 		// Said once for each new reason: a damaged row is read again each second.
-		if (ex instanceof StoreException told && !told.failure().detail().equals(this.lastUnreadable)) {
-			this.lastUnreadable = told.failure().detail();
-			this.events.record(EventKind.DOCUMENT_UNREADABLE, "document", this.lastUnreadable);
+		if (ex instanceof StoreException storeException
+				&& !storeException.failure().detail().equals(this.lastFailureDetail)) {
+			this.lastFailureDetail = storeException.failure().detail();
+			this.events.record(EventKind.DOCUMENT_UNREADABLE, "document", this.lastFailureDetail);
 		}
 	}
 
@@ -111,10 +112,10 @@
 	 * @param peer the peer
 	 * @param version the version
 	 */
-	void seen(InstanceId peer, long version) {
-		if (!this.managing.getAsBoolean() && this.holder.inForce().known()) {
+	void onPeerVersion(InstanceId peer, long version) {
+		if (!this.isLeaseManager.getAsBoolean() && this.holder.inForce().known()) {
 			// Heartbeats carry versions, so the row need not be read.
-			this.nextReadNanos = this.nanoTime.getAsLong() + SILENT_PERIOD.toNanos();
+			this.nextReadNanos = this.nanoTime.getAsLong() + FALLBACK_READ_PERIOD.toNanos();
 		}
 		if (version <= this.holder.inForce().version() || this.fetching) {
 			return;
@@ -122,7 +123,7 @@
 		this.fetching = true;
 		this.peers.fetch(peer).whenComplete((bytes, ex) -> {
 			this.fetching = false;
-			if (ex != null || !take(bytes)) {
+			if (ex != null || !applyFetched(bytes)) {
 				// The peer is gone or told nonsense: the store knows as well.
 				this.nextReadNanos = this.nanoTime.getAsLong();
 				tick();
@@ -130,9 +131,9 @@
 		});
 	}
 
-	private boolean take(byte[] bytes) {
+	private boolean applyFetched(byte[] bytes) {
 		return DocumentCodec.decode(bytes)
-			.peek((stored) -> this.holder.offer(bytes, stored))
+			.peek((stored) -> this.holder.applyIfNewer(bytes, stored))
 			.peekLeft((failure) -> this.events.record(EventKind.DOCUMENT_UNREADABLE, "peer", failure.detail()))
 			.isRight();
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentHolder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentHolder.java
@@ -19,7 +19,7 @@
 
 	private volatile DocumentInForce inForce = DocumentInForce.UNKNOWN;
 
-	private volatile Optional<Held> held = Optional.empty();
+	private volatile Optional<DocumentVersion> storedVersion = Optional.empty();
 
 	/**
 	 * Creates a holder that doesn't know yet which version is in force.
@@ -36,21 +36,21 @@
 	 * @param stored the same version, decoded
 	 * @return whether it came into force
 	 */
-	public synchronized boolean offer(byte[] bytes, StoredDocument stored) {
+	public synchronized boolean applyIfNewer(byte[] bytes, StoredDocument stored) {
 		if (stored.version() <= this.inForce.version()) {
 			// Late answers of a peer or the store: a configuration never reverts.
 			return false;
 		}
-		this.held = Optional.of(new Held(DocumentCodec.hash(bytes), bytes.clone(), stored));
+		this.storedVersion = Optional.of(new DocumentVersion(DocumentCodec.hash(bytes), bytes.clone(), stored));
 		this.inForce = DocumentInForce.of(stored.version(), stored.document());
-		this.events.record(EventKind.DOCUMENT_IN_FORCE, "version " + stored.version(), this.held.get().hash());
+		this.events.record(EventKind.DOCUMENT_IN_FORCE, "version " + stored.version(), this.storedVersion.get().hash());
 		return true;
 	}
 
 	/**
 	 * The store has answered that no version was ever in force.
 	 */
-	public synchronized void offerNone() {
+	public synchronized void onStoreEmpty() {
 		if (!this.inForce.known()) {
 			this.inForce = DocumentInForce.NONE;
 		}
@@ -76,8 +76,8 @@
 	 * The version in force as it's kept.
 	 * @return empty if none is known
 	 */
-	public Optional<Held> held() {
-		return this.held;
+	public Optional<DocumentVersion> storedVersion() {
+		return this.storedVersion;
 	}
 
 	/**
@@ -87,7 +87,7 @@
 	 * @param bytes the version as it's kept
 	 * @param stored the same, decoded
 	 */
-	public record Held(String hash, byte[] bytes, StoredDocument stored) {
+	public record DocumentVersion(String hash, byte[] bytes, StoredDocument stored) {
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentService.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentService.java
@@ -32,10 +32,10 @@
 	 * @param managing whether this daemon is a lease manager now
 	 */
 	public DocumentService(TableService table, ObjectStore objects, DocumentHolder holder, PeerDocuments peers,
-			EventLog events, BooleanSupplier managing) {
+			EventLog events, BooleanSupplier isLeaseManager) {
 		this.store = new DocumentStore(table, objects);
 		this.submitter = new Submitter(this.store, holder, events, System::currentTimeMillis);
-		this.follower = new DocumentFollower(this.store, holder, peers, events, managing, System::nanoTime);
+		this.follower = new DocumentFollower(this.store, holder, peers, events, isLeaseManager, System::nanoTime);
 	}
 
 	/**
@@ -53,18 +53,20 @@
 	 * @return the versions, newest first, or a
 	 * {@link org.brasspier.daemon.internal.platform.StoreException}
 	 */
-	public Promise<List<DocumentHolder.Held>> history(int count) {
-		return this.store.pointer()
-			.then((row) -> back(row.map((found) -> found.pointer().hash()).orElse(""), count, new ArrayList<>()));
+	public Promise<List<DocumentHolder.DocumentVersion>> history(int count) {
+		return this.store.readPointer()
+			.then((row) -> readBackwards(row.map((current) -> current.pointer().hash()).orElse(""), count,
+					new ArrayList<>()));
 	}
 
-	private Promise<List<DocumentHolder.Held>> back(String hash, int count, List<DocumentHolder.Held> found) {
-		if (hash.isEmpty() || found.size() == count) {
-			return Promise.of(found);
+	private Promise<List<DocumentHolder.DocumentVersion>> readBackwards(String hash, int count,
+			List<DocumentHolder.DocumentVersion> versions) {
+		if (hash.isEmpty() || versions.size() == count) {
+			return Promise.of(versions);
 		}
-		return this.store.body(hash).then((body) -> {
-			found.add(new DocumentHolder.Held(hash, body.bytes(), body.stored()));
-			return back(body.stored().previousHash(), count, found);
+		return this.store.readBody(hash).then((body) -> {
+			versions.add(new DocumentHolder.DocumentVersion(hash, body.bytes(), body.stored()));
+			return readBackwards(body.stored().previousHash(), count, versions);
 		});
 	}
 
@@ -80,8 +82,8 @@
 	 * @param peer the peer
 	 * @param version the version
 	 */
-	public void seen(InstanceId peer, long version) {
-		this.follower.seen(peer, version);
+	public void onPeerVersion(InstanceId peer, long version) {
+		this.follower.onPeerVersion(peer, version);
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentStore.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentStore.java
@@ -19,16 +19,16 @@
  */
 final class DocumentStore {
 
-	static final String POINTER = "document/pointer";
+	static final String POINTER_KEY = "document/pointer";
 
-	private static final String BODIES = "document/";
+	private static final String BODY_PREFIX = "document/";
 
 	private final TableService table;
 
 	private final ObjectStore objects;
 
 	/** Managers read the row each second, and it changes some times an hour. */
-	private Optional<PointerRow> latest = Optional.empty();
+	private Optional<PointerRow> cachedRow = Optional.empty();
 
 	DocumentStore(TableService table, ObjectStore objects) {
 		this.table = table;
@@ -39,22 +39,22 @@
 	 * Reads the row.
 	 * @return the row, empty if there is none, or a {@link StoreException}
 	 */
-	Promise<Optional<PointerRow>> pointer() {
-		if (this.latest.isEmpty()) {
-			return this.table.read(POINTER).then((row) -> found(row));
+	Promise<Optional<PointerRow>> readPointer() {
+		if (this.cachedRow.isEmpty()) {
+			return this.table.read(POINTER_KEY).then((row) -> decodeAndCache(row));
 		}
-		return this.table.readUnless(POINTER, this.latest.get().rowVersion()).then((result) -> switch (result) {
-			case TableService.ReadResult.Unchanged unchanged -> Promise.of(this.latest);
-			case TableService.ReadResult.Found(Optional<TableService.Row> row) -> found(row);
+		return this.table.readUnless(POINTER_KEY, this.cachedRow.get().rowVersion()).then((result) -> switch (result) {
+			case TableService.ReadResult.Unchanged unchanged -> Promise.of(this.cachedRow);
+			case TableService.ReadResult.Found(Optional<TableService.Row> row) -> decodeAndCache(row);
 		});
 	}
 
-	private Promise<Optional<PointerRow>> found(Optional<TableService.Row> row) {
-		this.latest = Optional.empty();
+	private Promise<Optional<PointerRow>> decodeAndCache(Optional<TableService.Row> row) {
+		this.cachedRow = Optional.empty();
 		return (row.isEmpty()) ? Promise.of(Optional.empty())
-				: checked(DocumentCodec.decodePointer(row.get().value())).map((pointer) -> {
-					this.latest = Optional.of(new PointerRow(row.get().version(), pointer));
-					return this.latest;
+				: toPromise(DocumentCodec.decodePointer(row.get().value())).map((pointer) -> {
+					this.cachedRow = Optional.of(new PointerRow(row.get().version(), pointer));
+					return this.cachedRow;
 				});
 	}
 
@@ -64,12 +64,12 @@
 	 * @param pointer the new contents
 	 * @return what became of it
 	 */
-	Promise<TableService.WriteResult> replace(long rowVersion, DocumentPointer pointer) {
-		return this.table.write(POINTER, rowVersion, DocumentCodec.encodePointer(pointer));
+	Promise<TableService.WriteResult> replacePointer(long rowVersion, DocumentPointer pointer) {
+		return this.table.write(POINTER_KEY, rowVersion, DocumentCodec.encodePointer(pointer));
 	}
 
-	Promise<Void> put(byte[] bytes) {
-		return this.objects.put(BODIES + DocumentCodec.hash(bytes), bytes);
+	Promise<Void> putBody(byte[] bytes) {
+		return this.objects.put(BODY_PREFIX + DocumentCodec.hash(bytes), bytes);
 	}
 
 	/**
@@ -77,19 +77,19 @@
 	 * @param hash the hash that names it
 	 * @return the body, or a {@link StoreException}
 	 */
-	Promise<Body> body(String hash) {
-		return this.objects.get(BODIES + hash).then((found) -> {
-			if (found.isEmpty() || !DocumentCodec.hash(found.get()).equals(hash)) {
+	Promise<Body> readBody(String hash) {
+		return this.objects.get(BODY_PREFIX + hash).then((bytes) -> {
+			if (bytes.isEmpty() || !DocumentCodec.hash(bytes.get()).equals(hash)) {
 				return Promise.ofException(new StoreException(Failure.of(ErrorKind.STATE_UNREADABLE,
-						"the object store has no undamaged %s%s (TROUBLESHOOTING.md#stored-state)".formatted(BODIES,
-								hash))));
+						"the object store has no undamaged %s%s (TROUBLESHOOTING.md#stored-state)"
+							.formatted(BODY_PREFIX, hash))));
 			}
-			return checked(DocumentCodec.decode(found.get())).map((stored) -> new Body(found.get(), stored));
+			return toPromise(DocumentCodec.decode(bytes.get())).map((stored) -> new Body(bytes.get(), stored));
 		});
 	}
 
-	private static <T> Promise<T> checked(Either<Failure, T> read) {
-		return read.fold((failure) -> Promise.ofException(new StoreException(failure)), Promise::of);
+	private static <T> Promise<T> toPromise(Either<Failure, T> decoded) {
+		return decoded.fold((failure) -> Promise.ofException(new StoreException(failure)), Promise::of);
 	}
 
 	/**
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/SubmitOutcome.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/SubmitOutcome.java
@@ -24,9 +24,9 @@
 	/**
 	 * Another version is in force than the one its draft began from. Nothing changed.
 	 *
-	 * @param present the version in force, if one ever was
+	 * @param inForce the version in force, if one ever was
 	 */
-	record Conflict(Optional<DocumentHolder.Held> present) implements SubmitOutcome {
+	record Conflict(Optional<DocumentHolder.DocumentVersion> inForce) implements SubmitOutcome {
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/Submitter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/Submitter.java
@@ -33,12 +33,12 @@
 final class Submitter {
 
 	/** Longer than any caller of the command line waits by default for an answer. */
-	private static final Duration SETTLE_WITHIN = Duration.ofSeconds(20);
+	private static final Duration RESOLVE_TIMEOUT = Duration.ofSeconds(20);
 
-	private static final Duration PAUSE = Duration.ofMillis(250);
+	private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
 	/** With the timeout of a call, a dead store is told of within ten seconds. */
-	private static final int PUTS = 3;
+	private static final int MAX_PUT_ATTEMPTS = 3;
 
 	private final DocumentStore store;
 
@@ -63,108 +63,115 @@
 	Promise<SubmitOutcome> submit(Submission submission) {
 		List<Fault> faults = DocumentValidator.validate(submission.document());
 		if (!faults.isEmpty()) {
-			return Promise.of(refused(submission, new SubmitOutcome.Invalid(faults)));
+			return Promise.of(recordRefused(submission, new SubmitOutcome.Invalid(faults)));
 		}
-		return this.store.pointer()
-			.then((row) -> decide(submission, row))
-			.then((outcome, ex) -> Promise.of((ex != null) ? new SubmitOutcome.Failed(failure(ex)) : outcome));
+		return this.store.readPointer()
+			.then((row) -> checkBaseVersion(submission, row))
+			.then((outcome, ex) -> Promise.of((ex != null) ? new SubmitOutcome.Failed(toFailure(ex)) : outcome));
 	}
 
-	private Promise<SubmitOutcome> decide(Submission submission, Optional<DocumentStore.PointerRow> row) {
-		Optional<DocumentPointer.Accepted> earlier = row.flatMap((found) -> found.pointer().find(submission.id()));
+	private Promise<SubmitOutcome> checkBaseVersion(Submission submission, Optional<DocumentStore.PointerRow> row) {
+		Optional<DocumentPointer.Accepted> earlier = row.flatMap((current) -> current.pointer().find(submission.id()));
 		if (earlier.isPresent()) {
 			return Promise.of(new SubmitOutcome.Accepted(earlier.get().version(), earlier.get().hash()));
 		}
-		long inForce = row.map((found) -> found.pointer().version()).orElse(0L);
-		return (inForce == submission.baseVersion()) ? begin(submission, row) : conflict(submission, row);
+		long versionInForce = row.map((current) -> current.pointer().version()).orElse(0L);
+		return (versionInForce == submission.baseVersion()) ? storeNextVersion(submission, row)
+				: readConflict(submission, row);
 	}
 
-	private Promise<SubmitOutcome> begin(Submission submission, Optional<DocumentStore.PointerRow> row) {
+	private Promise<SubmitOutcome> storeNextVersion(Submission submission, Optional<DocumentStore.PointerRow> row) {
 		StoredDocument next = new StoredDocument(submission.baseVersion() + 1,
-				row.map((found) -> found.pointer().hash()).orElse(""), submission.id(), this.wallMillis.getAsLong(),
+				row.map((current) -> current.pointer().hash()).orElse(""), submission.id(), this.wallMillis.getAsLong(),
 				submission.document());
 		byte[] bytes = DocumentCodec.encode(next);
-		DocumentPointer.Accepted entry = new DocumentPointer.Accepted(submission.id(), next.version(),
+		DocumentPointer.Accepted accepted = new DocumentPointer.Accepted(submission.id(), next.version(),
 				DocumentCodec.hash(bytes));
-		DocumentPointer pointer = new DocumentPointer(next.version(), entry.hash(),
-				Stream.concat(Stream.of(entry), row.stream().flatMap((found) -> found.pointer().recent().stream()))
+		DocumentPointer pointer = new DocumentPointer(next.version(), accepted.hash(),
+				Stream
+					.concat(Stream.of(accepted), row.stream().flatMap((current) -> current.pointer().recent().stream()))
 					.limit(DocumentPointer.MAX_RECENT)
 					.toList());
-		Attempt attempt = new Attempt(submission, row.map(DocumentStore.PointerRow::rowVersion).orElse(0L), pointer,
-				bytes, next, System.nanoTime() + SETTLE_WITHIN.toNanos());
+		SubmitAttempt attempt = new SubmitAttempt(submission, row.map(DocumentStore.PointerRow::rowVersion).orElse(0L),
+				pointer, bytes, next, System.nanoTime() + RESOLVE_TIMEOUT.toNanos());
 		// The body first: a row must never point to what isn't there.
-		return put(bytes, PUTS).then(() -> move(attempt, false));
+		return putBody(bytes, MAX_PUT_ATTEMPTS).then(() -> replacePointer(attempt, false));
 	}
 
-	private Promise<Void> put(byte[] bytes, int tries) {
-		return this.store.put(bytes)
-			.then(Promise::of, (ex) -> (tries > 1) ? Promises.delay(PAUSE).then(() -> putAgain(bytes, tries - 1))
-					: Promise.ofException(ex));
+	private Promise<Void> putBody(byte[] bytes, int attemptsLeft) {
+		return this.store.putBody(bytes)
+			.then(Promise::of,
+					(ex) -> (attemptsLeft > 1)
+							? Promises.delay(RETRY_DELAY).then(() -> putBodyIfMissing(bytes, attemptsLeft - 1))
+							: Promise.ofException(ex));
 	}
 
-	private Promise<Void> putAgain(byte[] bytes, int tries) {
+	private Promise<Void> putBodyIfMissing(byte[] bytes, int attemptsLeft) {
 		// An object never changes: if it's there, only the answer of the put was lost.
-		return this.store.body(DocumentCodec.hash(bytes)).toVoid().then(Promise::of, (ex) -> put(bytes, tries));
+		return this.store.readBody(DocumentCodec.hash(bytes))
+			.toVoid()
+			.then(Promise::of, (ex) -> putBody(bytes, attemptsLeft));
 	}
 
-	private Promise<SubmitOutcome> move(Attempt attempt, boolean unsettled) {
-		return this.store.replace(attempt.rowVersion(), attempt.pointer()).then((result, ex) -> {
+	private Promise<SubmitOutcome> replacePointer(SubmitAttempt attempt, boolean isRetry) {
+		return this.store.replacePointer(attempt.expectedRowVersion(), attempt.pointer()).then((result, ex) -> {
 			if (ex != null) {
-				return (unsettled) ? settle(attempt) : Promise.ofException(ex);
+				return (isRetry) ? resolveUnknownOutcome(attempt) : Promise.ofException(ex);
 			}
 			return switch (result) {
-				case WriteResult.Written written -> Promise.of(accepted(attempt));
-				case WriteResult.Conflict conflict -> settle(attempt);
+				case WriteResult.Written written -> Promise.of(recordAccepted(attempt));
+				case WriteResult.Conflict conflict -> resolveUnknownOutcome(attempt);
 				case WriteResult.Unknown unknown -> {
 					this.events.record(EventKind.DOCUMENT_UNSETTLED, attempt.submission().id(), unknown.cause());
-					yield settle(attempt);
+					yield resolveUnknownOutcome(attempt);
 				}
 			};
 		});
 	}
 
-	private Promise<SubmitOutcome> settle(Attempt attempt) {
-		if (System.nanoTime() - attempt.endNanos() > 0) {
+	private Promise<SubmitOutcome> resolveUnknownOutcome(SubmitAttempt attempt) {
+		if (System.nanoTime() - attempt.deadlineNanos() > 0) {
 			return Promise.of(new SubmitOutcome.Failed(Failure.of(ErrorKind.STORE_OUTCOME_UNKNOWN,
 					"the platform's store has not said whether submission %s took effect; submit the same draft again to learn it (see TROUBLESHOOTING.md#submission-unsettled)"
 						.formatted(attempt.submission().id()))));
 		}
-		return this.store.pointer().then((row, ex) -> {
+		return this.store.readPointer().then((row, ex) -> {
 			if (ex != null) {
-				return Promises.delay(PAUSE).then(() -> settle(attempt));
+				return Promises.delay(RETRY_DELAY).then(() -> resolveUnknownOutcome(attempt));
 			}
-			if (row.flatMap((found) -> found.pointer().find(attempt.submission().id())).isPresent()) {
-				return Promise.of(accepted(attempt));
+			if (row.flatMap((current) -> current.pointer().find(attempt.submission().id())).isPresent()) {
+				return Promise.of(recordAccepted(attempt));
 			}
 			long rowVersion = row.map(DocumentStore.PointerRow::rowVersion).orElse(0L);
 			// As long as the row is the one that the lost write was conditional on, that
 			// write may still arrive: it's not over until one of them is in, or another
 			// submission is.
-			return (rowVersion == attempt.rowVersion()) ? Promises.delay(PAUSE).then(() -> move(attempt, true))
-					: conflict(attempt.submission(), row);
+			return (rowVersion == attempt.expectedRowVersion())
+					? Promises.delay(RETRY_DELAY).then(() -> replacePointer(attempt, true))
+					: readConflict(attempt.submission(), row);
 		});
 	}
 
-	private SubmitOutcome accepted(Attempt attempt) {
+	private SubmitOutcome recordAccepted(SubmitAttempt attempt) {
 		this.events.record(EventKind.DOCUMENT_ACCEPTED, attempt.submission().id(),
 				"version " + attempt.next().version());
-		this.holder.offer(attempt.bytes(), attempt.next());
+		this.holder.applyIfNewer(attempt.bytes(), attempt.next());
 		return new SubmitOutcome.Accepted(attempt.next().version(), attempt.pointer().hash());
 	}
 
-	private Promise<SubmitOutcome> conflict(Submission submission, Optional<DocumentStore.PointerRow> row) {
+	private Promise<SubmitOutcome> readConflict(Submission submission, Optional<DocumentStore.PointerRow> row) {
 		if (row.isEmpty()) {
-			return Promise.of(refused(submission, new SubmitOutcome.Conflict(Optional.empty())));
+			return Promise.of(recordRefused(submission, new SubmitOutcome.Conflict(Optional.empty())));
 		}
 		String hash = row.get().pointer().hash();
-		return this.store.body(hash).map((body) -> {
-			this.holder.offer(body.bytes(), body.stored());
-			return refused(submission, new SubmitOutcome.Conflict(
-					Optional.of(new DocumentHolder.Held(hash, body.bytes(), body.stored()))));
+		return this.store.readBody(hash).map((body) -> {
+			this.holder.applyIfNewer(body.bytes(), body.stored());
+			return recordRefused(submission, new SubmitOutcome.Conflict(
+					Optional.of(new DocumentHolder.DocumentVersion(hash, body.bytes(), body.stored()))));
 		});
 	}
 
-	private SubmitOutcome refused(Submission submission, SubmitOutcome outcome) {
+	private SubmitOutcome recordRefused(Submission submission, SubmitOutcome outcome) {
 		this.events.record(EventKind.DOCUMENT_REFUSED, submission.id(), switch (outcome) {
 			case SubmitOutcome.Invalid invalid -> invalid.faults().size() + " faults";
 			default -> "its draft began from version %d, which is not in force".formatted(submission.baseVersion());
@@ -172,8 +179,8 @@
 		return outcome;
 	}
 
-	private static Failure failure(Exception ex) {
-		return (ex instanceof StoreException store) ? store.failure()
+	private static Failure toFailure(Exception ex) {
+		return (ex instanceof StoreException storeException) ? storeException.failure()
 				: Failure.of(ErrorKind.INTERNAL_ERROR, "submitting failed: " + ex);
 	}
 
@@ -181,14 +188,14 @@
 	 * One submission under way.
 	 *
 	 * @param submission the submission
-	 * @param rowVersion the version that the row must have
+	 * @param expectedRowVersion the version that the row must have
 	 * @param pointer the row's new contents
 	 * @param bytes the body
 	 * @param next the same, decoded
-	 * @param endNanos when to give up settling
+	 * @param deadlineNanos when to give up settling
 	 */
-	private record Attempt(Submission submission, long rowVersion, DocumentPointer pointer, byte[] bytes,
-			StoredDocument next, long endNanos) {
+	private record SubmitAttempt(Submission submission, long expectedRowVersion, DocumentPointer pointer, byte[] bytes,
+			StoredDocument next, long deadlineNanos) {
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/event/KeptEvents.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/event/EventBuffer.java
@@ -7,15 +7,15 @@
 /**
  * The latest events up to a bound. Not thread-safe.
  */
-final class KeptEvents {
+final class EventBuffer {
 
 	private final int capacity;
 
-	private final Deque<Event> latest = new ArrayDeque<>();
+	private final Deque<Event> events = new ArrayDeque<>();
 
-	private long pushedOut;
+	private long lastEvictedNumber;
 
-	KeptEvents(int capacity) {
+	EventBuffer(int capacity) {
 		if (capacity < 1) {
 			throw new IllegalArgumentException("capacity %d must be at least 1".formatted(capacity));
 		}
@@ -23,22 +23,22 @@
 	}
 
 	void add(Event event) {
-		if (this.latest.size() == this.capacity) {
-			this.pushedOut = this.latest.removeFirst().number();
+		if (this.events.size() == this.capacity) {
+			this.lastEvictedNumber = this.events.removeFirst().number();
 		}
-		this.latest.addLast(event);
+		this.events.addLast(event);
 	}
 
 	Stream<Event> stream() {
-		return this.latest.stream();
+		return this.events.stream();
 	}
 
 	/**
 	 * The number of the last event that had to give way.
 	 * @return 0 if none had to
 	 */
-	long pushedOut() {
-		return this.pushedOut;
+	long lastEvictedNumber() {
+		return this.lastEvictedNumber;
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/event/EventLog.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/event/EventLog.java
@@ -26,29 +26,29 @@
 	private static final Logger logger = LoggerFactory.getLogger("brasspier.events");
 
 	/** Two seconds of three events a request at some 1,300 requests a second. */
-	private static final int RING = 8192;
+	private static final int RING_CAPACITY = 8192;
 
-	private static final int FIRST_REQUEST_EVENT = 300;
+	private static final int FIRST_REQUEST_EVENT_NUMBER = 300;
 
-	private static final int LAST_REQUEST_EVENT = 399;
+	private static final int LAST_REQUEST_EVENT_NUMBER = 399;
 
 	private final HybridClock clock = new HybridClock();
 
-	private final AtomicLong lost = new AtomicLong();
+	private final AtomicLong unreportedLostEvents = new AtomicLong();
 
-	private final AtomicLong lostInAll = new AtomicLong();
+	private final AtomicLong totalLostEvents = new AtomicLong();
 
 	/**
 	 * Requests have a keep of their own: at a thousand a second they would else push out
 	 * within seconds what operators look for after a loss.
 	 */
-	private final KeptEvents ofRequests;
+	private final EventBuffer requestEvents;
 
-	private final KeptEvents others;
+	private final EventBuffer otherEvents;
 
 	private final Duty duty = new Duty("events");
 
-	private final Ring<Event> ring = new Ring<>(RING, this.duty, this::append);
+	private final Ring<Event> ring = new Ring<>(RING_CAPACITY, this.duty, this::append);
 
 	private volatile boolean running;
 
@@ -59,8 +59,8 @@
 	 * @param capacity how many events of requests are kept, and how many others
 	 */
 	public EventLog(int capacity) {
-		this.ofRequests = new KeptEvents(capacity);
-		this.others = new KeptEvents(capacity);
+		this.requestEvents = new EventBuffer(capacity);
+		this.otherEvents = new EventBuffer(capacity);
 	}
 
 	/**
@@ -93,8 +93,8 @@
 			append(event);
 		}
 		else if (!this.ring.offer(event)) {
-			this.lost.incrementAndGet();
-			this.lostInAll.incrementAndGet();
+			this.unreportedLostEvents.incrementAndGet();
+			this.totalLostEvents.incrementAndGet();
 		}
 	}
 
@@ -116,19 +116,20 @@
 	}
 
 	private synchronized void append(Event event) {
-		long overflow = this.lost.getAndSet(0);
-		if (overflow > 0) {
-			keep(new Event(0, stamp(), EventKind.EVENTS_LOST, EventSubject.of("events"),
-					overflow + " events were lost here"));
+		long lostEvents = this.unreportedLostEvents.getAndSet(0);
+		if (lostEvents > 0) {
+			numberAndStore(new Event(0, stamp(), EventKind.EVENTS_LOST, EventSubject.of("events"),
+					lostEvents + " events were lost here"));
 		}
-		keep(event);
+		numberAndStore(event);
 	}
 
-	private void keep(Event event) {
+	private void numberAndStore(Event event) {
 		Event numbered = new Event(this.nextNumber++, event.stamp(), event.kind(), event.subject(), event.detail());
-		boolean ofRequest = event.kind().number() >= FIRST_REQUEST_EVENT && event.kind().number() <= LAST_REQUEST_EVENT;
-		((ofRequest) ? this.ofRequests : this.others).add(numbered);
-		logger.atLevel((ofRequest) ? Level.DEBUG : Level.INFO)
+		boolean isRequestEvent = event.kind().number() >= FIRST_REQUEST_EVENT_NUMBER
+				&& event.kind().number() <= LAST_REQUEST_EVENT_NUMBER;
+		((isRequestEvent) ? this.requestEvents : this.otherEvents).add(numbered);
+		logger.atLevel((isRequestEvent) ? Level.DEBUG : Level.INFO)
 			.addKeyValue("event", event.kind().number())
 			.log("{} {} {} {}", event.kind().number(), event.kind(), event.subject().text(), event.detail());
 	}
@@ -139,7 +140,7 @@
 	 * @return the events, oldest first
 	 */
 	public synchronized List<Event> after(long afterNumber) {
-		return Stream.concat(this.ofRequests.stream(), this.others.stream())
+		return Stream.concat(this.requestEvents.stream(), this.otherEvents.stream())
 			.filter((event) -> event.number() > afterNumber)
 			.sorted(Comparator.comparingLong(Event::number))
 			.toList();
@@ -149,17 +150,17 @@
 	 * The number before which events of requests, or all others, are no longer kept.
 	 * @return empty as long as nothing was pushed out
 	 */
-	public synchronized Optional<Long> pushedOutUntil() {
-		long until = Math.max(this.ofRequests.pushedOut(), this.others.pushedOut());
-		return (until > 0) ? Optional.of(until) : Optional.empty();
+	public synchronized Optional<Long> evictedUntil() {
+		long lastEvicted = Math.max(this.requestEvents.lastEvictedNumber(), this.otherEvents.lastEvictedNumber());
+		return (lastEvicted > 0) ? Optional.of(lastEvicted) : Optional.empty();
 	}
 
 	/**
 	 * How many events were lost since the start because the ring was full.
 	 * @return the count
 	 */
-	public long lostInAll() {
-		return this.lostInAll.get();
+	public long totalLostEvents() {
+		return this.totalLostEvents.get();
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureRecorder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureRecorder.java
@@ -31,7 +31,7 @@
  */
 public final class MeasureRecorder {
 
-	static final Duration PERIOD = Duration.ofMinutes(5);
+	static final Duration WRITE_PERIOD = Duration.ofMinutes(5);
 
 	private static final long HOURS_A_DAY = 24;
 
@@ -43,18 +43,18 @@
 
 	private final LongSupplier wallMillis;
 
-	private final ChurnMeter churn = new ChurnMeter();
+	private final ChurnMeter churnMeter = new ChurnMeter();
 
-	private final Map<String, Long> moved = new HashMap<>();
+	private final Map<String, Long> unwrittenMoves = new HashMap<>();
 
-	private long viewVersion = -1;
+	private long lastViewVersion = -1;
 
-	private long nextMillis;
+	private long nextWriteMillis;
 
-	private boolean keeping;
+	private boolean writing;
 
 	/** The moves of a write whose answer was lost, by the id of the write. */
-	private Unsettled unsettled = new Unsettled("", Map.of());
+	private UnconfirmedWrite unconfirmedWrite = new UnconfirmedWrite("", Map.of());
 
 	/**
 	 * Creates a keeper.
@@ -70,7 +70,7 @@
 		this.members = members;
 		this.events = events;
 		this.wallMillis = wallMillis;
-		this.nextMillis = wallMillis.getAsLong() + PERIOD.toMillis();
+		this.nextWriteMillis = wallMillis.getAsLong() + WRITE_PERIOD.toMillis();
 	}
 
 	/**
@@ -79,99 +79,100 @@
 	 * @param primary whether this daemon is the primary lease manager
 	 */
 	public void tick(CellView view, boolean primary) {
-		count(view);
-		if (!primary || this.keeping || this.wallMillis.getAsLong() < this.nextMillis) {
+		countMoves(view);
+		if (!primary || this.writing || this.wallMillis.getAsLong() < this.nextWriteMillis) {
 			return;
 		}
-		this.keeping = true;
-		this.nextMillis = this.wallMillis.getAsLong() + PERIOD.toMillis();
-		keep(TimeUnit.MILLISECONDS.toDays(this.wallMillis.getAsLong())).whenComplete((nothing, ex) -> {
-			this.keeping = false;
+		this.writing = true;
+		this.nextWriteMillis = this.wallMillis.getAsLong() + WRITE_PERIOD.toMillis();
+		writeMeasures(TimeUnit.MILLISECONDS.toDays(this.wallMillis.getAsLong())).whenComplete((ignored, ex) -> {
+			this.writing = false;
 			if (ex != null) {
 				this.events.record(EventKind.STORE_LOST, "measures", String.valueOf(ex.getMessage()));
 			}
 		});
 	}
 
-	private void count(CellView view) {
-		if (view.version() == this.viewVersion) {
+	private void countMoves(CellView view) {
+		if (view.version() == this.lastViewVersion) {
 			return;
 		}
-		this.viewVersion = view.version();
+		this.lastViewVersion = view.version();
 		Map<ServiceName, List<ChurnMeter.OwnedRange>> services = view.ranges()
 			.stream()
 			.collect(Collectors.groupingBy(CellView.Range::service, TreeMap::new, Collectors
 				.mapping((range) -> new ChurnMeter.OwnedRange(range.range(), range.owner()), Collectors.toList())));
-		services.forEach(
-				(service, ranges) -> this.moved.merge(service.value(), this.churn.update(service, ranges), Long::sum));
+		services.forEach((service, ranges) -> this.unwrittenMoves.merge(service.value(),
+				this.churnMeter.update(service, ranges), Long::sum));
 	}
 
-	private Promise<Void> keep(long today) {
+	private Promise<Void> writeMeasures(long today) {
 		// The rest of yesterday first, so that no minute is left out at midnight.
-		return keepDay(today - 1, false).then(() -> keepDay(today, true));
+		return writeDay(today - 1, false).then(() -> writeDay(today, true));
 	}
 
-	private Promise<Void> keepDay(long day, boolean withMoves) {
+	private Promise<Void> writeDay(long day, boolean withMoves) {
 		return this.store.read(day).then((row) -> {
 			if (withMoves) {
-				settle(row.day());
+				resolveUnconfirmedWrite(row.day());
 			}
-			return this.members.after(row.day().collectedUntil())
-				.then((reports) -> write(day, row, ofDay(day, reports), withMoves));
+			return this.members.reportsAfter(row.day().collectedUntil())
+				.then((reports) -> writeRow(day, row, filterByDay(day, reports), withMoves));
 		});
 	}
 
-	private static List<MinuteReport> ofDay(long day, List<MinuteReport> reports) {
+	private static List<MinuteReport> filterByDay(long day, List<MinuteReport> reports) {
 		return reports.stream().filter((report) -> TimeUnit.MINUTES.toDays(report.minute()) == day).toList();
 	}
 
-	private void settle(MeasuredDay day) {
-		if (!day.write().equals(this.unsettled.write())) {
-			this.unsettled.moved().forEach((service, points) -> this.moved.merge(service, points, Long::sum));
+	private void resolveUnconfirmedWrite(MeasuredDay day) {
+		if (!day.write().equals(this.unconfirmedWrite.writeId())) {
+			this.unconfirmedWrite.moves()
+				.forEach((service, points) -> this.unwrittenMoves.merge(service, points, Long::sum));
 		}
-		this.unsettled = new Unsettled("", Map.of());
+		this.unconfirmedWrite = new UnconfirmedWrite("", Map.of());
 	}
 
-	private Promise<Void> write(long day, MeasureStore.DayRow row, List<MinuteReport> reports, boolean withMoves) {
-		Map<String, Long> moves = (withMoves) ? Map.copyOf(this.moved) : Map.of();
+	private Promise<Void> writeRow(long day, MeasureStore.DayRow row, List<MinuteReport> reports, boolean withMoves) {
+		Map<String, Long> moves = (withMoves) ? Map.copyOf(this.unwrittenMoves) : Map.of();
 		if (reports.isEmpty() && moves.values().stream().allMatch((points) -> points == 0)) {
 			return Promise.complete();
 		}
-		String id = UUID.randomUUID().toString();
-		MeasuredDay next = sum(row.day(), id, reports);
+		String writeId = UUID.randomUUID().toString();
+		MeasuredDay next = addReports(row.day(), writeId, reports);
 		if (withMoves) {
 			int hour = (int) (TimeUnit.MILLISECONDS.toHours(this.wallMillis.getAsLong()) % HOURS_A_DAY);
-			next = next.plus(next.collectedUntil(), id, hour,
+			next = next.plus(next.collectedUntil(), writeId, hour,
 					moves.entrySet()
 						.stream()
 						.collect(Collectors.toMap(Map.Entry::getKey, (entry) -> MeasureSums.moved(entry.getValue()))));
-			this.moved.clear();
+			this.unwrittenMoves.clear();
 		}
 		return this.store.write(day, new MeasureStore.DayRow(row.version(), next))
-			.then((result, ex) -> written(new Unsettled(id, moves), result, ex));
+			.then((result, ex) -> onWriteCompleted(new UnconfirmedWrite(writeId, moves), result, ex));
 	}
 
-	private Promise<Void> written(Unsettled write, WriteResult result,
+	private Promise<Void> onWriteCompleted(UnconfirmedWrite write, WriteResult result,
 			@org.jspecify.annotations.Nullable Exception ex) {
 		if (ex == null && result instanceof WriteResult.Written) {
 			this.events.record(EventKind.MEASURES_KEPT, "measures", "");
 			return Promise.complete();
 		}
 		// Not known, or not done: the next run reads the row and finds out by the id.
-		if (!write.moved().isEmpty()) {
-			this.unsettled = write;
+		if (!write.moves().isEmpty()) {
+			this.unconfirmedWrite = write;
 		}
 		return (ex != null) ? Promise.ofException(ex) : Promise.complete();
 	}
 
-	private static MeasuredDay sum(MeasuredDay day, String id, List<MinuteReport> reports) {
+	private static MeasuredDay addReports(MeasuredDay day, String writeId, List<MinuteReport> reports) {
 		Map<Long, Map<String, List<MinuteReport>>> minutes = reports.stream()
 			.collect(Collectors.groupingBy(MinuteReport::minute, TreeMap::new,
 					Collectors.groupingBy((report) -> report.service().value())));
 		MeasuredDay sum = day;
 		for (Map.Entry<Long, Map<String, List<MinuteReport>>> minute : minutes.entrySet()) {
 			int hour = (int) (TimeUnit.MINUTES.toHours(minute.getKey()) % HOURS_A_DAY);
-			sum = sum.plus(minute.getKey(), id, hour, minute.getValue()
+			sum = sum.plus(minute.getKey(), writeId, hour, minute.getValue()
 				.entrySet()
 				.stream()
 				.collect(Collectors.toMap(Map.Entry::getKey, (entry) -> MeasureSums.ofMinute(entry.getValue()))));
@@ -186,20 +187,21 @@
 	 * @return the sums, or a
 	 * {@link org.brasspier.daemon.internal.platform.StoreException}
 	 */
-	public Promise<KeptMeasures> read(long fromMillis, long toMillis) {
-		return readDays(TimeUnit.MILLISECONDS.toDays(fromMillis), fromMillis, toMillis, new KeptMeasures(0, Map.of()));
+	public Promise<StoredMeasures> read(long fromMillis, long toMillis) {
+		return readDays(TimeUnit.MILLISECONDS.toDays(fromMillis), fromMillis, toMillis,
+				new StoredMeasures(0, Map.of()));
 	}
 
-	private Promise<KeptMeasures> readDays(long day, long fromMillis, long toMillis, KeptMeasures before) {
+	private Promise<StoredMeasures> readDays(long day, long fromMillis, long toMillis, StoredMeasures before) {
 		if (TimeUnit.DAYS.toMillis(day) >= toMillis) {
 			return Promise.of(before);
 		}
 		return this.store.read(day)
 			.then((row) -> readDays(day + 1, fromMillis, toMillis,
-					(row.version() == 0) ? before : add(before, day, row.day(), fromMillis, toMillis)));
+					(row.version() == 0) ? before : addDay(before, day, row.day(), fromMillis, toMillis)));
 	}
 
-	private static KeptMeasures add(KeptMeasures before, long day, MeasuredDay measured, long from, long to) {
+	private static StoredMeasures addDay(StoredMeasures before, long day, MeasuredDay measured, long from, long to) {
 		Map<String, MeasureSums> services = new TreeMap<>(before.services());
 		measured.hours().forEach((hour, sums) -> {
 			long begin = TimeUnit.DAYS.toMillis(day) + TimeUnit.HOURS.toMillis(hour);
@@ -207,7 +209,7 @@
 				sums.forEach((service, more) -> services.merge(service, more, MeasureSums::plus));
 			}
 		});
-		return new KeptMeasures(TimeUnit.MINUTES.toMillis(measured.collectedUntil() + 1), services);
+		return new StoredMeasures(TimeUnit.MINUTES.toMillis(measured.collectedUntil() + 1), services);
 	}
 
 	/**
@@ -216,14 +218,14 @@
 	 * @param untilMillis until when measures are kept, in milliseconds since 1970
 	 * @param services the sums of each service
 	 */
-	public record KeptMeasures(long untilMillis, Map<String, MeasureSums> services) {
+	public record StoredMeasures(long untilMillis, Map<String, MeasureSums> services) {
 
 		/**
 		 * Copies the map.
 		 * @param untilMillis until when measures are kept
 		 * @param services the sums of each service
 		 */
-		public KeptMeasures {
+		public StoredMeasures {
 			services = Map.copyOf(services);
 		}
 
@@ -232,10 +234,10 @@
 	/**
 	 * A write of which nobody knows yet whether it took effect.
 	 *
-	 * @param write its id
-	 * @param moved the moves in it
+	 * @param writeId its id
+	 * @param unwrittenMoves the moves in it
 	 */
-	private record Unsettled(String write, Map<String, Long> moved) {
+	private record UnconfirmedWrite(String writeId, Map<String, Long> moves) {
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureStore.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureStore.java
@@ -27,9 +27,9 @@
 	 * {@link StoreException}
 	 */
 	Promise<DayRow> read(long day) {
-		return this.table.read(key(day)).then((row) -> {
+		return this.table.read(rowKey(day)).then((row) -> {
 			if (row.isEmpty()) {
-				return Promise.of(new DayRow(0, MeasuredDay.begin(day)));
+				return Promise.of(new DayRow(0, MeasuredDay.emptyDay(day)));
 			}
 			return MeasuredDay.decode(row.get().value())
 				.fold((failure) -> Promise.ofException(new StoreException(failure)),
@@ -38,10 +38,10 @@
 	}
 
 	Promise<TableService.WriteResult> write(long day, DayRow row) {
-		return this.table.write(key(day), row.version(), row.day().encode());
+		return this.table.write(rowKey(day), row.version(), row.day().encode());
 	}
 
-	private String key(long day) {
+	private String rowKey(long day) {
 		return "measures/" + LocalDate.ofEpochDay(day) + "/" + this.cell;
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasuredDay.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasuredDay.java
@@ -29,24 +29,24 @@
 	 * @param day the day, counted since 1970
 	 * @return a day of which nothing is kept
 	 */
-	static MeasuredDay begin(long day) {
+	static MeasuredDay emptyDay(long day) {
 		return new MeasuredDay(day * 24 * 60 - 1, "", Map.of());
 	}
 
 	/**
 	 * This day with more measures.
-	 * @param until the last minute whose reports are in now
-	 * @param id the id of the write
+	 * @param untilMinute the last minute whose reports are in now
+	 * @param writeId the id of the write
 	 * @param hour the hour that they belong to
-	 * @param more the measures of each service
+	 * @param added the measures of each service
 	 * @return the day
 	 */
-	MeasuredDay plus(long until, String id, int hour, Map<String, MeasureSums> more) {
-		Map<Integer, Map<String, MeasureSums>> all = new TreeMap<>(this.hours);
-		Map<String, MeasureSums> services = new TreeMap<>(all.getOrDefault(hour, Map.of()));
-		more.forEach((service, sums) -> services.merge(service, sums, MeasureSums::plus));
-		all.put(hour, services);
-		return new MeasuredDay(Math.max(until, this.collectedUntil), id, all);
+	MeasuredDay plus(long untilMinute, String writeId, int hour, Map<String, MeasureSums> added) {
+		Map<Integer, Map<String, MeasureSums>> newHours = new TreeMap<>(this.hours);
+		Map<String, MeasureSums> services = new TreeMap<>(newHours.getOrDefault(hour, Map.of()));
+		added.forEach((service, sums) -> services.merge(service, sums, MeasureSums::plus));
+		newHours.put(hour, services);
+		return new MeasuredDay(Math.max(untilMinute, this.collectedUntil), writeId, newHours);
 	}
 
 	byte[] encode() {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MemberReports.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MemberReports.java
@@ -15,6 +15,6 @@
 	 * @param afterMinute only minutes after this one, counted since 1970
 	 * @return the reports of all members that answered; members that didn't are left out
 	 */
-	Promise<List<MinuteReport>> after(long afterMinute);
+	Promise<List<MinuteReport>> reportsAfter(long afterMinute);
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/OutcomeMeter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/OutcomeMeter.java
@@ -24,7 +24,7 @@
 	 * A new lease manager collects what its predecessor had not kept yet; that is at most
 	 * the five minutes between two writes, unless the store is down meanwhile.
 	 */
-	private static final int KEPT_MINUTES = 120;
+	private static final int MAX_MINUTES = 120;
 
 	/** Services have names from callers: a flood of made-up ones must stay bounded. */
 	private static final int MAX_SERVICES = 64;
@@ -51,8 +51,8 @@
 	 * A caller of this daemon got its answer from a backend server.
 	 * @param service the service
 	 */
-	public synchronized void answered(ServiceName service) {
-		counts(service).requests++;
+	public synchronized void countAnswered(ServiceName service) {
+		currentCounts(service).requests++;
 	}
 
 	/**
@@ -60,17 +60,17 @@
 	 * @param service the service
 	 * @param kind its kind; the caller's own faults don't count
 	 */
-	public synchronized void failed(ServiceName service, ErrorKind kind) {
-		if (!turnsAway(kind)) {
+	public synchronized void countFailed(ServiceName service, ErrorKind kind) {
+		if (!countsAsRefused(kind)) {
 			return;
 		}
-		Counts counts = counts(service);
+		Counts counts = currentCounts(service);
 		counts.requests++;
-		counts.turnedAway++;
-		counts.seconds |= 1L << (TimeUnit.MILLISECONDS.toSeconds(this.wallMillis.getAsLong()) % 60);
+		counts.refused++;
+		counts.refusedSecondsMask |= 1L << (TimeUnit.MILLISECONDS.toSeconds(this.wallMillis.getAsLong()) % 60);
 	}
 
-	private static boolean turnsAway(ErrorKind kind) {
+	private static boolean countsAsRefused(ErrorKind kind) {
 		return switch (kind) {
 			case OVERLOADED, NO_FREE_SLOT, NO_OWNER, NOT_OWNER, NO_BACKEND, DEADLINE_PASSED, TIMED_OUT, OUTCOME_UNKNOWN,
 					BAD_ANSWER, POSSIBLY_RAN_BEFORE, INTERNAL_ERROR, NO_CONFIGURATION ->
@@ -87,17 +87,17 @@
 	 * @param service the service
 	 * @param nanos for how long, in nanoseconds
 	 */
-	public synchronized void ran(ServiceName service, long nanos) {
-		counts(service).busyNanos += nanos;
+	public synchronized void countRunTime(ServiceName service, long nanos) {
+		currentCounts(service).busyNanos += nanos;
 	}
 
 	/**
 	 * The backend server beside this daemon has told how much it runs at once.
 	 * @param service its service
-	 * @param count its slots
+	 * @param slotCount its slots
 	 */
-	public synchronized void slots(ServiceName service, int count) {
-		this.slots.put(service, count);
+	public synchronized void updateSlots(ServiceName service, int slotCount) {
+		this.slots.put(service, slotCount);
 	}
 
 	/**
@@ -105,33 +105,34 @@
 	 * @param afterMinute only minutes after this one, counted since 1970
 	 * @return one report for each minute and service, oldest first
 	 */
-	public synchronized List<MinuteReport> after(long afterMinute) {
-		long present = TimeUnit.MILLISECONDS.toMinutes(this.wallMillis.getAsLong());
+	public synchronized List<MinuteReport> reportsAfter(long afterMinute) {
+		long currentMinute = TimeUnit.MILLISECONDS.toMinutes(this.wallMillis.getAsLong());
 		List<MinuteReport> reports = new ArrayList<>();
-		if (afterMinute + 1 < present) {
-			this.minutes.subMap(afterMinute + 1, present)
+		if (afterMinute + 1 < currentMinute) {
+			this.minutes.subMap(afterMinute + 1, currentMinute)
 				.forEach((minute, services) -> services
-					.forEach((service, counts) -> reports.add(report(minute, service, counts))));
+					.forEach((service, counts) -> reports.add(toReport(minute, service, counts))));
 		}
 		return reports;
 	}
 
-	private MinuteReport report(long minute, ServiceName service, Counts counts) {
-		return new MinuteReport(this.instance, service, minute, counts.requests, counts.turnedAway, counts.seconds,
-				TimeUnit.NANOSECONDS.toMillis(counts.busyNanos), this.slots.getOrDefault(service, 0));
+	private MinuteReport toReport(long minute, ServiceName service, Counts counts) {
+		return new MinuteReport(this.instance, service, minute, counts.requests, counts.refused,
+				counts.refusedSecondsMask, TimeUnit.NANOSECONDS.toMillis(counts.busyNanos),
+				this.slots.getOrDefault(service, 0));
 	}
 
-	private Counts counts(ServiceName service) {
+	private Counts currentCounts(ServiceName service) {
 		long minute = TimeUnit.MILLISECONDS.toMinutes(this.wallMillis.getAsLong());
 		Map<ServiceName, Counts> services = this.minutes.get(minute);
 		if (services == null) {
 			services = new HashMap<>();
 			// A server without requests counts as well: an idle one is what imbalance is.
-			for (ServiceName own : this.slots.keySet()) {
-				services.put(own, new Counts());
+			for (ServiceName announced : this.slots.keySet()) {
+				services.put(announced, new Counts());
 			}
 			this.minutes.put(minute, services);
-			while (this.minutes.size() > KEPT_MINUTES) {
+			while (this.minutes.size() > MAX_MINUTES) {
 				this.minutes.pollFirstEntry();
 			}
 		}
@@ -147,9 +148,9 @@
 
 		private long requests;
 
-		private long turnedAway;
+		private long refused;
 
-		private long seconds;
+		private long refusedSecondsMask;
 
 		private long busyNanos;
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/CellCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/CellCalls.java
@@ -59,7 +59,7 @@
 				this.context.settings().failureDomain().value(), this.context.settings().cell(),
 				this.context.documents().inForce().version(), this.context.documents().inForce().known(),
 				(valid) ? TimeUnit.NANOSECONDS.toMillis(snapshot.leaseEndNanos() - now) : 0, (int) ((valid) ? held : 0),
-				this.context.events().lostInAll(),
+				this.context.events().totalLostEvents(),
 				this.gate.get().classes().stream().map(CellCalls::render).toList())));
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/DaemonGauges.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/DaemonGauges.java
@@ -41,7 +41,7 @@
 		Map<String, Metric> gauges = new TreeMap<>(DutyTimes.gauges());
 		gauges.put("document_version", gauge(() -> this.context.documents().inForce().version()));
 		gauges.put("document_read", gauge(() -> (this.context.documents().inForce().known()) ? 1 : 0));
-		gauges.put("events_lost", gauge(() -> this.context.events().lostInAll()));
+		gauges.put("events_lost", gauge(() -> this.context.events().totalLostEvents()));
 		gauges.put("lease_millis_left", gauge(this::leaseMillisLeft));
 		gauges.put("cell_members", gauge(() -> this.cell.get().members().size()));
 		gauges.put("cell_ranges_without_owner", gauge(this::rangesWithoutOwner));
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/DocumentCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/DocumentCalls.java
@@ -47,7 +47,8 @@
 	}
 
 	Promise<HttpResponse> inForce(HttpRequest request) {
-		return Promise.of(Answers.ok(this.holder.held().map(DocumentCalls::render).orElse(DocumentAnswer.NONE)));
+		return Promise
+			.of(Answers.ok(this.holder.storedVersion().map(DocumentCalls::render).orElse(DocumentAnswer.NONE)));
 	}
 
 	Promise<HttpResponse> history(HttpRequest request) {
@@ -82,7 +83,7 @@
 				.withFaults(invalid.faults()));
 			case SubmitOutcome.Conflict conflict -> Answers.failed(error(ErrorKind.DOCUMENT_CONFLICT,
 					"another version is in force than the draft began from (see TROUBLESHOOTING.md#document-conflict)")
-				.withPresent(conflict.present().map(DocumentCalls::render).orElse(DocumentAnswer.NONE)));
+				.withPresent(conflict.inForce().map(DocumentCalls::render).orElse(DocumentAnswer.NONE)));
 			case SubmitOutcome.Failed failed -> Answers.failed(failed.failure());
 		};
 	}
@@ -91,7 +92,7 @@
 		return ErrorAnswer.of(Failure.of(kind, detail));
 	}
 
-	private static DocumentAnswer render(DocumentHolder.Held held) {
+	private static DocumentAnswer render(DocumentHolder.DocumentVersion held) {
 		return DocumentAnswer.of(held.hash(), held.stored());
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/EventCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/EventCalls.java
@@ -39,8 +39,8 @@
 		List<Event> page = all.stream().filter(filter(query)).toList();
 		List<Event> latest = page.subList(Math.max(0, page.size() - MAX_EVENTS), page.size());
 		long last = (all.isEmpty()) ? query.number("after").orElse(0L) : all.getLast().number();
-		return Promise.of(Answers.ok(new EventsAnswer(this.self.value(), last, this.events.lostInAll(),
-				this.events.pushedOutUntil().orElse(0L), latest.stream().map((event) -> render(event)).toList())));
+		return Promise.of(Answers.ok(new EventsAnswer(this.self.value(), last, this.events.totalLostEvents(),
+				this.events.evictedUntil().orElse(0L), latest.stream().map((event) -> render(event)).toList())));
 	}
 
 	private static Predicate<Event> filter(Query query) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/MeasureCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/MeasureCalls.java
@@ -58,7 +58,7 @@
 		return day.with(IsoFields.DAY_OF_QUARTER, 1).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli();
 	}
 
-	private HttpResponse render(MeasureRecorder.KeptMeasures kept, long from, long to) {
+	private HttpResponse render(MeasureRecorder.StoredMeasures kept, long from, long to) {
 		Targets targets = this.context.documents().inForce().document().targets();
 		Map<String, MeasureSums> services = new TreeMap<>(kept.services());
 		return Answers.ok(new MeasuresAnswer(this.context.settings().cell(), from, to, kept.untilMillis(),
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/OperatorSecrets.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/OperatorSecrets.java
@@ -36,7 +36,7 @@
 	 * @throws IllegalArgumentException if one is too short; the present ones stay
 	 */
 	public boolean replace(List<String> lines) {
-		List<Secret> fresh = parse(SecretLines.checkedOperatorSecrets(lines));
+		List<Secret> fresh = parse(SecretLines.validateOperatorSecrets(lines));
 		boolean changed = !fresh.equals(this.secrets);
 		this.secrets = fresh;
 		return changed;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/OperatorsDuty.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/OperatorsDuty.java
@@ -162,7 +162,7 @@
 	}
 
 	private void take(SeenVersion version) {
-		this.documents.ifPresent((service) -> service.seen(version.peer(), version.version()));
+		this.documents.ifPresent((service) -> service.onPeerVersion(version.peer(), version.version()));
 	}
 
 	/**
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerCalls.java
@@ -41,14 +41,14 @@
 	AsyncServlet document() {
 		return (request) -> proved(request,
 				() -> this.context.documents()
-					.held()
-					.map(DocumentHolder.Held::bytes)
+					.storedVersion()
+					.map(DocumentHolder.DocumentVersion::bytes)
 					.orElseThrow(() -> new IllegalArgumentException("no document is in force here")));
 	}
 
 	AsyncServlet measures() {
 		return (request) -> proved(request, () -> OperatorJson
-			.write(MinuteReports.of(this.context.outcomes().after(Query.of(request).number("after").orElse(0L))))
+			.write(MinuteReports.of(this.context.outcomes().reportsAfter(Query.of(request).number("after").orElse(0L))))
 			.getBytes(StandardCharsets.UTF_8));
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerClient.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerClient.java
@@ -57,14 +57,14 @@
 	}
 
 	@Override
-	public Promise<List<MinuteReport>> after(long afterMinute) {
+	public Promise<List<MinuteReport>> reportsAfter(long afterMinute) {
 		InstanceId self = this.context.settings().instance();
 		Stream<Promise<List<MinuteReport>>> others = this.cell.get()
 			.members()
 			.stream()
 			.filter((member) -> !member.instance().equals(self))
 			.map((member) -> reports(member.address(), afterMinute));
-		Promise<List<MinuteReport>> own = Promise.of(this.context.outcomes().after(afterMinute));
+		Promise<List<MinuteReport>> own = Promise.of(this.context.outcomes().reportsAfter(afterMinute));
 		return Promises.toList(Stream.concat(Stream.of(own), others))
 			.map((lists) -> lists.stream().flatMap(List::stream).toList());
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/platform/HttpPlatform.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/platform/HttpPlatform.java
@@ -121,7 +121,7 @@
 			.then((response) -> whole(response))
 			.whenResult((answer) -> {
 				if (answer.code() == UNAUTHORIZED) {
-					this.secrets.platformRefused(token);
+					this.secrets.onPlatformTokenRefused(token);
 				}
 			});
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestPath.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/RequestPath.java
@@ -131,7 +131,7 @@
 		this.backends.listen();
 		this.forwards.listen();
 		this.watch.addListener((status) -> {
-			this.outcomes.slots(status.service(), status.slots());
+			this.outcomes.updateSlots(status.service(), status.slots());
 			report();
 		});
 		this.watch.start();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/CurrentSecrets.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/CurrentSecrets.java
@@ -39,9 +39,9 @@
 	 * @throws IllegalArgumentException if they aren't fit for use; the present ones stay
 	 */
 	public synchronized boolean replaceSharedKeys(List<String> lines) {
-		SharedKeys fresh = new SharedKeys(lines);
-		boolean changed = !fresh.equals(this.sharedKeys);
-		this.sharedKeys = fresh;
+		SharedKeys newKeys = new SharedKeys(lines);
+		boolean changed = !newKeys.equals(this.sharedKeys);
+		this.sharedKeys = newKeys;
 		return changed;
 	}
 
@@ -69,12 +69,12 @@
 	 * for the moment in which the platform changes from the old token to the new one.
 	 * @param refused the token it refused
 	 */
-	public synchronized void platformRefused(String refused) {
-		List<String> present = this.platformTokens;
-		if (present.size() > 1 && present.getFirst().equals(refused)) {
-			List<String> turned = new ArrayList<>(present.subList(1, present.size()));
-			turned.add(refused);
-			this.platformTokens = List.copyOf(turned);
+	public synchronized void onPlatformTokenRefused(String refused) {
+		List<String> tokens = this.platformTokens;
+		if (tokens.size() > 1 && tokens.getFirst().equals(refused)) {
+			List<String> rotated = new ArrayList<>(tokens.subList(1, tokens.size()));
+			rotated.add(refused);
+			this.platformTokens = List.copyOf(rotated);
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/EnvironmentDefaults.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/EnvironmentDefaults.java
@@ -19,10 +19,10 @@
 
 	@Override
 	public @Nullable String getDefaultValueFor(String flag) {
-		return this.environment.get(variable(flag));
+		return this.environment.get(variableName(flag));
 	}
 
-	static String variable(String flag) {
+	static String variableName(String flag) {
 		return PREFIX + flag.substring(2).replace('-', '_').toUpperCase(Locale.ROOT);
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/SecretLines.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/SecretLines.java
@@ -12,7 +12,7 @@
  */
 public final class SecretLines {
 
-	private static final int MIN_OPERATOR_CHARACTERS = 8;
+	private static final int MIN_OPERATOR_SECRET_LENGTH = 8;
 
 	private SecretLines() {
 	}
@@ -29,11 +29,11 @@
 	}
 
 	static List<String> of(String... lines) {
-		List<String> present = Arrays.stream(lines).map(String::strip).filter((line) -> !line.isEmpty()).toList();
-		if (present.isEmpty()) {
+		List<String> secrets = Arrays.stream(lines).map(String::strip).filter((line) -> !line.isEmpty()).toList();
+		if (secrets.isEmpty()) {
 			throw new IllegalArgumentException("none is given");
 		}
-		return present;
+		return secrets;
 	}
 
 	/**
@@ -42,10 +42,10 @@
 	 * @return the same
 	 * @throws IllegalArgumentException if one is too short
 	 */
-	public static List<String> checkedOperatorSecrets(List<String> secrets) {
-		if (secrets.stream().anyMatch((secret) -> secret.length() < MIN_OPERATOR_CHARACTERS)) {
+	public static List<String> validateOperatorSecrets(List<String> secrets) {
+		if (secrets.stream().anyMatch((secret) -> secret.length() < MIN_OPERATOR_SECRET_LENGTH)) {
 			throw new IllegalArgumentException(
-					"each must have %d characters or more".formatted(MIN_OPERATOR_CHARACTERS));
+					"each must have %d characters or more".formatted(MIN_OPERATOR_SECRET_LENGTH));
 		}
 		return secrets;
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/SettingsReader.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/SettingsReader.java
@@ -53,12 +53,12 @@
 	 */
 	public Either<Failure, Settings> read(String[] arguments) {
 		try {
-			commander().parse(arguments);
+			commandLineParser().parse(arguments);
 		}
 		catch (ParameterException ex) {
 			return refused(String.valueOf(ex.getMessage()));
 		}
-		Optional<Settings> settings = check();
+		Optional<Settings> settings = readSettings();
 		return settings.<Either<Failure, Settings>>map(Either::right)
 			.orElseGet(() -> refused(String.join("; ", this.faults)));
 	}
@@ -67,7 +67,7 @@
 	 * Whether the command line only asks for help.
 	 * @return true after reading {@code --help}
 	 */
-	public boolean helpWanted() {
+	public boolean isHelpRequested() {
 		return this.flags.help;
 	}
 
@@ -85,7 +85,7 @@
 	 */
 	public String usage() {
 		StringBuilder text = new StringBuilder();
-		commander().getUsageFormatter().usage(text);
+		commandLineParser().getUsageFormatter().usage(text);
 		return text.append("Each flag may be set in the environment: --max-body-bytes is BRASSPIER_MAX_BODY_BYTES.\n")
 			.append("Secrets come from BRASSPIER_SHARED_KEYS, BRASSPIER_OPERATOR_SECRETS (by comma) and\n")
 			.append("BRASSPIER_PLATFORM_TOKEN, or from the files named above, one a line. The files are\n")
@@ -93,7 +93,7 @@
 			.toString();
 	}
 
-	private JCommander commander() {
+	private JCommander commandLineParser() {
 		return JCommander.newBuilder()
 			.addObject(this.flags)
 			.programName("brasspierd")
@@ -106,18 +106,19 @@
 				"settings refused: " + faults + " (see TROUBLESHOOTING.md#settings)"));
 	}
 
-	private Optional<Settings> check() {
-		Optional<InstanceId> instance = valid("--instance", () -> new InstanceId(this.flags.instance));
-		Optional<FailureDomain> domain = valid("--failure-domain", () -> new FailureDomain(this.flags.failureDomain));
-		Optional<String> cell = valid("--cell", () -> new InstanceId(this.flags.cell).value());
-		Optional<Settings.Listen> listen = listen();
-		Optional<Map<InstanceId, PeerPorts>> peers = valid("--peer-ports", this::peerPorts);
-		valid("--table", () -> address(this.flags.table));
-		valid("--object-store", () -> address(this.flags.objectStore));
-		Optional<Settings.Secrets> secrets = secrets();
-		Optional<Settings.Limits> limits = valid("--max-body-bytes, --max-leave-millis, --max-peer-version",
-				this::limits);
-		valid("--log-format", this::checkedLogFormat);
+	private Optional<Settings> readSettings() {
+		Optional<InstanceId> instance = parseOrAddFault("--instance", () -> new InstanceId(this.flags.instance));
+		Optional<FailureDomain> domain = parseOrAddFault("--failure-domain",
+				() -> new FailureDomain(this.flags.failureDomain));
+		Optional<String> cell = parseOrAddFault("--cell", () -> new InstanceId(this.flags.cell).value());
+		Optional<Settings.Listen> listen = readListenAddresses();
+		Optional<Map<InstanceId, PeerPorts>> peers = parseOrAddFault("--peer-ports", this::parsePeerPorts);
+		parseOrAddFault("--table", () -> parseAddress(this.flags.table));
+		parseOrAddFault("--object-store", () -> parseAddress(this.flags.objectStore));
+		Optional<Settings.Secrets> secrets = readSecrets();
+		Optional<Settings.Limits> limits = parseOrAddFault("--max-body-bytes, --max-leave-millis, --max-peer-version",
+				this::readLimits);
+		parseOrAddFault("--log-format", this::readLogFormat);
 		if (!this.faults.isEmpty()) {
 			return Optional.empty();
 		}
@@ -129,12 +130,17 @@
 					secrets.orElseThrow(), limits.orElseThrow()));
 	}
 
-	private Optional<Settings.Listen> listen() {
-		Optional<InetSocketAddress> callers = valid("--caller-listen", () -> address(this.flags.callerListen));
-		Optional<InetSocketAddress> forwards = valid("--forward-listen", () -> address(this.flags.forwardListen));
-		Optional<InetSocketAddress> control = valid("--control-listen", () -> address(this.flags.controlListen));
-		Optional<InetSocketAddress> backend = valid("--backend-listen", () -> address(this.flags.backendListen));
-		Optional<InetSocketAddress> operators = valid("--operator-listen", () -> address(this.flags.operatorListen));
+	private Optional<Settings.Listen> readListenAddresses() {
+		Optional<InetSocketAddress> callers = parseOrAddFault("--caller-listen",
+				() -> parseAddress(this.flags.callerListen));
+		Optional<InetSocketAddress> forwards = parseOrAddFault("--forward-listen",
+				() -> parseAddress(this.flags.forwardListen));
+		Optional<InetSocketAddress> control = parseOrAddFault("--control-listen",
+				() -> parseAddress(this.flags.controlListen));
+		Optional<InetSocketAddress> backend = parseOrAddFault("--backend-listen",
+				() -> parseAddress(this.flags.backendListen));
+		Optional<InetSocketAddress> operators = parseOrAddFault("--operator-listen",
+				() -> parseAddress(this.flags.operatorListen));
 		if (!this.faults.isEmpty()) {
 			return Optional.empty();
 		}
@@ -142,33 +148,33 @@
 				backend.orElseThrow(), operators.orElseThrow()));
 	}
 
-	private Optional<Settings.Secrets> secrets() {
-		Optional<SharedKeys> keys = valid("BRASSPIER_SHARED_KEYS or --shared-keys-file",
-				() -> new SharedKeys(secretList("BRASSPIER_SHARED_KEYS", this.flags.sharedKeysFile)));
-		Optional<List<String>> operators = valid("BRASSPIER_OPERATOR_SECRETS or --operator-secrets-file",
-				this::operatorSecrets);
-		Optional<List<String>> tokens = valid("BRASSPIER_PLATFORM_TOKEN or --platform-token-file",
-				() -> secretList("BRASSPIER_PLATFORM_TOKEN", this.flags.platformTokenFile));
+	private Optional<Settings.Secrets> readSecrets() {
+		Optional<SharedKeys> keys = parseOrAddFault("BRASSPIER_SHARED_KEYS or --shared-keys-file",
+				() -> new SharedKeys(readSecretList("BRASSPIER_SHARED_KEYS", this.flags.sharedKeysFile)));
+		Optional<List<String>> operators = parseOrAddFault("BRASSPIER_OPERATOR_SECRETS or --operator-secrets-file",
+				this::readOperatorSecrets);
+		Optional<List<String>> tokens = parseOrAddFault("BRASSPIER_PLATFORM_TOKEN or --platform-token-file",
+				() -> readSecretList("BRASSPIER_PLATFORM_TOKEN", this.flags.platformTokenFile));
 		return (keys.isPresent() && operators.isPresent() && tokens.isPresent())
 				? Optional.of(new Settings.Secrets(keys.get(), operators.get(), tokens.get(), secretFiles()))
 				: Optional.empty();
 	}
 
 	private Settings.SecretFiles secretFiles() {
-		return new Settings.SecretFiles(path(this.flags.sharedKeysFile), path(this.flags.operatorSecretsFile),
-				path(this.flags.platformTokenFile));
+		return new Settings.SecretFiles(optionalPath(this.flags.sharedKeysFile),
+				optionalPath(this.flags.operatorSecretsFile), optionalPath(this.flags.platformTokenFile));
 	}
 
-	private static Optional<Path> path(String file) {
+	private static Optional<Path> optionalPath(String file) {
 		return Optional.of(file).filter((name) -> !name.isEmpty()).map(Path::of);
 	}
 
-	private List<String> operatorSecrets() {
+	private List<String> readOperatorSecrets() {
 		return SecretLines
-			.checkedOperatorSecrets(secretList("BRASSPIER_OPERATOR_SECRETS", this.flags.operatorSecretsFile));
+			.validateOperatorSecrets(readSecretList("BRASSPIER_OPERATOR_SECRETS", this.flags.operatorSecretsFile));
 	}
 
-	private List<String> secretList(String variable, String file) {
+	private List<String> readSecretList(String variable, String file) {
 		try {
 			return (file.isEmpty()) ? SecretLines.of(this.environment.getOrDefault(variable, "").split(","))
 					: SecretLines.read(Path.of(file));
@@ -178,7 +184,7 @@
 		}
 	}
 
-	private Settings.Limits limits() {
+	private Settings.Limits readLimits() {
 		if (this.flags.maxBodyBytes < 1 || this.flags.maxLeaveMillis < 1) {
 			throw new IllegalArgumentException(
 					"%d and %d must be at least 1".formatted(this.flags.maxBodyBytes, this.flags.maxLeaveMillis));
@@ -190,36 +196,36 @@
 		return new Settings.Limits(this.flags.maxBodyBytes, this.flags.maxLeaveMillis, this.flags.maxPeerVersion);
 	}
 
-	private String checkedLogFormat() {
+	private String readLogFormat() {
 		if (!List.of("text", "json").contains(this.flags.logFormat)) {
 			throw new IllegalArgumentException("\"%s\" must be text or json".formatted(this.flags.logFormat));
 		}
 		return this.flags.logFormat;
 	}
 
-	private Map<InstanceId, PeerPorts> peerPorts() {
+	private Map<InstanceId, PeerPorts> parsePeerPorts() {
 		return Arrays.stream(this.flags.peerPorts.split(","))
 			.filter((entry) -> !entry.isBlank())
 			.map((entry) -> entry.strip().split("[=:]"))
-			.collect(Collectors.toMap((parts) -> new InstanceId(parts[0]), SettingsReader::peerPorts));
+			.collect(Collectors.toMap((parts) -> new InstanceId(parts[0]), SettingsReader::parsePeerPorts));
 	}
 
-	private static PeerPorts peerPorts(String[] parts) {
+	private static PeerPorts parsePeerPorts(String[] parts) {
 		if (parts.length != 4 || !InetAddresses.isInetAddress(parts[1])) {
 			throw new IllegalArgumentException("an entry must read INSTANCE=IP:CONTROL:FORWARD");
 		}
-		return new PeerPorts(parts[1], port(parts[2]), port(parts[3]));
+		return new PeerPorts(parts[1], parsePort(parts[2]), parsePort(parts[3]));
 	}
 
-	private static InetSocketAddress address(String text) {
+	private static InetSocketAddress parseAddress(String text) {
 		int colon = text.lastIndexOf(':');
 		if (colon < 0 || !InetAddresses.isInetAddress(text.substring(0, colon))) {
 			throw new IllegalArgumentException("\"%s\" must read IP:PORT".formatted(text));
 		}
-		return new InetSocketAddress(text.substring(0, colon), port(text.substring(colon + 1)));
+		return new InetSocketAddress(text.substring(0, colon), parsePort(text.substring(colon + 1)));
 	}
 
-	private static int port(String text) {
+	private static int parsePort(String text) {
 		int port = (text.matches("[0-9]{1,5}")) ? Integer.parseInt(text) : 0;
 		if (port < 1 || port > MAX_PORT) {
 			throw new IllegalArgumentException("port \"%s\" must be 1 to %d".formatted(text, MAX_PORT));
@@ -227,9 +233,9 @@
 		return port;
 	}
 
-	private <T> Optional<T> valid(String setting, Supplier<T> reading) {
+	private <T> Optional<T> parseOrAddFault(String setting, Supplier<T> parser) {
 		try {
-			return Optional.of(reading.get());
+			return Optional.of(parser.get());
 		}
 		catch (IllegalArgumentException ex) {
 			this.faults.add(setting + ": " + ex.getMessage());
--- a/daemon/src/test/java/org/brasspier/daemon/internal/document/DocumentFollowerTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/document/DocumentFollowerTests.java
@@ -34,16 +34,16 @@
 
 	private final DocumentHolder self = new DocumentHolder(this.events);
 
-	private final List<InstanceId> asked = new ArrayList<>();
+	private final List<InstanceId> fetchedFrom = new ArrayList<>();
 
 	private boolean peerDown;
 
-	private boolean managing;
+	private boolean isLeaseManager;
 
 	private long nanos;
 
 	private final DocumentFollower follower = new DocumentFollower(this.store, this.self, this::fetch, this.events,
-			() -> this.managing, () -> this.nanos);
+			() -> this.isLeaseManager, () -> this.nanos);
 
 	@BeforeEach
 	void runInThisThread() {
@@ -51,30 +51,30 @@
 	}
 
 	@Test
-	void whoIsBehindFetchesTheBodyFromThePeerThatSaidSo() {
+	void aDaemonThatIsBehindFetchesTheBodyFromThePeerThatReportedTheVersion() {
 		this.platform.down = true;
-		offer(this.peer, 3);
-		this.follower.seen(PEER, 3);
+		applyVersion(this.peer, 3);
+		this.follower.onPeerVersion(PEER, 3);
 		assertThat(this.self.inForce().version()).isEqualTo(3);
-		this.follower.seen(PEER, 3);
-		assertThat(this.asked).containsExactly(PEER);
+		this.follower.onPeerVersion(PEER, 3);
+		assertThat(this.fetchedFrom).containsExactly(PEER);
 	}
 
 	@Test
-	void whereThePeerIsGoneTheStoreIsReadAtOnce() {
+	void whenThePeerIsUnreachableTheStoreIsReadImmediately() {
 		submit(0);
 		this.peerDown = true;
-		this.follower.seen(PEER, 1);
+		this.follower.onPeerVersion(PEER, 1);
 		assertThat(this.self.inForce().version()).isEqualTo(1);
 	}
 
 	// A peer that was paused wakes and tells its old version; an answer of the store that
 	// was read earlier arrives late. The newer version must stay in force.
 	@Test
-	void anOlderVersionNeverComesBackWhoeverBringsIt() {
-		offer(this.self, 5);
-		offer(this.self, 4);
-		this.follower.seen(PEER, 4);
+	void anOlderVersionNeverReplacesANewerOneWhateverItsSource() {
+		applyVersion(this.self, 5);
+		applyVersion(this.self, 4);
+		this.follower.onPeerVersion(PEER, 4);
 		submit(0);
 		tickAfter(Duration.ofSeconds(10));
 		assertThat(this.self.inForce().version()).isEqualTo(5);
@@ -83,12 +83,12 @@
 	// A daemon restarts while the store is down. It must not serve with usual limits what
 	// the document in force says otherwise about, and takes the version of its peers.
 	@Test
-	void aRestartDuringAnOutageServesNothingUntilAPeerTellsTheVersion() {
+	void aRestartDuringAnOutageServesNothingUntilAPeerReportsTheVersion() {
 		this.platform.down = true;
 		this.follower.tick();
 		assertThat(this.self.inForce().known()).isFalse();
-		offer(this.peer, 2);
-		this.follower.seen(PEER, 2);
+		applyVersion(this.peer, 2);
+		this.follower.onPeerVersion(PEER, 2);
 		assertThat(this.self.inForce().version()).isEqualTo(2);
 	}
 
@@ -106,11 +106,11 @@
 	}
 
 	@Test
-	void aMemberThatHearsVersionsDoesNotReadTheTable() {
+	void aMemberThatReceivesVersionsInHeartbeatsDoesNotReadTheTable() {
 		this.follower.tick();
 		int before = this.platform.reads;
 		for (int second = 0; second < 60; second++) {
-			this.follower.seen(PEER, 0);
+			this.follower.onPeerVersion(PEER, 0);
 			tickAfter(Duration.ofSeconds(1));
 		}
 		assertThat(this.platform.reads).isEqualTo(before);
@@ -118,21 +118,21 @@
 
 	@Test
 	void aLeaseManagerReadsTheRowAboutOnceASecond() {
-		this.managing = true;
+		this.isLeaseManager = true;
 		this.follower.tick();
 		int before = this.platform.reads;
 		for (int step = 0; step < 600; step++) {
-			this.follower.seen(PEER, 0);
+			this.follower.onPeerVersion(PEER, 0);
 			tickAfter(Duration.ofMillis(100));
 		}
 		assertThat(this.platform.reads - before).isIn(com.google.common.collect.Range.closed(55, 85));
 	}
 
 	@Test
-	void aDamagedBodyIsRefusedSaidOnceAndLeftAlone() {
+	void aDamagedBodyIsRefusedAndReportedOnce() {
 		submit(0);
 		this.platform.objects.replaceAll((name, body) -> new byte[] { 1, 2, 3 });
-		this.managing = true;
+		this.isLeaseManager = true;
 		for (int second = 0; second < 5; second++) {
 			tickAfter(Duration.ofSeconds(2));
 		}
@@ -142,9 +142,9 @@
 	}
 
 	private Promise<byte[]> fetch(InstanceId from) {
-		this.asked.add(from);
+		this.fetchedFrom.add(from);
 		return (this.peerDown) ? Promise.ofException(new java.io.IOException("gone"))
-				: Promise.of(this.peer.held().orElseThrow().bytes());
+				: Promise.of(this.peer.storedVersion().orElseThrow().bytes());
 	}
 
 	private void tickAfter(Duration passed) {
@@ -158,10 +158,10 @@
 			.isInstanceOf(SubmitOutcome.Accepted.class);
 	}
 
-	private static void offer(DocumentHolder holder, long version) {
+	private static void applyVersion(DocumentHolder holder, long version) {
 		StoredDocument stored = new StoredDocument(version, "", "s-" + version, 0,
 				SubmitterTests.submission("", 0, "1").document());
-		holder.offer(DocumentCodec.encode(stored), stored);
+		holder.applyIfNewer(DocumentCodec.encode(stored), stored);
 	}
 
 }
--- a/daemon/src/test/java/org/brasspier/daemon/internal/document/FakePlatform.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/document/FakePlatform.java
@@ -18,7 +18,7 @@
  */
 public final class FakePlatform implements TableService, ObjectStore {
 
-	private static final Runnable NOTHING = () -> {
+	private static final Runnable NO_OP = () -> {
 	};
 
 	public final Map<String, Row> rows = new HashMap<>();
@@ -29,16 +29,16 @@
 	public final Deque<WriteFault> writeFaults = new ArrayDeque<>();
 
 	/** Run once, before the next write. */
-	Runnable beforeWrite = NOTHING;
+	Runnable beforeWrite = NO_OP;
 
 	/** Run once, after the next write whose answer is lost. */
-	Runnable afterLostAnswer = NOTHING;
+	Runnable afterLostAnswer = NO_OP;
 
 	public boolean down;
 
 	int reads;
 
-	private Runnable late = NOTHING;
+	private Runnable delayedWrite = NO_OP;
 
 	@Override
 	public Promise<Optional<Row>> read(String key) {
@@ -47,14 +47,14 @@
 	}
 
 	@Override
-	public Promise<ReadResult> readUnless(String key, long known) {
-		return read(key).map((row) -> (row.filter((now) -> now.version() == known).isPresent())
+	public Promise<ReadResult> readUnless(String key, long knownVersion) {
+		return read(key).map((row) -> (row.filter((current) -> current.version() == knownVersion).isPresent())
 				? new ReadResult.Unchanged() : new ReadResult.Found(row));
 	}
 
 	@Override
 	public Promise<WriteResult> write(String key, long expectedVersion, byte[] value) {
-		run(this.beforeWrite, () -> this.beforeWrite = NOTHING);
+		runOnce(this.beforeWrite, () -> this.beforeWrite = NO_OP);
 		if (this.down) {
 			return unavailable();
 		}
@@ -65,22 +65,22 @@
 			}
 			case ANSWER_LOST -> {
 				apply(key, expectedVersion, value);
-				run(this.afterLostAnswer, () -> this.afterLostAnswer = NOTHING);
+				runOnce(this.afterLostAnswer, () -> this.afterLostAnswer = NO_OP);
 			}
 			case WRITE_LOST -> {
 			}
-			case WRITE_LATE -> this.late = () -> apply(key, expectedVersion, value);
+			case WRITE_LATE -> this.delayedWrite = () -> apply(key, expectedVersion, value);
 		}
 		return Promise.of(new WriteResult.Unknown(fault.name()));
 	}
 
-	private static void run(Runnable hook, Runnable clear) {
+	private static void runOnce(Runnable hook, Runnable clear) {
 		clear.run();
 		hook.run();
 	}
 
-	void deliverLateWrite() {
-		this.late.run();
+	void deliverDelayedWrite() {
+		this.delayedWrite.run();
 	}
 
 	private WriteResult apply(String key, long expectedVersion, byte[] value) {
--- a/daemon/src/test/java/org/brasspier/daemon/internal/document/SubmitterTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/document/SubmitterTests.java
@@ -32,25 +32,25 @@
 	private final Submitter submitter = new Submitter(this.store, this.holder, this.events, () -> 1000);
 
 	@Test
-	void anAcceptedSubmissionIsInForceAtOnceWhereItWasSubmitted() {
+	void anAcceptedSubmissionIsInForceImmediatelyOnTheSubmittingDaemon() {
 		assertThat(submit("first", 0, "1")).isInstanceOf(SubmitOutcome.Accepted.class);
 		assertThat(submit("second", 1, "2")).isInstanceOf(SubmitOutcome.Accepted.class);
 		assertThat(this.holder.inForce().version()).isEqualTo(2);
 		assertThat(this.holder.inForce().document().weights().churn()).isEqualTo(2);
-		assertThat(row().previousHash()).isNotEmpty();
+		assertThat(readDocumentInForce().previousHash()).isNotEmpty();
 	}
 
 	// Two operators begin from the same version. Both press submit; the second one's
 	// write reaches the table between the first one's read and write. One of them must
 	// win, and the other must be shown what the winner changed.
 	@Test
-	void ofTwoOperatorsWhoSubmitAtOnceOneWinsAndTheOtherIsToldWhatChanged() {
+	void ofTwoConcurrentSubmissionsOneIsAcceptedAndTheOtherGetsTheVersionInForce() {
 		submit("first", 0, "1");
 		this.platform.beforeWrite = () -> assertThat(submit("second", 1, "2"))
 			.isInstanceOf(SubmitOutcome.Accepted.class);
 		SubmitOutcome loser = submit("third", 1, "3");
 		assertThat(loser).isInstanceOf(SubmitOutcome.Conflict.class);
-		assertThat(((SubmitOutcome.Conflict) loser).present().orElseThrow().stored().document().weights().churn())
+		assertThat(((SubmitOutcome.Conflict) loser).inForce().orElseThrow().stored().document().weights().churn())
 			.isEqualTo(2);
 		assertThat(this.holder.inForce().version()).isEqualTo(2);
 	}
@@ -58,10 +58,10 @@
 	// The operator presses submit; the table takes the write, and its answer is lost on
 	// the way. Telling "refused" or "accepted" by guess would be wrong half of the time.
 	@Test
-	void aWriteWhoseAnswerWasLostIsSettledBeforeAnyoneIsTold() {
+	void aWriteWhoseAnswerWasLostIsResolvedBeforeTheOperatorIsAnswered() {
 		this.platform.writeFaults.add(FakePlatform.WriteFault.ANSWER_LOST);
 		assertThat(submit("first", 0, "1")).isInstanceOf(SubmitOutcome.Accepted.class);
-		assertThat(this.platform.rows.get(DocumentStore.POINTER).version()).isEqualTo(1);
+		assertThat(this.platform.rows.get(DocumentStore.POINTER_KEY).version()).isEqualTo(1);
 	}
 
 	@Test
@@ -74,7 +74,7 @@
 	// The answer is lost, and before the row is read back another operator's submission
 	// has already followed on ours. Ours did take effect, though the row names theirs.
 	@Test
-	void aLostAnswerIsSettledThoughAnotherSubmissionHasFollowed() {
+	void aLostAnswerIsResolvedThoughAnotherSubmissionHasFollowed() {
 		submit("first", 0, "1");
 		this.platform.writeFaults.add(FakePlatform.WriteFault.ANSWER_LOST);
 		this.platform.afterLostAnswer = () -> submit("third", 2, "3");
@@ -85,16 +85,16 @@
 	// A write hangs in the network; another operator's submission wins meanwhile. When
 	// the late write arrives at last, it must change nothing.
 	@Test
-	void aLateWriteNeverOverturnsTheWinner() {
+	void aDelayedWriteNeverReplacesTheAcceptedSubmission() {
 		submit("first", 0, "1");
 		this.platform.writeFaults.add(FakePlatform.WriteFault.WRITE_LATE);
 		Promise<SubmitOutcome> late = this.submitter.submit(submission("second", 1, "2"));
 		submit("third", 1, "3");
-		this.platform.deliverLateWrite();
+		this.platform.deliverDelayedWrite();
 		SubmitOutcome outcome = await(late);
-		long churn = (long) row().document().weights().churn();
+		long churn = (long) readDocumentInForce().document().weights().churn();
 		assertThat(outcome instanceof SubmitOutcome.Accepted).isEqualTo(churn == 2);
-		assertThat(row().version()).isEqualTo(2);
+		assertThat(readDocumentInForce().version()).isEqualTo(2);
 	}
 
 	@Test
@@ -121,14 +121,15 @@
 	@Test
 	void aDamagedRowIsRefusedAndNeverOverwritten() {
 		byte[] damaged = "brasspier 1 nonsense\n{}".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
-		this.platform.rows.put(DocumentStore.POINTER, new Row(4, damaged));
+		this.platform.rows.put(DocumentStore.POINTER_KEY, new Row(4, damaged));
 		SubmitOutcome outcome = submit("first", 0, "1");
 		assertThat(((SubmitOutcome.Failed) outcome).failure().kind()).isEqualTo(ErrorKind.STATE_UNREADABLE);
-		assertThat(this.platform.rows.get(DocumentStore.POINTER).value()).isEqualTo(damaged);
+		assertThat(this.platform.rows.get(DocumentStore.POINTER_KEY).value()).isEqualTo(damaged);
 	}
 
-	private org.brasspier.wire.document.StoredDocument row() {
-		return await(this.store.pointer().then((row) -> this.store.body(row.orElseThrow().pointer().hash()))).stored();
+	private org.brasspier.wire.document.StoredDocument readDocumentInForce() {
+		return await(this.store.readPointer().then((row) -> this.store.readBody(row.orElseThrow().pointer().hash())))
+			.stored();
 	}
 
 	private SubmitOutcome submit(String id, long base, String churn) {
--- a/daemon/src/test/java/org/brasspier/daemon/internal/event/EventLogTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/event/EventLogTests.java
@@ -17,7 +17,7 @@
 class EventLogTests {
 
 	@Test
-	void requestsDoNotPushOutWhatHappenedToOwnership() {
+	void requestEventsDoNotEvictOwnershipEvents() {
 		EventLog log = new EventLog(4);
 		log.record(EventKind.LEASE_LAPSED, new InstanceId("duluth-1"), "");
 		for (int i = 0; i < 100; i++) {
@@ -25,14 +25,14 @@
 		}
 		assertThat(log.after(0)).hasSize(5);
 		assertThat(log.after(0).getFirst().kind()).isEqualTo(EventKind.LEASE_LAPSED);
-		assertThat(log.pushedOutUntil()).hasValue(97);
+		assertThat(log.evictedUntil()).hasValue(97);
 	}
 
 	// An operator follows the time line during a flood. The thread that keeps events
 	// can't keep up, so its ring overflows. The operator must see that something is
 	// missing, and how much.
 	@Test
-	void eventsLostToAFullRingAreCountedAndAreThemselvesAnEvent() throws InterruptedException {
+	void eventsLostToAFullRingAreCountedAndReportedAsAnEvent() throws InterruptedException {
 		EventLog log = new EventLog(4);
 		log.start();
 		CountDownLatch released = new CountDownLatch(1);
@@ -46,12 +46,12 @@
 		released.await();
 		log.stop();
 		log.record(EventKind.DAEMON_STOPPED, "end", "");
-		assertThat(log.lostInAll()).isGreaterThan(0L);
+		assertThat(log.totalLostEvents()).isGreaterThan(0L);
 		assertThat(log.after(0).stream().map(Event::kind)).contains(EventKind.EVENTS_LOST);
 	}
 
 	@Test
-	void whatFollowsAMessageIsStampedLaterThanTheMessage() {
+	void eventsAfterAReceivedMessageAreStampedLaterThanTheMessage() {
 		EventLog log = new EventLog(4);
 		HybridTime ahead = new HybridTime((System.currentTimeMillis() + 60_000) << 16);
 		log.receive(ahead);
--- a/daemon/src/test/java/org/brasspier/daemon/internal/measure/MeasureRecorderTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/measure/MeasureRecorderTests.java
@@ -32,32 +32,32 @@
 
 	private final FakePlatform platform = new FakePlatform();
 
-	private final List<MinuteReport> counted = new ArrayList<>();
+	private final List<MinuteReport> reports = new ArrayList<>();
 
 	private long millis = NOON;
 
 	private long viewVersion;
 
-	private final MeasureRecorder keeper = keeper();
+	private final MeasureRecorder recorder = newRecorder();
 
 	@Test
 	void reportsAreAddedOnceHoweverOftenTheyAreCollected() {
-		minute(10);
-		keep(this.keeper, "a");
-		keep(this.keeper, "a");
-		minute(5);
-		keep(this.keeper, "a");
+		addMinuteReport(10);
+		tickAfterPeriod(this.recorder, "a");
+		tickAfterPeriod(this.recorder, "a");
+		addMinuteReport(5);
+		tickAfterPeriod(this.recorder, "a");
 		assertThat(sums().requests()).isEqualTo(15);
 	}
 
 	// The primary lease manager is lost between two writes. Its successor collects from
 	// the daemons what the lost one had not kept yet, and nothing twice.
 	@Test
-	void anotherPrimaryGoesOnWhereTheLastOneStopped() {
-		minute(10);
-		keep(this.keeper, "a");
-		minute(5);
-		keep(keeper(), "a");
+	void aNewPrimaryContinuesWhereItsPredecessorStopped() {
+		addMinuteReport(10);
+		tickAfterPeriod(this.recorder, "a");
+		addMinuteReport(5);
+		tickAfterPeriod(newRecorder(), "a");
 		assertThat(sums().requests()).isEqualTo(15);
 	}
 
@@ -65,39 +65,39 @@
 	// neither forget the moves nor count them twice.
 	@Test
 	void movesAreCountedOnceThoughAnAnswerIsLost() {
-		keep(this.keeper, "a");
+		tickAfterPeriod(this.recorder, "a");
 		this.platform.writeFaults.add(FakePlatform.WriteFault.ANSWER_LOST);
-		keep(this.keeper, "b");
-		keep(this.keeper, "b");
+		tickAfterPeriod(this.recorder, "b");
+		tickAfterPeriod(this.recorder, "b");
 		assertThat(sums().movedPoints()).isEqualTo(KeyHash.SPACE);
 	}
 
 	@Test
-	void movesAreKeptThoughAWriteIsLost() {
-		keep(this.keeper, "a");
+	void movesAreStoredThoughAWriteIsLost() {
+		tickAfterPeriod(this.recorder, "a");
 		this.platform.writeFaults.add(FakePlatform.WriteFault.WRITE_LOST);
-		keep(this.keeper, "b");
-		keep(this.keeper, "b");
+		tickAfterPeriod(this.recorder, "b");
+		tickAfterPeriod(this.recorder, "b");
 		assertThat(sums().movedPoints()).isEqualTo(KeyHash.SPACE);
 	}
 
 	@Test
-	void whatIsMeasuredDuringAnOutageIsKeptAfterIt() {
+	void measuresCountedDuringAnOutageAreStoredAfterIt() {
 		this.platform.down = true;
-		minute(10);
-		keep(this.keeper, "a");
-		keep(this.keeper, "b");
+		addMinuteReport(10);
+		tickAfterPeriod(this.recorder, "a");
+		tickAfterPeriod(this.recorder, "b");
 		this.platform.down = false;
-		keep(this.keeper, "b");
+		tickAfterPeriod(this.recorder, "b");
 		assertThat(sums().requests()).isEqualTo(10);
 		assertThat(sums().movedPoints()).isEqualTo(KeyHash.SPACE);
 	}
 
 	@Test
-	void theLastMinutesOfADayAreKeptAfterMidnight() {
+	void theLastMinutesOfADayAreStoredAfterMidnight() {
 		this.millis = TimeUnit.DAYS.toMillis(20_001) - TimeUnit.MINUTES.toMillis(2);
-		minute(10);
-		keep(this.keeper, "a");
+		addMinuteReport(10);
+		tickAfterPeriod(this.recorder, "a");
 		assertThat(this.platform.rows.keySet().stream().filter((key) -> key.startsWith("measures/2024-10-04")).count())
 			.isEqualTo(1);
 		assertThat(sums().requests()).isEqualTo(10);
@@ -105,27 +105,27 @@
 
 	@Test
 	void onlyThePrimaryWrites() {
-		minute(10);
-		this.millis += MeasureRecorder.PERIOD.toMillis();
-		this.keeper.tick(view("a"), false);
+		addMinuteReport(10);
+		this.millis += MeasureRecorder.WRITE_PERIOD.toMillis();
+		this.recorder.tick(view("a"), false);
 		assertThat(this.platform.rows).isEmpty();
 	}
 
-	private MeasureRecorder keeper() {
+	private MeasureRecorder newRecorder() {
 		return new MeasureRecorder(this.platform, "main",
-				(after) -> Promise.of(this.counted.stream().filter((report) -> report.minute() > after).toList()),
+				(after) -> Promise.of(this.reports.stream().filter((report) -> report.minute() > after).toList()),
 				new EventLog(100), () -> this.millis);
 	}
 
-	private void minute(long requests) {
-		this.counted.add(new MinuteReport(new InstanceId("a"), HULLBOOK, TimeUnit.MILLISECONDS.toMinutes(this.millis),
+	private void addMinuteReport(long requests) {
+		this.reports.add(new MinuteReport(new InstanceId("a"), HULLBOOK, TimeUnit.MILLISECONDS.toMinutes(this.millis),
 				requests, 0, 0, 0, 1));
 		this.millis += Duration.ofMinutes(1).toMillis();
 	}
 
-	private void keep(MeasureRecorder by, String owner) {
-		this.millis += MeasureRecorder.PERIOD.toMillis();
-		by.tick(view(owner), true);
+	private void tickAfterPeriod(MeasureRecorder recorder, String owner) {
+		this.millis += MeasureRecorder.WRITE_PERIOD.toMillis();
+		recorder.tick(view(owner), true);
 	}
 
 	private CellView view(String owner) {
@@ -136,7 +136,7 @@
 	}
 
 	private MeasureSums sums() {
-		return this.keeper.read(0L + NOON - TimeUnit.HOURS.toMillis(1), this.millis)
+		return this.recorder.read(0L + NOON - TimeUnit.HOURS.toMillis(1), this.millis)
 			.getResult()
 			.services()
 			.getOrDefault(HULLBOOK.value(), MeasureSums.ZERO);
--- a/daemon/src/test/java/org/brasspier/daemon/internal/measure/OutcomeMeterTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/measure/OutcomeMeterTests.java
@@ -22,43 +22,43 @@
 	private final OutcomeMeter meter = new OutcomeMeter(new InstanceId("duluth-1"), () -> this.millis);
 
 	@Test
-	void aMinuteIsReportedOnceItIsWhole() {
-		this.meter.answered(HULLBOOK);
-		assertThat(this.meter.after(0)).isEmpty();
+	void aMinuteIsReportedOnceItIsComplete() {
+		this.meter.countAnswered(HULLBOOK);
+		assertThat(this.meter.reportsAfter(0)).isEmpty();
 		this.millis += 60_000;
-		assertThat(this.meter.after(0)).hasSize(1);
-		assertThat(this.meter.after(100)).isEmpty();
+		assertThat(this.meter.reportsAfter(0)).hasSize(1);
+		assertThat(this.meter.reportsAfter(100)).isEmpty();
 	}
 
 	@Test
-	void theSecondsInWhichCallersWereTurnedAwayAreMarked() {
+	void theSecondsInWhichCallersWereRefusedAreMarked() {
 		this.millis += 3_500;
-		this.meter.failed(HULLBOOK, ErrorKind.NO_OWNER);
-		this.meter.failed(HULLBOOK, ErrorKind.TICKET_REQUIRED);
+		this.meter.countFailed(HULLBOOK, ErrorKind.NO_OWNER);
+		this.meter.countFailed(HULLBOOK, ErrorKind.TICKET_REQUIRED);
 		MinuteReport report = reports().getFirst();
 		assertThat(report.turnedAwaySeconds()).isEqualTo(0b1000);
 		assertThat(report.requests()).isEqualTo(1);
 	}
 
 	@Test
-	void workIsCountedWithTheServersSlots() {
-		this.meter.slots(HULLBOOK, 17);
-		this.meter.ran(HULLBOOK, 2_500_000);
+	void runTimeIsReportedWithTheServersSlots() {
+		this.meter.updateSlots(HULLBOOK, 17);
+		this.meter.countRunTime(HULLBOOK, 2_500_000);
 		assertThat(reports().getFirst().busyMillis()).isEqualTo(2);
 		assertThat(reports().getFirst().slots()).isEqualTo(17);
 	}
 
 	@Test
-	void aFloodOfMadeUpServicesStaysBounded() {
+	void theNumberOfCountedServicesIsBounded() {
 		for (int i = 0; i < 1000; i++) {
-			this.meter.failed(new ServiceName("s" + i), ErrorKind.NO_OWNER);
+			this.meter.countFailed(new ServiceName("s" + i), ErrorKind.NO_OWNER);
 		}
 		assertThat(reports().size()).isAtMost(65);
 	}
 
 	private List<MinuteReport> reports() {
 		this.millis += 60_000;
-		return this.meter.after(0);
+		return this.meter.reportsAfter(0);
 	}
 
 }
--- a/daemon/src/test/java/org/brasspier/daemon/internal/settings/SettingsReaderTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/settings/SettingsReaderTests.java
@@ -30,7 +30,7 @@
 	}
 
 	@Test
-	void aFlagGoesBeforeItsEnvironmentVariable() {
+	void aFlagTakesPrecedenceOverItsEnvironmentVariable() {
 		this.environment.put("BRASSPIER_INSTANCE", "from-environment");
 		this.environment.put("BRASSPIER_MAX_BODY_BYTES", "4096");
 		Settings settings = read(COMPLETE).get();
