--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/Submitter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/Submitter.java
@@ -81,19 +81,19 @@
 	}
 
 	private Promise<SubmitOutcome> storeNextVersion(Submission submission, Optional<DocumentStore.PointerRow> row) {
-		StoredDocument next = new StoredDocument(submission.baseVersion() + 1,
+		StoredDocument stored = new StoredDocument(submission.baseVersion() + 1,
 				row.map((current) -> current.pointer().hash()).orElse(""), submission.id(), this.wallMillis.getAsLong(),
 				submission.document());
-		byte[] bytes = DocumentCodec.encode(next);
-		DocumentPointer.Accepted accepted = new DocumentPointer.Accepted(submission.id(), next.version(),
+		byte[] bytes = DocumentCodec.encode(stored);
+		DocumentPointer.Accepted accepted = new DocumentPointer.Accepted(submission.id(), stored.version(),
 				DocumentCodec.hash(bytes));
-		DocumentPointer pointer = new DocumentPointer(next.version(), accepted.hash(),
+		DocumentPointer pointer = new DocumentPointer(stored.version(), accepted.hash(),
 				Stream
 					.concat(Stream.of(accepted), row.stream().flatMap((current) -> current.pointer().recent().stream()))
 					.limit(DocumentPointer.MAX_RECENT)
 					.toList());
 		SubmitAttempt attempt = new SubmitAttempt(submission, row.map(DocumentStore.PointerRow::rowVersion).orElse(0L),
-				pointer, bytes, next, System.nanoTime() + RESOLVE_TIMEOUT.toNanos());
+				pointer, bytes, stored, System.nanoTime() + RESOLVE_TIMEOUT.toNanos());
 		// The body first: a row must never point to what isn't there.
 		return putBody(bytes, MAX_PUT_ATTEMPTS).then(() -> replacePointer(attempt, false));
 	}
@@ -154,9 +154,9 @@
 
 	private SubmitOutcome recordAccepted(SubmitAttempt attempt) {
 		this.events.record(EventKind.DOCUMENT_ACCEPTED, attempt.submission().id(),
-				"version " + attempt.next().version());
-		this.holder.applyIfNewer(attempt.bytes(), attempt.next());
-		return new SubmitOutcome.Accepted(attempt.next().version(), attempt.pointer().hash());
+				"version " + attempt.stored().version());
+		this.holder.applyIfNewer(attempt.bytes(), attempt.stored());
+		return new SubmitOutcome.Accepted(attempt.stored().version(), attempt.pointer().hash());
 	}
 
 	private Promise<SubmitOutcome> readConflict(Submission submission, Optional<DocumentStore.PointerRow> row) {
@@ -191,11 +191,11 @@
 	 * @param expectedRowVersion the version that the row must have
 	 * @param pointer the row's new contents
 	 * @param bytes the body
-	 * @param next the same, decoded
+	 * @param stored the same, decoded
 	 * @param deadlineNanos when to give up settling
 	 */
 	private record SubmitAttempt(Submission submission, long expectedRowVersion, DocumentPointer pointer, byte[] bytes,
-			StoredDocument next, long deadlineNanos) {
+			StoredDocument stored, long deadlineNanos) {
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureRecorder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureRecorder.java
@@ -37,7 +37,7 @@
 
 	private final MeasureStore store;
 
-	private final MemberReports members;
+	private final MemberReports memberReports;
 
 	private final EventLog events;
 
@@ -60,14 +60,14 @@
 	 * Creates a keeper.
 	 * @param table the platform's table
 	 * @param cell the cell
-	 * @param members collects what daemons counted
+	 * @param memberReports collects what daemons counted
 	 * @param events the time line
 	 * @param wallMillis the wall clock, in milliseconds since 1970
 	 */
-	public MeasureRecorder(TableService table, String cell, MemberReports members, EventLog events,
+	public MeasureRecorder(TableService table, String cell, MemberReports memberReports, EventLog events,
 			LongSupplier wallMillis) {
 		this.store = new MeasureStore(table, cell);
-		this.members = members;
+		this.memberReports = memberReports;
 		this.events = events;
 		this.wallMillis = wallMillis;
 		this.nextWriteMillis = wallMillis.getAsLong() + WRITE_PERIOD.toMillis();
@@ -111,13 +111,13 @@
 		return writeDay(today - 1, false).then(() -> writeDay(today, true));
 	}
 
-	private Promise<Void> writeDay(long day, boolean withMoves) {
+	private Promise<Void> writeDay(long day, boolean includeMoves) {
 		return this.store.read(day).then((row) -> {
-			if (withMoves) {
+			if (includeMoves) {
 				resolveUnconfirmedWrite(row.day());
 			}
-			return this.members.reportsAfter(row.day().collectedUntil())
-				.then((reports) -> writeRow(day, row, filterByDay(day, reports), withMoves));
+			return this.memberReports.reportsAfter(row.day().collectedUntil())
+				.then((reports) -> writeRow(day, row, filterByDay(day, reports), includeMoves));
 		});
 	}
 
@@ -133,14 +133,15 @@
 		this.unconfirmedWrite = new UnconfirmedWrite("", Map.of());
 	}
 
-	private Promise<Void> writeRow(long day, MeasureStore.DayRow row, List<MinuteReport> reports, boolean withMoves) {
-		Map<String, Long> moves = (withMoves) ? Map.copyOf(this.unwrittenMoves) : Map.of();
+	private Promise<Void> writeRow(long day, MeasureStore.DayRow row, List<MinuteReport> reports,
+			boolean includeMoves) {
+		Map<String, Long> moves = (includeMoves) ? Map.copyOf(this.unwrittenMoves) : Map.of();
 		if (reports.isEmpty() && moves.values().stream().allMatch((points) -> points == 0)) {
 			return Promise.complete();
 		}
 		String writeId = UUID.randomUUID().toString();
 		MeasuredDay next = addReports(row.day(), writeId, reports);
-		if (withMoves) {
+		if (includeMoves) {
 			int hour = (int) (TimeUnit.MILLISECONDS.toHours(this.wallMillis.getAsLong()) % HOURS_A_DAY);
 			next = next.plus(next.collectedUntil(), writeId, hour,
 					moves.entrySet()
@@ -169,15 +170,15 @@
 		Map<Long, Map<String, List<MinuteReport>>> minutes = reports.stream()
 			.collect(Collectors.groupingBy(MinuteReport::minute, TreeMap::new,
 					Collectors.groupingBy((report) -> report.service().value())));
-		MeasuredDay sum = day;
+		MeasuredDay result = day;
 		for (Map.Entry<Long, Map<String, List<MinuteReport>>> minute : minutes.entrySet()) {
 			int hour = (int) (TimeUnit.MINUTES.toHours(minute.getKey()) % HOURS_A_DAY);
-			sum = sum.plus(minute.getKey(), writeId, hour, minute.getValue()
+			result = result.plus(minute.getKey(), writeId, hour, minute.getValue()
 				.entrySet()
 				.stream()
 				.collect(Collectors.toMap(Map.Entry::getKey, (entry) -> MeasureSums.ofMinute(entry.getValue()))));
 		}
-		return sum;
+		return result;
 	}
 
 	/**
@@ -192,21 +193,22 @@
 				new StoredMeasures(0, Map.of()));
 	}
 
-	private Promise<StoredMeasures> readDays(long day, long fromMillis, long toMillis, StoredMeasures before) {
+	private Promise<StoredMeasures> readDays(long day, long fromMillis, long toMillis, StoredMeasures previous) {
 		if (TimeUnit.DAYS.toMillis(day) >= toMillis) {
-			return Promise.of(before);
+			return Promise.of(previous);
 		}
 		return this.store.read(day)
 			.then((row) -> readDays(day + 1, fromMillis, toMillis,
-					(row.version() == 0) ? before : addDay(before, day, row.day(), fromMillis, toMillis)));
+					(row.version() == 0) ? previous : addDay(previous, day, row.day(), fromMillis, toMillis)));
 	}
 
-	private static StoredMeasures addDay(StoredMeasures before, long day, MeasuredDay measured, long from, long to) {
-		Map<String, MeasureSums> services = new TreeMap<>(before.services());
+	private static StoredMeasures addDay(StoredMeasures previous, long day, MeasuredDay measured, long fromMillis,
+			long toMillis) {
+		Map<String, MeasureSums> services = new TreeMap<>(previous.services());
 		measured.hours().forEach((hour, sums) -> {
-			long begin = TimeUnit.DAYS.toMillis(day) + TimeUnit.HOURS.toMillis(hour);
-			if (begin + TimeUnit.HOURS.toMillis(1) > from && begin < to) {
-				sums.forEach((service, more) -> services.merge(service, more, MeasureSums::plus));
+			long hourStartMillis = TimeUnit.DAYS.toMillis(day) + TimeUnit.HOURS.toMillis(hour);
+			if (hourStartMillis + TimeUnit.HOURS.toMillis(1) > fromMillis && hourStartMillis < toMillis) {
+				sums.forEach((service, added) -> services.merge(service, added, MeasureSums::plus));
 			}
 		});
 		return new StoredMeasures(TimeUnit.MINUTES.toMillis(measured.collectedUntil() + 1), services);
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasuredDay.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasuredDay.java
@@ -65,9 +65,9 @@
 		});
 	}
 
-	private static Either<Failure, MeasuredDay> unreadable(String why) {
+	private static Either<Failure, MeasuredDay> unreadable(String reason) {
 		return Either.left(Failure.of(ErrorKind.STATE_UNREADABLE,
-				"stored measures refused: " + why + " (TROUBLESHOOTING.md#stored-state)"));
+				"stored measures refused: " + reason + " (TROUBLESHOOTING.md#stored-state)"));
 	}
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/OutcomeMeter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/OutcomeMeter.java
@@ -33,9 +33,9 @@
 
 	private final LongSupplier wallMillis;
 
-	private final TreeMap<Long, Map<ServiceName, Counts>> minutes = new TreeMap<>();
+	private final TreeMap<Long, Map<ServiceName, Counts>> countsByMinute = new TreeMap<>();
 
-	private final Map<ServiceName, Integer> slots = new HashMap<>();
+	private final Map<ServiceName, Integer> slotsByService = new HashMap<>();
 
 	/**
 	 * Creates a meter that has counted nothing.
@@ -97,7 +97,7 @@
 	 * @param slotCount its slots
 	 */
 	public synchronized void updateSlots(ServiceName service, int slotCount) {
-		this.slots.put(service, slotCount);
+		this.slotsByService.put(service, slotCount);
 	}
 
 	/**
@@ -109,7 +109,7 @@
 		long currentMinute = TimeUnit.MILLISECONDS.toMinutes(this.wallMillis.getAsLong());
 		List<MinuteReport> reports = new ArrayList<>();
 		if (afterMinute + 1 < currentMinute) {
-			this.minutes.subMap(afterMinute + 1, currentMinute)
+			this.countsByMinute.subMap(afterMinute + 1, currentMinute)
 				.forEach((minute, services) -> services
 					.forEach((service, counts) -> reports.add(toReport(minute, service, counts))));
 		}
@@ -119,26 +119,26 @@
 	private MinuteReport toReport(long minute, ServiceName service, Counts counts) {
 		return new MinuteReport(this.instance, service, minute, counts.requests, counts.refused,
 				counts.refusedSecondsMask, TimeUnit.NANOSECONDS.toMillis(counts.busyNanos),
-				this.slots.getOrDefault(service, 0));
+				this.slotsByService.getOrDefault(service, 0));
 	}
 
 	private Counts currentCounts(ServiceName service) {
 		long minute = TimeUnit.MILLISECONDS.toMinutes(this.wallMillis.getAsLong());
-		Map<ServiceName, Counts> services = this.minutes.get(minute);
-		if (services == null) {
-			services = new HashMap<>();
+		Map<ServiceName, Counts> countsByService = this.countsByMinute.get(minute);
+		if (countsByService == null) {
+			countsByService = new HashMap<>();
 			// A server without requests counts as well: an idle one is what imbalance is.
-			for (ServiceName announced : this.slots.keySet()) {
-				services.put(announced, new Counts());
+			for (ServiceName announced : this.slotsByService.keySet()) {
+				countsByService.put(announced, new Counts());
 			}
-			this.minutes.put(minute, services);
-			while (this.minutes.size() > MAX_MINUTES) {
-				this.minutes.pollFirstEntry();
+			this.countsByMinute.put(minute, countsByService);
+			while (this.countsByMinute.size() > MAX_MINUTES) {
+				this.countsByMinute.pollFirstEntry();
 			}
 		}
-		ServiceName counted = (services.size() < MAX_SERVICES || services.containsKey(service)) ? service
-				: new ServiceName("others");
-		return services.computeIfAbsent(counted, (name) -> new Counts());
+		ServiceName countedService = (countsByService.size() < MAX_SERVICES || countsByService.containsKey(service))
+				? service : new ServiceName("others");
+		return countsByService.computeIfAbsent(countedService, (name) -> new Counts());
 	}
 
 	/**
--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/SecretLines.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/SecretLines.java
@@ -25,10 +25,10 @@
 	 * @throws IllegalArgumentException if it holds none
 	 */
 	public static List<String> read(Path file) throws IOException {
-		return of(Files.readAllLines(file).toArray(String[]::new));
+		return parse(Files.readAllLines(file).toArray(String[]::new));
 	}
 
-	static List<String> of(String... lines) {
+	static List<String> parse(String... lines) {
 		List<String> secrets = Arrays.stream(lines).map(String::strip).filter((line) -> !line.isEmpty()).toList();
 		if (secrets.isEmpty()) {
 			throw new IllegalArgumentException("none is given");
--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/SettingsReader.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/SettingsReader.java
@@ -176,7 +176,7 @@
 
 	private List<String> readSecretList(String variable, String file) {
 		try {
-			return (file.isEmpty()) ? SecretLines.of(this.environment.getOrDefault(variable, "").split(","))
+			return (file.isEmpty()) ? SecretLines.parse(this.environment.getOrDefault(variable, "").split(","))
 					: SecretLines.read(Path.of(file));
 		}
 		catch (IOException ex) {
--- a/daemon/src/test/java/org/brasspier/daemon/internal/document/DocumentFollowerTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/document/DocumentFollowerTests.java
@@ -30,9 +30,9 @@
 
 	private final EventLog events = new EventLog(100);
 
-	private final DocumentHolder peer = new DocumentHolder(this.events);
+	private final DocumentHolder peerHolder = new DocumentHolder(this.events);
 
-	private final DocumentHolder self = new DocumentHolder(this.events);
+	private final DocumentHolder holder = new DocumentHolder(this.events);
 
 	private final List<InstanceId> fetchedFrom = new ArrayList<>();
 
@@ -42,8 +42,8 @@
 
 	private long nanos;
 
-	private final DocumentFollower follower = new DocumentFollower(this.store, this.self, this::fetch, this.events,
-			() -> this.isLeaseManager, () -> this.nanos);
+	private final DocumentFollower follower = new DocumentFollower(this.store, this.holder, this::fetchFromPeer,
+			this.events, () -> this.isLeaseManager, () -> this.nanos);
 
 	@BeforeEach
 	void runInThisThread() {
@@ -53,9 +53,9 @@
 	@Test
 	void aDaemonThatIsBehindFetchesTheBodyFromThePeerThatReportedTheVersion() {
 		this.platform.down = true;
-		applyVersion(this.peer, 3);
+		applyVersion(this.peerHolder, 3);
 		this.follower.onPeerVersion(PEER, 3);
-		assertThat(this.self.inForce().version()).isEqualTo(3);
+		assertThat(this.holder.inForce().version()).isEqualTo(3);
 		this.follower.onPeerVersion(PEER, 3);
 		assertThat(this.fetchedFrom).containsExactly(PEER);
 	}
@@ -65,19 +65,19 @@
 		submit(0);
 		this.peerDown = true;
 		this.follower.onPeerVersion(PEER, 1);
-		assertThat(this.self.inForce().version()).isEqualTo(1);
+		assertThat(this.holder.inForce().version()).isEqualTo(1);
 	}
 
 	// A peer that was paused wakes and tells its old version; an answer of the store that
 	// was read earlier arrives late. The newer version must stay in force.
 	@Test
 	void anOlderVersionNeverReplacesANewerOneWhateverItsSource() {
-		applyVersion(this.self, 5);
-		applyVersion(this.self, 4);
+		applyVersion(this.holder, 5);
+		applyVersion(this.holder, 4);
 		this.follower.onPeerVersion(PEER, 4);
 		submit(0);
 		tickAfter(Duration.ofSeconds(10));
-		assertThat(this.self.inForce().version()).isEqualTo(5);
+		assertThat(this.holder.inForce().version()).isEqualTo(5);
 	}
 
 	// A daemon restarts while the store is down. It must not serve with usual limits what
@@ -86,10 +86,10 @@
 	void aRestartDuringAnOutageServesNothingUntilAPeerReportsTheVersion() {
 		this.platform.down = true;
 		this.follower.tick();
-		assertThat(this.self.inForce().known()).isFalse();
-		applyVersion(this.peer, 2);
+		assertThat(this.holder.inForce().known()).isFalse();
+		applyVersion(this.peerHolder, 2);
 		this.follower.onPeerVersion(PEER, 2);
-		assertThat(this.self.inForce().version()).isEqualTo(2);
+		assertThat(this.holder.inForce().version()).isEqualTo(2);
 	}
 
 	@Test
@@ -98,11 +98,11 @@
 		this.follower.tick();
 		this.platform.down = true;
 		tickAfter(Duration.ofSeconds(60));
-		assertThat(this.self.inForce().version()).isEqualTo(1);
+		assertThat(this.holder.inForce().version()).isEqualTo(1);
 		this.platform.down = false;
 		this.platform.rows.clear();
 		tickAfter(Duration.ofSeconds(60));
-		assertThat(this.self.inForce().version()).isEqualTo(1);
+		assertThat(this.holder.inForce().version()).isEqualTo(1);
 	}
 
 	@Test
@@ -136,19 +136,19 @@
 		for (int second = 0; second < 5; second++) {
 			tickAfter(Duration.ofSeconds(2));
 		}
-		assertThat(this.self.inForce().known()).isFalse();
+		assertThat(this.holder.inForce().known()).isFalse();
 		assertThat(this.events.after(0).stream().filter((event) -> event.kind() == EventKind.DOCUMENT_UNREADABLE))
 			.hasSize(1);
 	}
 
-	private Promise<byte[]> fetch(InstanceId from) {
-		this.fetchedFrom.add(from);
+	private Promise<byte[]> fetchFromPeer(InstanceId peer) {
+		this.fetchedFrom.add(peer);
 		return (this.peerDown) ? Promise.ofException(new java.io.IOException("gone"))
-				: Promise.of(this.peer.storedVersion().orElseThrow().bytes());
+				: Promise.of(this.peerHolder.storedVersion().orElseThrow().bytes());
 	}
 
-	private void tickAfter(Duration passed) {
-		this.nanos += TimeUnit.MILLISECONDS.toNanos(passed.toMillis());
+	private void tickAfter(Duration elapsed) {
+		this.nanos += TimeUnit.MILLISECONDS.toNanos(elapsed.toMillis());
 		this.follower.tick();
 	}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/document/SubmitterTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/document/SubmitterTests.java
@@ -48,9 +48,9 @@
 		submit("first", 0, "1");
 		this.platform.beforeWrite = () -> assertThat(submit("second", 1, "2"))
 			.isInstanceOf(SubmitOutcome.Accepted.class);
-		SubmitOutcome loser = submit("third", 1, "3");
-		assertThat(loser).isInstanceOf(SubmitOutcome.Conflict.class);
-		assertThat(((SubmitOutcome.Conflict) loser).inForce().orElseThrow().stored().document().weights().churn())
+		SubmitOutcome refused = submit("third", 1, "3");
+		assertThat(refused).isInstanceOf(SubmitOutcome.Conflict.class);
+		assertThat(((SubmitOutcome.Conflict) refused).inForce().orElseThrow().stored().document().weights().churn())
 			.isEqualTo(2);
 		assertThat(this.holder.inForce().version()).isEqualTo(2);
 	}
@@ -88,17 +88,17 @@
 	void aDelayedWriteNeverReplacesTheAcceptedSubmission() {
 		submit("first", 0, "1");
 		this.platform.writeFaults.add(FakePlatform.WriteFault.WRITE_LATE);
-		Promise<SubmitOutcome> late = this.submitter.submit(submission("second", 1, "2"));
+		Promise<SubmitOutcome> delayed = this.submitter.submit(submission("second", 1, "2"));
 		submit("third", 1, "3");
 		this.platform.deliverDelayedWrite();
-		SubmitOutcome outcome = await(late);
+		SubmitOutcome outcome = await(delayed);
 		long churn = (long) readDocumentInForce().document().weights().churn();
 		assertThat(outcome instanceof SubmitOutcome.Accepted).isEqualTo(churn == 2);
 		assertThat(readDocumentInForce().version()).isEqualTo(2);
 	}
 
 	@Test
-	void theSameSubmissionSentAgainIsAnsweredAsTheFirstTime() {
+	void aRepeatedSubmissionGetsTheOutcomeOfTheFirst() {
 		SubmitOutcome first = submit("first", 0, "1");
 		submit("second", 1, "2");
 		assertThat(submit("first", 0, "1")).isEqualTo(first);
@@ -106,7 +106,7 @@
 	}
 
 	@Test
-	void whileTheStoreIsDownASubmissionIsRefusedWithoutEffect() {
+	void aSubmissionFailsWithoutEffectWhileTheStoreIsUnavailable() {
 		this.platform.down = true;
 		SubmitOutcome outcome = submit("first", 0, "1");
 		assertThat(((SubmitOutcome.Failed) outcome).failure().kind()).isEqualTo(ErrorKind.STORE_UNAVAILABLE);
--- a/daemon/src/test/java/org/brasspier/daemon/internal/event/EventLogFormatTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/event/EventLogFormatTests.java
@@ -23,17 +23,17 @@
 
 	@Test
 	void aLineOfJsonHasTheEventsNumberAsAField() {
-		JsonObject line = JsonParser.parseString(logged(EventKind.LEASE_LAPSED)).getAsJsonObject();
+		JsonObject line = JsonParser.parseString(logLineOf(EventKind.LEASE_LAPSED)).getAsJsonObject();
 		assertThat(line.get("event").getAsInt()).isEqualTo(201);
 		assertThat(line.get("message").getAsString()).isEqualTo("201 LEASE_LAPSED duluth-1 paused");
 	}
 
 	@Test
-	void eventsOfRequestsAreNotWrittenAtTheUsualLevel() {
-		assertThat(logged(EventKind.REQUEST_ANSWERED)).isEmpty();
+	void eventsOfRequestsAreNotWrittenAtTheDefaultLevel() {
+		assertThat(logLineOf(EventKind.REQUEST_ANSWERED)).isEmpty();
 	}
 
-	private static String logged(EventKind kind) {
+	private static String logLineOf(EventKind kind) {
 		LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
 		ByteArrayOutputStream written = new ByteArrayOutputStream();
 		LogstashEncoder encoder = new LogstashEncoder();
--- a/daemon/src/test/java/org/brasspier/daemon/internal/event/EventLogTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/event/EventLogTests.java
@@ -53,10 +53,10 @@
 	@Test
 	void eventsAfterAReceivedMessageAreStampedLaterThanTheMessage() {
 		EventLog log = new EventLog(4);
-		HybridTime ahead = new HybridTime((System.currentTimeMillis() + 60_000) << 16);
-		log.receive(ahead);
+		HybridTime received = new HybridTime((System.currentTimeMillis() + 60_000) << 16);
+		log.receive(received);
 		log.record(EventKind.RANGE_GRANTED, "00000000-ffffffff", "");
-		assertThat(log.after(0).getFirst().stamp()).isGreaterThan(ahead);
+		assertThat(log.after(0).getFirst().stamp()).isGreaterThan(received);
 	}
 
 	@Test
--- a/daemon/src/test/java/org/brasspier/daemon/internal/measure/MeasureRecorderTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/measure/MeasureRecorderTests.java
@@ -47,7 +47,7 @@
 		tickAfterPeriod(this.recorder, "a");
 		addMinuteReport(5);
 		tickAfterPeriod(this.recorder, "a");
-		assertThat(sums().requests()).isEqualTo(15);
+		assertThat(storedSums().requests()).isEqualTo(15);
 	}
 
 	// The primary lease manager is lost between two writes. Its successor collects from
@@ -58,7 +58,7 @@
 		tickAfterPeriod(this.recorder, "a");
 		addMinuteReport(5);
 		tickAfterPeriod(newRecorder(), "a");
-		assertThat(sums().requests()).isEqualTo(15);
+		assertThat(storedSums().requests()).isEqualTo(15);
 	}
 
 	// The write of the measures takes effect and its answer is lost. The next run must
@@ -69,7 +69,7 @@
 		this.platform.writeFaults.add(FakePlatform.WriteFault.ANSWER_LOST);
 		tickAfterPeriod(this.recorder, "b");
 		tickAfterPeriod(this.recorder, "b");
-		assertThat(sums().movedPoints()).isEqualTo(KeyHash.SPACE);
+		assertThat(storedSums().movedPoints()).isEqualTo(KeyHash.SPACE);
 	}
 
 	@Test
@@ -78,7 +78,7 @@
 		this.platform.writeFaults.add(FakePlatform.WriteFault.WRITE_LOST);
 		tickAfterPeriod(this.recorder, "b");
 		tickAfterPeriod(this.recorder, "b");
-		assertThat(sums().movedPoints()).isEqualTo(KeyHash.SPACE);
+		assertThat(storedSums().movedPoints()).isEqualTo(KeyHash.SPACE);
 	}
 
 	@Test
@@ -89,8 +89,8 @@
 		tickAfterPeriod(this.recorder, "b");
 		this.platform.down = false;
 		tickAfterPeriod(this.recorder, "b");
-		assertThat(sums().requests()).isEqualTo(10);
-		assertThat(sums().movedPoints()).isEqualTo(KeyHash.SPACE);
+		assertThat(storedSums().requests()).isEqualTo(10);
+		assertThat(storedSums().movedPoints()).isEqualTo(KeyHash.SPACE);
 	}
 
 	@Test
@@ -100,7 +100,7 @@
 		tickAfterPeriod(this.recorder, "a");
 		assertThat(this.platform.rows.keySet().stream().filter((key) -> key.startsWith("measures/2024-10-04")).count())
 			.isEqualTo(1);
-		assertThat(sums().requests()).isEqualTo(10);
+		assertThat(storedSums().requests()).isEqualTo(10);
 	}
 
 	@Test
@@ -135,7 +135,7 @@
 				List.of());
 	}
 
-	private MeasureSums sums() {
+	private MeasureSums storedSums() {
 		return this.recorder.read(0L + NOON - TimeUnit.HOURS.toMillis(1), this.millis)
 			.getResult()
 			.services()
