--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentFollower.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentFollower.java
@@ -14,20 +14,24 @@
 import org.brasspier.wire.document.DocumentCodec;
 
 /**
- * Keeps this process up with the version in force. Heartbeats tell which version a peer
- * has; a daemon that is behind fetches the body from that peer. The row itself is read by
- * lease managers each second, and by others only as long as no heartbeat tells them
- * anything. Belongs to the thread of operators.
+ * Keeps this process up to date with the document version in force. Heartbeats carry the
+ * version that each peer has in force; a daemon with an older version fetches the body
+ * from that peer. The pointer row is read every second by lease managers, and by other
+ * daemons only while they receive no heartbeats. Confined to the operators' thread.
  * <p>
- * Reads of the table at 3,500 daemons in 175 cells: two managers a cell once a second are
- * 350 a second; if in some disaster no heartbeat arrived anywhere, 3,500 daemons once in
- * 6 s are 583 more, of the 2,000 a second that the platform gives.
+ * Load on the table with 3,500 daemons in 175 cells: two lease managers per cell, each
+ * reading once a second, make 350 reads a second. If no heartbeat arrived anywhere, 3,500
+ * daemons reading once every 6 s would add 583 reads a second. The platform allows 2,000
+ * reads a second.
  */
 final class DocumentFollower {
 
 	static final Duration MANAGER_READ_PERIOD = Duration.ofSeconds(1);
 
-	/** Below the 9 s within which a change must be in force, with the fetch. */
+	/**
+	 * Period of reads while no heartbeat arrives. A change must be in force within 9 s,
+	 * which has to cover this period and the fetch of the body.
+	 */
 	static final Duration FALLBACK_READ_PERIOD = Duration.ofSeconds(6);
 
 	private final DocumentStore store;
@@ -62,7 +66,7 @@
 	}
 
 	/**
-	 * Reads the row if it's time to.
+	 * Reads the pointer row if the next read is due.
 	 */
 	void tick() {
 		if (this.reading || this.nanoTime.getAsLong() - this.nextReadNanos < 0) {
@@ -81,7 +85,7 @@
 	private Duration nextReadPeriod() {
 		boolean frequent = this.isLeaseManager.getAsBoolean() || !this.holder.inForce().known();
 		Duration period = (frequent) ? MANAGER_READ_PERIOD : FALLBACK_READ_PERIOD;
-		// Daemons that were started together must not read together for ever after.
+		// Jitter: daemons that were started together must not keep reading together.
 		return period.multipliedBy(ThreadLocalRandom.current().nextLong(75, 100)).dividedBy(100);
 	}
 
@@ -99,7 +103,7 @@
 	}
 
 	private void recordUnreadable(Exception ex) {
-		// Said once for each new reason: a damaged row is read again each second.
+		// Recorded once per distinct failure: a damaged row is read again every second.
 		if (ex instanceof StoreException storeException
 				&& !storeException.failure().detail().equals(this.lastFailureDetail)) {
 			this.lastFailureDetail = storeException.failure().detail();
@@ -108,13 +112,13 @@
 	}
 
 	/**
-	 * A heartbeat told which version a peer has in force.
+	 * Handles a heartbeat that carries the version a peer has in force.
 	 * @param peer the peer
-	 * @param version the version
+	 * @param version the version in force on the peer
 	 */
 	void onPeerVersion(InstanceId peer, long version) {
 		if (!this.isLeaseManager.getAsBoolean() && this.holder.inForce().known()) {
-			// Heartbeats carry versions, so the row need not be read.
+			// Heartbeats carry the version, so the read of the row is postponed.
 			this.nextReadNanos = this.nanoTime.getAsLong() + FALLBACK_READ_PERIOD.toNanos();
 		}
 		if (version <= this.holder.inForce().version() || this.fetching) {
@@ -124,7 +128,7 @@
 		this.peers.fetch(peer).whenComplete((bytes, ex) -> {
 			this.fetching = false;
 			if (ex != null || !applyFetched(bytes)) {
-				// The peer is gone or told nonsense: the store knows as well.
+				// The peer is unreachable or its body is invalid: read the store.
 				this.nextReadNanos = this.nanoTime.getAsLong();
 				tick();
 			}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentHolder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentHolder.java
@@ -10,8 +10,8 @@
 import org.brasspier.wire.document.StoredDocument;
 
 /**
- * The version of the document in force in this process. It only ever goes up, whoever
- * brings an older one late. Thread-safe.
+ * Holds the document version in force in this process. The version number only increases:
+ * older versions that arrive late are ignored. Thread-safe.
  */
 public final class DocumentHolder {
 
@@ -23,22 +23,21 @@
 
 	/**
 	 * Creates a holder that doesn't know yet which version is in force.
-	 * @param events the time line
+	 * @param events the event log
 	 */
 	public DocumentHolder(EventLog events) {
 		this.events = events;
 	}
 
 	/**
-	 * Brings a version into force in this process, unless it's not newer than the one
-	 * that is.
-	 * @param bytes the version as it's kept
-	 * @param stored the same version, decoded
-	 * @return whether it came into force
+	 * Puts a version into force in this process if it is newer than the present one.
+	 * @param bytes the encoded version
+	 * @param stored the decoded version
+	 * @return whether the version was put into force
 	 */
 	public synchronized boolean applyIfNewer(byte[] bytes, StoredDocument stored) {
 		if (stored.version() <= this.inForce.version()) {
-			// Late answers of a peer or the store: a configuration never reverts.
+			// A late answer of a peer or of the store must not revert the configuration.
 			return false;
 		}
 		this.storedVersion = Optional.of(new DocumentVersion(DocumentCodec.hash(bytes), bytes.clone(), stored));
@@ -48,7 +47,7 @@
 	}
 
 	/**
-	 * The store has answered that no version was ever in force.
+	 * Handles the store's answer that no version was ever in force.
 	 */
 	public synchronized void onStoreEmpty() {
 		if (!this.inForce.known()) {
@@ -57,35 +56,36 @@
 	}
 
 	/**
-	 * What is in force in this process.
-	 * @return the latest version
+	 * Returns the version in force in this process.
+	 * @return the version in force, or that none is known or exists
 	 */
 	public DocumentInForce inForce() {
 		return this.inForce;
 	}
 
 	/**
-	 * The services of the document in force.
-	 * @return the catalog
+	 * Returns the services of the document in force.
+	 * @return the catalog of services
 	 */
 	public ServiceCatalog catalog() {
 		return this.inForce.catalog();
 	}
 
 	/**
-	 * The version in force as it's kept.
-	 * @return empty if none is known
+	 * Returns the version in force with its encoded form.
+	 * @return the version, empty if none is known
 	 */
 	public Optional<DocumentVersion> storedVersion() {
 		return this.storedVersion;
 	}
 
 	/**
-	 * A version as it's kept. Immutable as long as nobody writes to the bytes.
+	 * A document version with its encoded form. Immutable as long as the array isn't
+	 * modified.
 	 *
-	 * @param hash the hash that names it
-	 * @param bytes the version as it's kept
-	 * @param stored the same, decoded
+	 * @param hash the hash of the encoded version, which is its name in the object store
+	 * @param bytes the encoded version
+	 * @param stored the decoded version
 	 */
 	public record DocumentVersion(String hash, byte[] bytes, StoredDocument stored) {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentService.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentService.java
@@ -11,8 +11,8 @@
 import org.brasspier.daemon.internal.platform.TableService;
 
 /**
- * All that a daemon does about the document: submitting, keeping up, reading history.
- * Belongs to the thread of operators.
+ * Submits configuration documents, follows the version in force and reads the history of
+ * versions. Confined to the operators' thread.
  */
 public final class DocumentService {
 
@@ -26,10 +26,10 @@
 	 * Creates the service.
 	 * @param table the platform's table
 	 * @param objects the platform's object store
-	 * @param holder what is in force in this process
-	 * @param peers the way to other daemons
-	 * @param events the time line
-	 * @param managing whether this daemon is a lease manager now
+	 * @param holder the holder of the version in force in this process
+	 * @param peers fetches documents from other daemons
+	 * @param events the event log
+	 * @param isLeaseManager tells whether this daemon currently is a lease manager
 	 */
 	public DocumentService(TableService table, ObjectStore objects, DocumentHolder holder, PeerDocuments peers,
 			EventLog events, BooleanSupplier isLeaseManager) {
@@ -39,17 +39,17 @@
 	}
 
 	/**
-	 * Brings a submission into force, or says why not.
+	 * Puts a submitted document into force, or reports why it is not accepted.
 	 * @param submission the submission
-	 * @return what became of it; never an exception
+	 * @return the outcome; the promise never completes with an exception
 	 */
 	public Promise<SubmitOutcome> submit(Submission submission) {
 		return this.submitter.submit(submission);
 	}
 
 	/**
-	 * Reads the latest versions.
-	 * @param count how many at most
+	 * Reads the latest versions from the store.
+	 * @param count the maximum number of versions
 	 * @return the versions, newest first, or a
 	 * {@link org.brasspier.daemon.internal.platform.StoreException}
 	 */
@@ -71,16 +71,16 @@
 	}
 
 	/**
-	 * Does what is due; called a few times a second.
+	 * Runs the periodic tasks that are due; called a few times a second.
 	 */
 	public void tick() {
 		this.follower.tick();
 	}
 
 	/**
-	 * A heartbeat told which version a peer has in force.
+	 * Handles a heartbeat that carries the version a peer has in force.
 	 * @param peer the peer
-	 * @param version the version
+	 * @param version the version in force on the peer
 	 */
 	public void onPeerVersion(InstanceId peer, long version) {
 		this.follower.onPeerVersion(peer, version);
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentStore.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentStore.java
@@ -14,8 +14,9 @@
 import org.brasspier.wire.document.StoredDocument;
 
 /**
- * The document in the platform's store: bodies that never change, named by their hash,
- * and one row that points to the one in force. Belongs to the thread of operators.
+ * Stores document versions in the platform's services: immutable bodies in the object
+ * store, named by their hash, and one table row that points to the body in force.
+ * Confined to the operators' thread.
  */
 final class DocumentStore {
 
@@ -27,7 +28,10 @@
 
 	private final ObjectStore objects;
 
-	/** Managers read the row each second, and it changes some times an hour. */
+	/**
+	 * Last row read, so that a read transfers the row only if it has changed: lease
+	 * managers read it every second, and it changes a few times an hour.
+	 */
 	private Optional<PointerRow> cachedRow = Optional.empty();
 
 	DocumentStore(TableService table, ObjectStore objects) {
@@ -36,7 +40,7 @@
 	}
 
 	/**
-	 * Reads the row.
+	 * Reads the pointer row.
 	 * @return the row, empty if there is none, or a {@link StoreException}
 	 */
 	Promise<Optional<PointerRow>> readPointer() {
@@ -59,10 +63,10 @@
 	}
 
 	/**
-	 * Replaces the row if it still has the expected version.
-	 * @param rowVersion the version the row must have; 0 if it must not exist
+	 * Replaces the pointer row if it still has the expected version.
+	 * @param rowVersion the version that the row must have; 0 if it must not exist
 	 * @param pointer the new contents
-	 * @return what became of it
+	 * @return the result of the write
 	 */
 	Promise<TableService.WriteResult> replacePointer(long rowVersion, DocumentPointer pointer) {
 		return this.table.write(POINTER_KEY, rowVersion, DocumentCodec.encodePointer(pointer));
@@ -74,14 +78,14 @@
 
 	/**
 	 * Fetches a body.
-	 * @param hash the hash that names it
+	 * @param hash the hash of the body, which is its name
 	 * @return the body, or a {@link StoreException}
 	 */
 	Promise<Body> readBody(String hash) {
 		return this.objects.get(BODY_PREFIX + hash).then((bytes) -> {
 			if (bytes.isEmpty() || !DocumentCodec.hash(bytes.get()).equals(hash)) {
 				return Promise.ofException(new StoreException(Failure.of(ErrorKind.STATE_UNREADABLE,
-						"the object store has no undamaged %s%s (TROUBLESHOOTING.md#stored-state)"
+						"the object store holds no intact copy of %s%s (TROUBLESHOOTING.md#stored-state)"
 							.formatted(BODY_PREFIX, hash))));
 			}
 			return toPromise(DocumentCodec.decode(bytes.get())).map((stored) -> new Body(bytes.get(), stored));
@@ -93,20 +97,20 @@
 	}
 
 	/**
-	 * The row as read.
+	 * The pointer row as read from the table.
 	 *
-	 * @param rowVersion the row's version in the table
-	 * @param pointer its contents
+	 * @param rowVersion the version of the row in the table
+	 * @param pointer the contents of the row
 	 */
 	record PointerRow(long rowVersion, DocumentPointer pointer) {
 
 	}
 
 	/**
-	 * A body as read.
+	 * A document body as read from the object store.
 	 *
-	 * @param bytes as it's kept
-	 * @param stored the same, decoded
+	 * @param bytes the encoded body
+	 * @param stored the decoded body
 	 */
 	record Body(byte[] bytes, StoredDocument stored) {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/PeerDocuments.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/PeerDocuments.java
@@ -4,14 +4,14 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * Fetches the document in force from other daemons. Belongs to the thread of operators.
+ * Fetches the document in force from other daemons. Confined to the operators' thread.
  */
 public interface PeerDocuments {
 
 	/**
-	 * Fetches what a peer has in force.
+	 * Fetches the document that a peer has in force.
 	 * @param peer the peer
-	 * @return the version as it's kept, or an exception
+	 * @return the encoded document version, or an exception
 	 */
 	Promise<byte[]> fetch(InstanceId peer);
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/Submission.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/Submission.java
@@ -3,11 +3,11 @@
 import org.brasspier.core.document.Document;
 
 /**
- * A document that an operator wants in force. Immutable and thread-safe.
+ * A document that an operator submits to put it into force. Immutable and thread-safe.
  *
- * @param id an id that no other submission has; a repeated one is the same submission
- * @param baseVersion the version that its draft began from; 0 for none
- * @param document the whole document
+ * @param id the unique id of the submission; a submission with a known id is a retry
+ * @param baseVersion the version that the draft is based on; 0 for none
+ * @param document the complete document
  */
 public record Submission(String id, long baseVersion, Document document) {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/SubmitOutcome.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/SubmitOutcome.java
@@ -7,39 +7,39 @@
 import org.brasspier.core.document.Fault;
 
 /**
- * What became of a submission. Immutable and thread-safe.
+ * Outcome of a submission. Immutable and thread-safe.
  */
 public sealed interface SubmitOutcome {
 
 	/**
-	 * It took effect.
+	 * The submission took effect.
 	 *
-	 * @param version the version it brought
-	 * @param hash the hash that names it
+	 * @param version the version that it created
+	 * @param hash the hash of that version's body
 	 */
 	record Accepted(long version, String hash) implements SubmitOutcome {
 
 	}
 
 	/**
-	 * Another version is in force than the one its draft began from. Nothing changed.
+	 * The version in force is not the base version of the draft. Nothing was changed.
 	 *
-	 * @param inForce the version in force, if one ever was
+	 * @param inForce the version in force, empty if there never was one
 	 */
 	record Conflict(Optional<DocumentHolder.DocumentVersion> inForce) implements SubmitOutcome {
 
 	}
 
 	/**
-	 * The document has faults. Nothing changed.
+	 * The document is invalid. Nothing was changed.
 	 *
-	 * @param faults all faults
+	 * @param faults all faults of the document
 	 */
 	record Invalid(List<Fault> faults) implements SubmitOutcome {
 
 		/**
 		 * Copies the list.
-		 * @param faults all faults
+		 * @param faults all faults of the document
 		 */
 		public Invalid {
 			faults = List.copyOf(faults);
@@ -48,10 +48,10 @@
 	}
 
 	/**
-	 * The store didn't do it, or nobody can say yet whether it did; the failure's kind
-	 * says which.
+	 * The store did not accept the submission, or it is not known whether it did; the
+	 * kind of the failure tells which.
 	 *
-	 * @param failure why
+	 * @param failure the cause
 	 */
 	record Failed(Failure failure) implements SubmitOutcome {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/Submitter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/Submitter.java
@@ -21,23 +21,27 @@
 import org.brasspier.wire.document.StoredDocument;
 
 /**
- * Brings a submission into force: the body is stored under its hash, then the row is
- * moved on the condition that it's still the one that was read. Belongs to the thread of
- * operators.
+ * Puts submissions into force: stores the body under its hash, then replaces the pointer
+ * row on condition that its version is still the one that was read. Confined to the
+ * operators' thread.
  * <p>
- * A write whose answer was lost may have taken effect, or may yet. Nobody is told
- * anything until it's settled: the row is read back, and as long as it's still the one
- * that the write was conditional on, the same write is sent again. Of all these writes
- * only one can take effect, and its submission's id is then in the row.
+ * A write whose answer was lost may have taken effect, or may still do so. The operator
+ * gets no outcome until that is resolved: the row is read back, and as long as it still
+ * has the version that the write was conditional on, the same write is sent again. At
+ * most one of these writes can take effect, and the row then holds the id of its
+ * submission.
  */
 final class Submitter {
 
-	/** Longer than any caller of the command line waits by default for an answer. */
+	/** Longer than the command line waits for an answer by default. */
 	private static final Duration RESOLVE_TIMEOUT = Duration.ofSeconds(20);
 
 	private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-	/** With the timeout of a call, a dead store is told of within ten seconds. */
+	/**
+	 * With the timeout of a single call, an unavailable store is reported within ten
+	 * seconds.
+	 */
 	private static final int MAX_PUT_ATTEMPTS = 3;
 
 	private final DocumentStore store;
@@ -56,9 +60,10 @@
 	}
 
 	/**
-	 * Submits.
+	 * Validates a submitted document and puts it into force unless another version than
+	 * its base version is in force.
 	 * @param submission the submission
-	 * @return what became of it; never an exception
+	 * @return the outcome; the promise never completes with an exception
 	 */
 	Promise<SubmitOutcome> submit(Submission submission) {
 		List<Fault> faults = DocumentValidator.validate(submission.document());
@@ -94,7 +99,7 @@
 					.toList());
 		SubmitAttempt attempt = new SubmitAttempt(submission, row.map(DocumentStore.PointerRow::rowVersion).orElse(0L),
 				pointer, bytes, stored, System.nanoTime() + RESOLVE_TIMEOUT.toNanos());
-		// The body first: a row must never point to what isn't there.
+		// The body is stored first: the row must never point to a missing object.
 		return putBody(bytes, MAX_PUT_ATTEMPTS).then(() -> replacePointer(attempt, false));
 	}
 
@@ -107,7 +112,7 @@
 	}
 
 	private Promise<Void> putBodyIfMissing(byte[] bytes, int attemptsLeft) {
-		// An object never changes: if it's there, only the answer of the put was lost.
+		// Objects are immutable: if the body is present, only the answer was lost.
 		return this.store.readBody(DocumentCodec.hash(bytes))
 			.toVoid()
 			.then(Promise::of, (ex) -> putBody(bytes, attemptsLeft));
@@ -132,7 +137,7 @@
 	private Promise<SubmitOutcome> resolveUnknownOutcome(SubmitAttempt attempt) {
 		if (System.nanoTime() - attempt.deadlineNanos() > 0) {
 			return Promise.of(new SubmitOutcome.Failed(Failure.of(ErrorKind.STORE_OUTCOME_UNKNOWN,
-					"the platform's store has not said whether submission %s took effect; submit the same draft again to learn it (see TROUBLESHOOTING.md#submission-unsettled)"
+					"the platform's store has not confirmed whether submission %s took effect; submit the same draft again to find out (see TROUBLESHOOTING.md#submission-unsettled)"
 						.formatted(attempt.submission().id()))));
 		}
 		return this.store.readPointer().then((row, ex) -> {
@@ -143,9 +148,9 @@
 				return Promise.of(recordAccepted(attempt));
 			}
 			long rowVersion = row.map(DocumentStore.PointerRow::rowVersion).orElse(0L);
-			// As long as the row is the one that the lost write was conditional on, that
-			// write may still arrive: it's not over until one of them is in, or another
-			// submission is.
+			// While the row has the version that the unconfirmed write was conditional
+			// on, that write may still arrive. The outcome is known once a write of this
+			// or of another submission has taken effect.
 			return (rowVersion == attempt.expectedRowVersion())
 					? Promises.delay(RETRY_DELAY).then(() -> replacePointer(attempt, true))
 					: readConflict(attempt.submission(), row);
@@ -174,25 +179,26 @@
 	private SubmitOutcome recordRefused(Submission submission, SubmitOutcome outcome) {
 		this.events.record(EventKind.DOCUMENT_REFUSED, submission.id(), switch (outcome) {
 			case SubmitOutcome.Invalid invalid -> invalid.faults().size() + " faults";
-			default -> "its draft began from version %d, which is not in force".formatted(submission.baseVersion());
+			default -> "the draft is based on version %d, which is not in force".formatted(submission.baseVersion());
 		});
 		return outcome;
 	}
 
 	private static Failure toFailure(Exception ex) {
 		return (ex instanceof StoreException storeException) ? storeException.failure()
-				: Failure.of(ErrorKind.INTERNAL_ERROR, "submitting failed: " + ex);
+				: Failure.of(ErrorKind.INTERNAL_ERROR, "submission failed: " + ex);
 	}
 
 	/**
-	 * One submission under way.
+	 * A submission whose pointer row is being written.
 	 *
 	 * @param submission the submission
 	 * @param expectedRowVersion the version that the row must have
-	 * @param pointer the row's new contents
-	 * @param bytes the body
-	 * @param stored the same, decoded
-	 * @param deadlineNanos when to give up settling
+	 * @param pointer the new contents of the row
+	 * @param bytes the encoded body
+	 * @param stored the decoded body
+	 * @param deadlineNanos when to stop resolving an unknown outcome, in terms of
+	 * {@link System#nanoTime()}
 	 */
 	private record SubmitAttempt(Submission submission, long expectedRowVersion, DocumentPointer pointer, byte[] bytes,
 			StoredDocument stored, long deadlineNanos) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/package-info.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The configuration document in this process: submitting it, and keeping up with the
- * version in force.
+ * Submission of the configuration document, and distribution of the version in force to
+ * this process.
  */
 @NullMarked
 package org.brasspier.daemon.internal.document;
--- a/daemon/src/test/java/org/brasspier/daemon/internal/document/DocumentFollowerTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/document/DocumentFollowerTests.java
@@ -18,7 +18,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Each process keeps up with the version in force and never goes back.
+ * Tests that each process follows the version in force and never reverts to an older one.
  */
 class DocumentFollowerTests {
 
@@ -68,8 +68,11 @@
 		assertThat(this.holder.inForce().version()).isEqualTo(1);
 	}
 
-	// A peer that was paused wakes and tells its old version; an answer of the store that
-	// was read earlier arrives late. The newer version must stay in force.
+	/**
+	 * Guards against a revert of the configuration: a peer that was paused resumes and
+	 * sends its old version, or an earlier answer of the store arrives late. The newer
+	 * version must stay in force.
+	 */
 	@Test
 	void anOlderVersionNeverReplacesANewerOneWhateverItsSource() {
 		applyVersion(this.holder, 5);
@@ -80,8 +83,11 @@
 		assertThat(this.holder.inForce().version()).isEqualTo(5);
 	}
 
-	// A daemon restarts while the store is down. It must not serve with usual limits what
-	// the document in force says otherwise about, and takes the version of its peers.
+	/**
+	 * Guards against serving with default limits that contradict the document in force: a
+	 * daemon restarts while the store is unavailable. It must wait for the version of its
+	 * peers.
+	 */
 	@Test
 	void aRestartDuringAnOutageServesNothingUntilAPeerReportsTheVersion() {
 		this.platform.down = true;
--- a/daemon/src/test/java/org/brasspier/daemon/internal/document/FakePlatform.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/document/FakePlatform.java
@@ -14,7 +14,7 @@
 import org.brasspier.daemon.internal.platform.TableService;
 
 /**
- * A table and object store in memory, with faults on request.
+ * In-memory table and object store that simulates faults.
  */
 public final class FakePlatform implements TableService, ObjectStore {
 
@@ -25,7 +25,7 @@
 
 	public final Map<String, byte[]> objects = new HashMap<>();
 
-	/** What happens to the next writes, in order; none means they succeed. */
+	/** The faults of the next writes, in order; writes succeed when it is empty. */
 	public final Deque<WriteFault> writeFaults = new ArrayDeque<>();
 
 	/** Run once, before the next write. */
@@ -111,20 +111,23 @@
 	}
 
 	/**
-	 * What happens to a write.
+	 * Fault of a write.
 	 */
 	public enum WriteFault {
 
-		/** Nothing. */
+		/** The write succeeds and is answered. */
 		NONE,
 
-		/** It takes effect, and its answer is lost. */
+		/** The write takes effect, but its answer is lost. */
 		ANSWER_LOST,
 
-		/** It never arrives, and nobody says so. */
+		/** The write is lost, and the outcome is reported as unknown. */
 		WRITE_LOST,
 
-		/** It arrives when the test says so, and nobody says so. */
+		/**
+		 * The write is delayed until the test delivers it, and the outcome is reported as
+		 * unknown.
+		 */
 		WRITE_LATE
 
 	}
--- a/daemon/src/test/java/org/brasspier/daemon/internal/document/SubmitterTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/document/SubmitterTests.java
@@ -15,7 +15,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * A submission wins or is told so, whatever becomes of its writes.
+ * Tests that a submission gets its true outcome when writes conflict, get lost or are
+ * delayed.
  */
 class SubmitterTests {
 
@@ -40,9 +41,11 @@
 		assertThat(readDocumentInForce().previousHash()).isNotEmpty();
 	}
 
-	// Two operators begin from the same version. Both press submit; the second one's
-	// write reaches the table between the first one's read and write. One of them must
-	// win, and the other must be shown what the winner changed.
+	/**
+	 * Guards against a lost update: two operators submit drafts of the same version, and
+	 * the second one's write reaches the table between the first one's read and write.
+	 * One must be accepted, and the other must get the version now in force.
+	 */
 	@Test
 	void ofTwoConcurrentSubmissionsOneIsAcceptedAndTheOtherGetsTheVersionInForce() {
 		submit("first", 0, "1");
@@ -55,8 +58,11 @@
 		assertThat(this.holder.inForce().version()).isEqualTo(2);
 	}
 
-	// The operator presses submit; the table takes the write, and its answer is lost on
-	// the way. Telling "refused" or "accepted" by guess would be wrong half of the time.
+	/**
+	 * Guards against a guessed outcome: the table applies the write, but its answer is
+	 * lost. Answering "refused" or "accepted" without reading back would be wrong half of
+	 * the time.
+	 */
 	@Test
 	void aWriteWhoseAnswerWasLostIsResolvedBeforeTheOperatorIsAnswered() {
 		this.platform.writeFaults.add(FakePlatform.WriteFault.ANSWER_LOST);
@@ -71,8 +77,11 @@
 		assertThat(submit("first", 0, "1")).isInstanceOf(SubmitOutcome.Accepted.class);
 	}
 
-	// The answer is lost, and before the row is read back another operator's submission
-	// has already followed on ours. Ours did take effect, though the row names theirs.
+	/**
+	 * Guards against a false conflict: the answer is lost, and before the row is read
+	 * back another operator's submission has replaced this one. This one took effect,
+	 * though the row points to the other.
+	 */
 	@Test
 	void aLostAnswerIsResolvedThoughAnotherSubmissionHasFollowed() {
 		submit("first", 0, "1");
@@ -82,8 +91,11 @@
 		assertThat(this.holder.inForce().version()).isEqualTo(3);
 	}
 
-	// A write hangs in the network; another operator's submission wins meanwhile. When
-	// the late write arrives at last, it must change nothing.
+	/**
+	 * Guards against a delayed write that reverts the configuration: a write is delayed
+	 * in the network while another operator's submission is accepted. When the delayed
+	 * write arrives, it must change nothing.
+	 */
 	@Test
 	void aDelayedWriteNeverReplacesTheAcceptedSubmission() {
 		submit("first", 0, "1");
