--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/CurrentSecrets.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/CurrentSecrets.java
@@ -6,8 +6,8 @@
 import org.brasspier.wire.SharedKeys;
 
 /**
- * The keys that daemons share and the platform's token, as they are now: both are read
- * anew from their files while the daemon runs. Thread-safe; never prints a secret.
+ * The current shared keys and platform tokens, which are reread from their files while
+ * the daemon runs. Thread-safe; {@link #toString()} contains no secret.
  */
 public final class CurrentSecrets {
 
@@ -16,8 +16,8 @@
 	private volatile List<String> platformTokens;
 
 	/**
-	 * Begins with what the settings say.
-	 * @param secrets the secrets read at the start
+	 * Starts with the secrets of the settings.
+	 * @param secrets the secrets read at startup
 	 */
 	public CurrentSecrets(Settings.Secrets secrets) {
 		this.sharedKeys = secrets.sharedKeys();
@@ -25,18 +25,18 @@
 	}
 
 	/**
-	 * The keys to open a connection with.
-	 * @return the keys
+	 * Returns the keys to open connections between daemons with.
+	 * @return the shared keys
 	 */
 	public SharedKeys sharedKeys() {
 		return this.sharedKeys;
 	}
 
 	/**
-	 * Replaces the shared keys. Connections that are open go on.
-	 * @param lines the keys as read anew
-	 * @return whether anything changed
-	 * @throws IllegalArgumentException if they aren't fit for use; the present ones stay
+	 * Replaces the shared keys. Open connections are kept.
+	 * @param lines the keys read from the file
+	 * @return whether the keys changed
+	 * @throws IllegalArgumentException if the keys are invalid; the present ones are kept
 	 */
 	public synchronized boolean replaceSharedKeys(List<String> lines) {
 		SharedKeys newKeys = new SharedKeys(lines);
@@ -46,8 +46,8 @@
 	}
 
 	/**
-	 * The token to call the platform with.
-	 * @return the token
+	 * Returns the token to call the platform with.
+	 * @return the bearer token
 	 */
 	public String platformToken() {
 		return this.platformTokens.getFirst();
@@ -55,8 +55,8 @@
 
 	/**
 	 * Replaces the platform's tokens.
-	 * @param lines the tokens as read anew, the one to begin with first
-	 * @return whether anything changed
+	 * @param lines the tokens read from the file; the first is tried first
+	 * @return whether the tokens changed
 	 */
 	public synchronized boolean replacePlatformTokens(List<String> lines) {
 		boolean changed = !List.copyOf(lines).equals(this.platformTokens);
@@ -65,9 +65,10 @@
 	}
 
 	/**
-	 * Goes on to the next token after the platform has refused one, so that nothing waits
-	 * for the moment in which the platform changes from the old token to the new one.
-	 * @param refused the token it refused
+	 * Moves a token that the platform has refused to the end of the list, so that the
+	 * next one is used. The daemon thus doesn't have to know when the platform switches
+	 * from the old token to the new one.
+	 * @param refused the refused token
 	 */
 	public synchronized void onPlatformTokenRefused(String refused) {
 		List<String> tokens = this.platformTokens;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/EnvironmentDefaults.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/EnvironmentDefaults.java
@@ -7,11 +7,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Gives a flag that isn't set the value of its environment variable:
- * {@code --max-body-bytes} is {@code BRASSPIER_MAX_BODY_BYTES}. Immutable and
+ * Supplies the value of the environment variable for a flag that isn't set:
+ * {@code BRASSPIER_MAX_BODY_BYTES} for {@code --max-body-bytes}. Immutable and
  * thread-safe.
  *
- * @param environment the environment's variables
+ * @param environment the environment variables
  */
 record EnvironmentDefaults(Map<String, String> environment) implements IDefaultProvider {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/Flags.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/Flags.java
@@ -4,13 +4,13 @@
 import org.brasspier.wire.Handshake;
 
 /**
- * The daemon's flags as JCommander fills them in. Each flag may come from the environment
- * as well, see {@link EnvironmentDefaults}; secrets come from the environment or from
- * files only, so that they don't show in a list of processes.
+ * The daemon's flags, filled in by JCommander. Each flag can also be set in the
+ * environment, see {@link EnvironmentDefaults}. Secrets are read only from the
+ * environment or from files, so that they don't appear in process listings.
  */
 final class Flags {
 
-	@Parameter(names = "--help", help = true, description = "show this help and end")
+	@Parameter(names = "--help", help = true, description = "show this help and exit")
 	boolean help;
 
 	@Parameter(names = "--instance", description = "identity of this instance")
@@ -31,18 +31,18 @@
 	@Parameter(names = "--control-listen", description = "IP:PORT for heartbeats and grants of other daemons")
 	String controlListen = "127.0.0.1:7002";
 
-	@Parameter(names = "--backend-listen", description = "IP:PORT for the backend server beside this daemon")
+	@Parameter(names = "--backend-listen", description = "IP:PORT for the backend server on this instance")
 	String backendListen = "127.0.0.1:7003";
 
 	@Parameter(names = "--operator-listen", description = "IP:PORT for operators")
 	String operatorListen = "127.0.0.1:7004";
 
 	@Parameter(names = "--advertise",
-			description = "IP under which other daemons and callers reach this one, if not that of the listeners")
+			description = "IP address at which other daemons and callers reach this one, if not that of --caller-listen")
 	String advertise = "";
 
 	@Parameter(names = "--peer-ports",
-			description = "INSTANCE=IP:CONTROL:FORWARD of peers reached another way than they advertise, by comma")
+			description = "INSTANCE=IP:CONTROL:FORWARD of peers not reached as they advertise, separated by commas")
 	String peerPorts = "";
 
 	@Parameter(names = "--table", description = "IP:PORT of the platform's table service")
@@ -52,26 +52,26 @@
 	String objectStore = "";
 
 	@Parameter(names = "--platform-token-file",
-			description = "file with the platform's bearer tokens, one a line; the next is tried where one is refused")
+			description = "file with the platform's bearer tokens, one per line; if one is refused, the next is tried")
 	String platformTokenFile = "";
 
-	@Parameter(names = "--shared-keys-file", description = "file with the keys that daemons share, one a line")
+	@Parameter(names = "--shared-keys-file", description = "file with the keys that daemons share, one per line")
 	String sharedKeysFile = "";
 
-	@Parameter(names = "--operator-secrets-file", description = "file with the operators' secrets, one a line")
+	@Parameter(names = "--operator-secrets-file", description = "file with the operators' secrets, one per line")
 	String operatorSecretsFile = "";
 
-	@Parameter(names = "--max-body-bytes", description = "largest body of a request or answer, in bytes")
+	@Parameter(names = "--max-body-bytes", description = "maximum size of the body of a request or answer, in bytes")
 	int maxBodyBytes = 1 << 20;
 
 	@Parameter(names = "--log-format", description = "text or json")
 	String logFormat = "text";
 
-	@Parameter(names = "--max-leave-millis", description = "how long a planned stop may take, in milliseconds")
+	@Parameter(names = "--max-leave-millis", description = "maximum duration of a planned shutdown, in milliseconds")
 	int maxLeaveMillis = 5_000;
 
 	@Parameter(names = "--max-peer-version",
-			description = "highest version of the protocol between daemons to speak, to hold back what is new in it")
+			description = "highest version of the protocol between daemons to use; features of newer versions stay off")
 	int maxPeerVersion = Handshake.MAX_VERSION;
 
 }
--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/SecretLines.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/SecretLines.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Secrets as they stand in a file or a variable: one a line, blank ones don't count.
- * Stateless and thread-safe.
+ * Parses secrets from the lines of a file or the parts of an environment variable,
+ * ignoring blank ones. Stateless and thread-safe.
  */
 public final class SecretLines {
 
@@ -18,11 +18,11 @@
 	}
 
 	/**
-	 * Reads a file.
+	 * Reads the secrets in a file, one per line.
 	 * @param file the file
-	 * @return its secrets, at least one
-	 * @throws IOException if it can't be read
-	 * @throws IllegalArgumentException if it holds none
+	 * @return the secrets, at least one
+	 * @throws IOException if the file can't be read
+	 * @throws IllegalArgumentException if the file contains no secret
 	 */
 	public static List<String> read(Path file) throws IOException {
 		return parse(Files.readAllLines(file).toArray(String[]::new));
@@ -31,21 +31,21 @@
 	static List<String> parse(String... lines) {
 		List<String> secrets = Arrays.stream(lines).map(String::strip).filter((line) -> !line.isEmpty()).toList();
 		if (secrets.isEmpty()) {
-			throw new IllegalArgumentException("none is given");
+			throw new IllegalArgumentException("no secret is given");
 		}
 		return secrets;
 	}
 
 	/**
-	 * Checks operators' secrets.
+	 * Validates the operators' secrets.
 	 * @param secrets the secrets
-	 * @return the same
-	 * @throws IllegalArgumentException if one is too short
+	 * @return the secrets passed in
+	 * @throws IllegalArgumentException if a secret is too short
 	 */
 	public static List<String> validateOperatorSecrets(List<String> secrets) {
 		if (secrets.stream().anyMatch((secret) -> secret.length() < MIN_OPERATOR_SECRET_LENGTH)) {
 			throw new IllegalArgumentException(
-					"each must have %d characters or more".formatted(MIN_OPERATOR_SECRET_LENGTH));
+					"each secret must have at least %d characters".formatted(MIN_OPERATOR_SECRET_LENGTH));
 		}
 		return secrets;
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/Settings.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/Settings.java
@@ -11,18 +11,18 @@
 import org.brasspier.wire.SharedKeys;
 
 /**
- * The daemon's settings, checked as a whole by {@link SettingsReader}. Immutable and
- * thread-safe; its text shows no secret.
+ * The daemon's settings, validated by {@link SettingsReader}. Immutable and thread-safe;
+ * {@link #toString()} contains no secret.
  *
- * @param instance this instance
- * @param failureDomain the failure domain it is in
- * @param cell the cell it belongs to
- * @param listen where it listens
- * @param advertisedHost the IP number under which others reach it
- * @param peerPorts peers that are reached another way than they advertise
- * @param platform where the platform's services are
+ * @param instance the identity of this instance
+ * @param failureDomain the failure domain of this instance
+ * @param cell the cell of this instance
+ * @param listen the addresses that the daemon listens on
+ * @param advertisedHost the IP address at which others reach this daemon
+ * @param peerPorts the addresses of peers that aren't reached as they advertise
+ * @param platform the addresses of the platform's services
  * @param secrets the secrets
- * @param limits bounds on sizes and times
+ * @param limits limits on sizes and times
  */
 public record Settings(InstanceId instance, FailureDomain failureDomain, String cell, Listen listen,
 		String advertisedHost, Map<InstanceId, PeerPorts> peerPorts, Platform platform, Secrets secrets,
@@ -36,13 +36,13 @@
 	}
 
 	/**
-	 * Where the daemon listens.
+	 * The addresses that the daemon listens on.
 	 *
-	 * @param callers the port for callers
-	 * @param forwards the port for requests forwarded by other daemons
-	 * @param control the port for heartbeats and grants
-	 * @param backend the port for the backend server beside this daemon
-	 * @param operators the port for operators
+	 * @param callers the address for callers
+	 * @param forwards the address for requests forwarded by other daemons
+	 * @param control the address for heartbeats and grants
+	 * @param backend the address for the backend server on this instance
+	 * @param operators the address for operators
 	 */
 	public record Listen(InetSocketAddress callers, InetSocketAddress forwards, InetSocketAddress control,
 			InetSocketAddress backend, InetSocketAddress operators) {
@@ -50,33 +50,34 @@
 	}
 
 	/**
-	 * Another way to a peer than the one it advertises, as where networks are translated.
+	 * The address of a peer that isn't reached as it advertises, for example because of
+	 * network address translation.
 	 *
-	 * @param host the IP number
-	 * @param control its control port
-	 * @param forward its port for forwarded requests
+	 * @param host the IP address of the peer
+	 * @param control the peer's control port
+	 * @param forward the peer's port for forwarded requests
 	 */
 	public record PeerPorts(String host, int control, int forward) {
 
 	}
 
 	/**
-	 * Where the platform's services are.
+	 * The addresses of the platform's services.
 	 *
-	 * @param table the table service's IP:PORT
-	 * @param objectStore the object store's IP:PORT
+	 * @param table IP:PORT of the table service
+	 * @param objectStore IP:PORT of the object store
 	 */
 	public record Platform(String table, String objectStore) {
 
 	}
 
 	/**
-	 * The secrets. Its text shows none of them.
+	 * The secrets; {@link #toString()} contains none of them.
 	 *
 	 * @param sharedKeys the keys that daemons share
-	 * @param operatorSecrets the operators' secrets, each of them accepted
-	 * @param platformTokens the platform's bearer tokens, the one to begin with first
-	 * @param files the files they came from
+	 * @param operatorSecrets the operators' secrets, all of which are accepted
+	 * @param platformTokens the platform's bearer tokens; the first is tried first
+	 * @param files the files that the secrets were read from
 	 */
 	public record Secrets(SharedKeys sharedKeys, List<String> operatorSecrets, List<String> platformTokens,
 			SecretFiles files) {
@@ -90,9 +91,9 @@
 		}
 
 		/**
-		 * Secrets that came from the environment.
+		 * Creates secrets that were read from the environment.
 		 * @param sharedKeys the keys that daemons share
-		 * @param operatorSecrets the operators' secrets, each of them accepted
+		 * @param operatorSecrets the operators' secrets, all of which are accepted
 		 * @param platformToken the platform's bearer token
 		 */
 		public Secrets(SharedKeys sharedKeys, List<String> operatorSecrets, String platformToken) {
@@ -107,8 +108,8 @@
 	}
 
 	/**
-	 * The files that secrets came from, which are read anew while the daemon runs; empty
-	 * where they came from the environment.
+	 * The files that secrets were read from, which are reread while the daemon runs;
+	 * empty for secrets from the environment.
 	 *
 	 * @param sharedKeys the file of the keys that daemons share
 	 * @param operatorSecrets the file of the operators' secrets
@@ -117,17 +118,17 @@
 	public record SecretFiles(Optional<Path> sharedKeys, Optional<Path> operatorSecrets,
 			Optional<Path> platformTokens) {
 
-		/** All secrets came from the environment. */
+		/** All secrets were read from the environment. */
 		public static final SecretFiles NONE = new SecretFiles(Optional.empty(), Optional.empty(), Optional.empty());
 
 	}
 
 	/**
-	 * Bounds on sizes and times.
+	 * Limits on sizes and times.
 	 *
-	 * @param maxBodyBytes the largest body of a request or answer, in bytes
-	 * @param maxLeaveMillis how long a planned stop may take, in milliseconds
-	 * @param maxPeerVersion the highest version of the peer protocol to speak
+	 * @param maxBodyBytes the maximum size of the body of a request or answer, in bytes
+	 * @param maxLeaveMillis the maximum duration of a planned shutdown, in milliseconds
+	 * @param maxPeerVersion the highest version of the peer protocol to use
 	 */
 	public record Limits(int maxBodyBytes, int maxLeaveMillis, int maxPeerVersion) {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/SettingsReader.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/SettingsReader.java
@@ -24,9 +24,9 @@
 import org.brasspier.wire.SharedKeys;
 
 /**
- * Reads the settings from flags, environment variables and files of secrets, and checks
- * them as a whole: one message names every wrong one. Serves one reading; not
- * thread-safe.
+ * Reads the settings from flags, environment variables and files of secrets, and
+ * validates all of them: a single message names every invalid setting. An instance reads
+ * once; not thread-safe.
  */
 public final class SettingsReader {
 
@@ -40,16 +40,16 @@
 
 	/**
 	 * Creates a reader.
-	 * @param environment the environment's variables
+	 * @param environment the environment variables
 	 */
 	public SettingsReader(Map<String, String> environment) {
 		this.environment = Map.copyOf(environment);
 	}
 
 	/**
-	 * Reads and checks.
-	 * @param arguments the command line
-	 * @return the settings, or a failure that names every fault
+	 * Reads and validates the settings.
+	 * @param arguments the command line arguments
+	 * @return the settings, or a failure that names every invalid setting
 	 */
 	public Either<Failure, Settings> read(String[] arguments) {
 		try {
@@ -64,15 +64,15 @@
 	}
 
 	/**
-	 * Whether the command line only asks for help.
-	 * @return true after reading {@code --help}
+	 * Returns whether the command line only asks for help.
+	 * @return true after {@code --help} was read
 	 */
 	public boolean isHelpRequested() {
 		return this.flags.help;
 	}
 
 	/**
-	 * The format of the log that was read.
+	 * Returns the log format that was read.
 	 * @return {@code text} or {@code json}
 	 */
 	public String logFormat() {
@@ -80,16 +80,16 @@
 	}
 
 	/**
-	 * The help text.
-	 * @return all flags with their meaning
+	 * Returns the help text.
+	 * @return all flags with their descriptions
 	 */
 	public String usage() {
 		StringBuilder text = new StringBuilder();
 		commandLineParser().getUsageFormatter().usage(text);
-		return text.append("Each flag may be set in the environment: --max-body-bytes is BRASSPIER_MAX_BODY_BYTES.\n")
-			.append("Secrets come from BRASSPIER_SHARED_KEYS, BRASSPIER_OPERATOR_SECRETS (by comma) and\n")
-			.append("BRASSPIER_PLATFORM_TOKEN, or from the files named above, one a line. The files are\n")
-			.append("read anew each second, so secrets are rotated without a stop.\n")
+		return text.append("Each flag can be set in the environment: --max-body-bytes is BRASSPIER_MAX_BODY_BYTES.\n")
+			.append("Secrets come from BRASSPIER_SHARED_KEYS, BRASSPIER_OPERATOR_SECRETS (both separated\n")
+			.append("by commas) and BRASSPIER_PLATFORM_TOKEN, or from the files named above, one per line.\n")
+			.append("The files are reread every second, so secrets can be rotated without a restart.\n")
 			.toString();
 	}
 
@@ -186,8 +186,8 @@
 
 	private Settings.Limits readLimits() {
 		if (this.flags.maxBodyBytes < 1 || this.flags.maxLeaveMillis < 1) {
-			throw new IllegalArgumentException(
-					"%d and %d must be at least 1".formatted(this.flags.maxBodyBytes, this.flags.maxLeaveMillis));
+			throw new IllegalArgumentException("--max-body-bytes %d and --max-leave-millis %d must be at least 1"
+				.formatted(this.flags.maxBodyBytes, this.flags.maxLeaveMillis));
 		}
 		if (this.flags.maxPeerVersion < Handshake.MIN_VERSION || this.flags.maxPeerVersion > Handshake.MAX_VERSION) {
 			throw new IllegalArgumentException("peer version %d must be %d to %d".formatted(this.flags.maxPeerVersion,
@@ -212,7 +212,7 @@
 
 	private static PeerPorts parsePeerPorts(String[] parts) {
 		if (parts.length != 4 || !InetAddresses.isInetAddress(parts[1])) {
-			throw new IllegalArgumentException("an entry must read INSTANCE=IP:CONTROL:FORWARD");
+			throw new IllegalArgumentException("an entry must have the form INSTANCE=IP:CONTROL:FORWARD");
 		}
 		return new PeerPorts(parts[1], parsePort(parts[2]), parsePort(parts[3]));
 	}
@@ -220,7 +220,7 @@
 	private static InetSocketAddress parseAddress(String text) {
 		int colon = text.lastIndexOf(':');
 		if (colon < 0 || !InetAddresses.isInetAddress(text.substring(0, colon))) {
-			throw new IllegalArgumentException("\"%s\" must read IP:PORT".formatted(text));
+			throw new IllegalArgumentException("\"%s\" must have the form IP:PORT".formatted(text));
 		}
 		return new InetSocketAddress(text.substring(0, colon), parsePort(text.substring(colon + 1)));
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/package-info.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Settings from flags and environment variables, checked whole.
+ * Settings of the daemon, read from flags, environment variables and files, and validated
+ * together.
  */
 @NullMarked
 package org.brasspier.daemon.internal.settings;
