--- a/daemon/src/main/java/org/brasspier/daemon/internal/event/Event.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/event/Event.java
@@ -4,14 +4,15 @@
 import org.brasspier.core.event.HybridTime;
 
 /**
- * One entry of the time line. Immutable and thread-safe.
+ * One entry of the event log. Immutable and thread-safe.
  *
- * @param number the number of the entry in this process, growing; what was lost leaves no
- * gap but an entry of its own
- * @param stamp when, in an order over all processes that respects cause and effect
- * @param kind what happened
- * @param subject the key, range, request, instance or service it happened to
- * @param detail the rest, for a person
+ * @param number the number of the entry in this process, increasing; lost events leave no
+ * gap in the numbers but are reported by an entry of their own
+ * @param stamp the hybrid timestamp, which orders events of all processes consistently
+ * with cause and effect
+ * @param kind the kind of the event
+ * @param subject the key, range, request, instance or service that the event is about
+ * @param detail further information for operators
  */
 public record Event(long number, HybridTime stamp, EventKind kind, EventSubject subject, String detail) {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/event/EventBuffer.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/event/EventBuffer.java
@@ -5,7 +5,7 @@
 import java.util.stream.Stream;
 
 /**
- * The latest events up to a bound. Not thread-safe.
+ * Bounded buffer of the latest events; when full, it evicts the oldest. Not thread-safe.
  */
 final class EventBuffer {
 
@@ -34,8 +34,8 @@
 	}
 
 	/**
-	 * The number of the last event that had to give way.
-	 * @return 0 if none had to
+	 * Returns the number of the last evicted event.
+	 * @return the number, 0 if no event was evicted
 	 */
 	long lastEvictedNumber() {
 		return this.lastEvictedNumber;
--- a/daemon/src/main/java/org/brasspier/daemon/internal/event/EventLog.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/event/EventLog.java
@@ -16,16 +16,19 @@
 import org.slf4j.event.Level;
 
 /**
- * Keeps the latest events of this process and writes each to the log with its number.
- * Once started, whoever records an event only passes it to the thread {@code events};
- * where that can't keep up, events are lost rather than requests delayed, and the loss is
- * itself an event. Thread-safe.
+ * Keeps the latest events of this process in memory and writes each to the log with its
+ * number. Once started, recording threads only pass events to the thread {@code events}
+ * through a ring buffer. If that thread can't keep up, events are dropped rather than
+ * requests delayed, and the loss is itself recorded as an event. Thread-safe.
  */
 public final class EventLog {
 
 	private static final Logger logger = LoggerFactory.getLogger("brasspier.events");
 
-	/** Two seconds of three events a request at some 1,300 requests a second. */
+	/**
+	 * Holds two seconds of events, at three events per request and about 1,300
+	 * requests/s.
+	 */
 	private static final int RING_CAPACITY = 8192;
 
 	private static final int FIRST_REQUEST_EVENT_NUMBER = 300;
@@ -39,8 +42,9 @@
 	private final AtomicLong totalLostEvents = new AtomicLong();
 
 	/**
-	 * Requests have a keep of their own: at a thousand a second they would else push out
-	 * within seconds what operators look for after a loss.
+	 * Events of requests have a buffer of their own: at a thousand requests a second they
+	 * would otherwise evict within seconds the events that operators look for after the
+	 * loss of an instance.
 	 */
 	private final EventBuffer requestEvents;
 
@@ -55,8 +59,9 @@
 	private long nextNumber = 1;
 
 	/**
-	 * Creates an empty log. Until it's started events are kept by whoever records them.
-	 * @param capacity how many events of requests are kept, and how many others
+	 * Creates an empty log. Until it's started, the recording thread itself stores
+	 * events.
+	 * @param capacity the maximum number of events of requests, and of other events, kept
 	 */
 	public EventLog(int capacity) {
 		this.requestEvents = new EventBuffer(capacity);
@@ -64,7 +69,7 @@
 	}
 
 	/**
-	 * Starts the thread that keeps and writes events.
+	 * Starts the thread that stores events and writes them to the log.
 	 */
 	public void start() {
 		this.duty.start();
@@ -72,7 +77,7 @@
 	}
 
 	/**
-	 * Ends the thread after the events at hand.
+	 * Stops the thread after it has processed the events already passed to it.
 	 * @throws InterruptedException if the calling thread is interrupted
 	 */
 	public void stop() throws InterruptedException {
@@ -81,11 +86,11 @@
 	}
 
 	/**
-	 * Adds an event.
-	 * @param kind what happened
-	 * @param subject what it happened to: best a request, its id, a range or an instance,
-	 * so that the time line can be read by it
-	 * @param detail the rest, for a person, without secrets
+	 * Records an event.
+	 * @param kind the kind of the event
+	 * @param subject the subject of the event: preferably a request, its id, a range or
+	 * an instance, so that events can be filtered by it
+	 * @param detail further information for operators, without secrets
 	 */
 	public void record(EventKind kind, Object subject, String detail) {
 		Event event = new Event(0, stamp(), kind, EventSubject.of(subject), detail);
@@ -99,17 +104,17 @@
 	}
 
 	/**
-	 * The stamp that a message to another process carries.
-	 * @return a stamp later than each event recorded before
+	 * Returns a timestamp for a message to another process.
+	 * @return a timestamp later than that of each event recorded before
 	 */
 	public HybridTime stamp() {
 		return this.clock.tick(System.currentTimeMillis());
 	}
 
 	/**
-	 * Takes over the stamp that a message of another process carried, so that what
-	 * happens here from now on is stamped later.
-	 * @param received the sender's stamp
+	 * Advances the clock past the timestamp of a message from another process, so that
+	 * events recorded from now on have a later timestamp.
+	 * @param received the timestamp of the sender
 	 */
 	public void receive(HybridTime received) {
 		this.clock.receive(System.currentTimeMillis(), received);
@@ -119,7 +124,7 @@
 		long lostEvents = this.unreportedLostEvents.getAndSet(0);
 		if (lostEvents > 0) {
 			numberAndStore(new Event(0, stamp(), EventKind.EVENTS_LOST, EventSubject.of("events"),
-					lostEvents + " events were lost here"));
+					lostEvents + " events were lost: the event queue was full"));
 		}
 		numberAndStore(event);
 	}
@@ -135,9 +140,9 @@
 	}
 
 	/**
-	 * The kept events.
-	 * @param afterNumber only events with a higher number
-	 * @return the events, oldest first
+	 * Returns the events that are still kept.
+	 * @param afterNumber the number after which events are returned
+	 * @return the events with a higher number, oldest first
 	 */
 	public synchronized List<Event> after(long afterNumber) {
 		return Stream.concat(this.requestEvents.stream(), this.otherEvents.stream())
@@ -147,8 +152,9 @@
 	}
 
 	/**
-	 * The number before which events of requests, or all others, are no longer kept.
-	 * @return empty as long as nothing was pushed out
+	 * Returns the number up to which events of requests, or other events, may be missing
+	 * because they were evicted.
+	 * @return the number of the last evicted event, empty if none was evicted
 	 */
 	public synchronized Optional<Long> evictedUntil() {
 		long lastEvicted = Math.max(this.requestEvents.lastEvictedNumber(), this.otherEvents.lastEvictedNumber());
@@ -156,8 +162,8 @@
 	}
 
 	/**
-	 * How many events were lost since the start because the ring was full.
-	 * @return the count
+	 * Returns how many events were lost since the start because the ring buffer was full.
+	 * @return the number of lost events
 	 */
 	public long totalLostEvents() {
 		return this.totalLostEvents.get();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/event/EventSubject.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/event/EventSubject.java
@@ -8,21 +8,21 @@
 import org.brasspier.core.request.CallerRequest;
 
 /**
- * What an event happened to, so that the time line can be read by it. Immutable and
- * thread-safe.
+ * Subject of an event, by which events can be filtered. Immutable and thread-safe.
  *
  * @param text the subject as text
- * @param request the request, if it's one
- * @param key the request's key, if it has one
- * @param range the range, if it's one
- * @param instance the instance, if it's one
+ * @param request the request id, if the subject is a request
+ * @param key the key of the request, if it has one
+ * @param range the range, if the subject is a range
+ * @param instance the instance, if the subject is an instance
  */
 public record EventSubject(String text, Optional<String> request, Optional<String> key, Optional<KeyRange> range,
 		Optional<String> instance) {
 
 	/**
-	 * Names a subject by what it is.
-	 * @param subject a request, its id, a range, an instance, or anything with a text
+	 * Creates the subject that corresponds to the type of an object.
+	 * @param subject a request, its id, a range, an instance, or any other object, whose
+	 * {@link Object#toString()} is used
 	 * @return the subject
 	 */
 	static EventSubject of(Object subject) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/event/package-info.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/event/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The time line of this process.
+ * The event log of this process, from which operators read what happened and in which
+ * order.
  */
 @NullMarked
 package org.brasspier.daemon.internal.event;
--- a/daemon/src/test/java/org/brasspier/daemon/internal/event/EventLogFormatTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/event/EventLogFormatTests.java
@@ -17,7 +17,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Each line of the log carries its event's number.
+ * Tests that each log line carries the number of its event.
  */
 class EventLogFormatTests {
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/event/EventLogTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/event/EventLogTests.java
@@ -12,7 +12,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * The time line of one process.
+ * Tests the event log of one process.
  */
 class EventLogTests {
 
@@ -28,15 +28,17 @@
 		assertThat(log.evictedUntil()).hasValue(97);
 	}
 
-	// An operator follows the time line during a flood. The thread that keeps events
-	// can't keep up, so its ring overflows. The operator must see that something is
-	// missing, and how much.
+	/**
+	 * Guards against a silent loss of events: during a flood of requests the thread that
+	 * stores events can't keep up, so its ring buffer overflows. The operator must see
+	 * that events are missing, and how many.
+	 */
 	@Test
 	void eventsLostToAFullRingAreCountedAndReportedAsAnEvent() throws InterruptedException {
 		EventLog log = new EventLog(4);
 		log.start();
 		CountDownLatch released = new CountDownLatch(1);
-		// The log's own lock keeps its thread from keeping events meanwhile.
+		// Holding the lock of the log prevents its thread from storing events.
 		synchronized (log) {
 			for (int i = 0; i < 20_000; i++) {
 				log.record(EventKind.REQUEST_ANSWERED, "r" + i, "");
