--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureRecorder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureRecorder.java
@@ -22,12 +22,13 @@
 import org.brasspier.daemon.internal.platform.TableService.WriteResult;
 
 /**
- * Keeps the measures of the cell in the platform's table: the primary lease manager
- * collects what each daemon counted and adds it to the row of the day, one write each
- * five minutes, which at 175 cells makes 0.6 writes a second of several hundred. Each
- * daemon counts moves as it sees them, so whoever becomes primary goes on from there. A
- * loss of all daemons at once loses the last five minutes; the loss of one loses what it
- * alone had counted since. Belongs to the thread of operators.
+ * Stores the measures of the cell in the platform's table: the primary lease manager
+ * collects the counts of all daemons and adds them to the row of the day. One write per
+ * cell every five minutes makes 0.6 writes a second for 175 cells, of the several hundred
+ * that the table allows. Each daemon counts moves as it sees them, so a new primary
+ * continues from its own counts. If all daemons are lost at once, the last five minutes
+ * are lost; if one daemon is lost, the counts that only it had since the last write are
+ * lost. Confined to the operators' thread.
  */
 public final class MeasureRecorder {
 
@@ -53,16 +54,16 @@
 
 	private boolean writing;
 
-	/** The moves of a write whose answer was lost, by the id of the write. */
+	/** The id and the moves of the last write whose success was not confirmed. */
 	private UnconfirmedWrite unconfirmedWrite = new UnconfirmedWrite("", Map.of());
 
 	/**
-	 * Creates a keeper.
+	 * Creates a recorder.
 	 * @param table the platform's table
 	 * @param cell the cell
-	 * @param memberReports collects what daemons counted
-	 * @param events the time line
-	 * @param wallMillis the wall clock, in milliseconds since 1970
+	 * @param memberReports collects the counts of daemons
+	 * @param events the event log
+	 * @param wallMillis the wall clock, in milliseconds since the epoch
 	 */
 	public MeasureRecorder(TableService table, String cell, MemberReports memberReports, EventLog events,
 			LongSupplier wallMillis) {
@@ -74,8 +75,8 @@
 	}
 
 	/**
-	 * Counts moves, and keeps the measures if it's time to.
-	 * @param view what is known of the cell
+	 * Counts moves, and stores the measures if the next write is due.
+	 * @param view the current view of the cell
 	 * @param primary whether this daemon is the primary lease manager
 	 */
 	public void tick(CellView view, boolean primary) {
@@ -107,7 +108,7 @@
 	}
 
 	private Promise<Void> writeMeasures(long today) {
-		// The rest of yesterday first, so that no minute is left out at midnight.
+		// Yesterday's remaining minutes first, so that none is lost at midnight.
 		return writeDay(today - 1, false).then(() -> writeDay(today, true));
 	}
 
@@ -159,7 +160,8 @@
 			this.events.record(EventKind.MEASURES_KEPT, "measures", "");
 			return Promise.complete();
 		}
-		// Not known, or not done: the next run reads the row and finds out by the id.
+		// The write failed or its outcome is unknown: the next run reads the row and
+		// compares the id of the write.
 		if (!write.moves().isEmpty()) {
 			this.unconfirmedWrite = write;
 		}
@@ -182,9 +184,9 @@
 	}
 
 	/**
-	 * Reads what is kept of some time, in whole hours.
-	 * @param fromMillis the beginning, in milliseconds since 1970
-	 * @param toMillis the end, in milliseconds since 1970
+	 * Reads the stored measures of a period, in whole hours.
+	 * @param fromMillis the start of the period, in milliseconds since the epoch
+	 * @param toMillis the end of the period, in milliseconds since the epoch
 	 * @return the sums, or a
 	 * {@link org.brasspier.daemon.internal.platform.StoreException}
 	 */
@@ -215,17 +217,18 @@
 	}
 
 	/**
-	 * What is kept of some time. Immutable and thread-safe.
+	 * The stored measures of a period. Immutable and thread-safe.
 	 *
-	 * @param untilMillis until when measures are kept, in milliseconds since 1970
-	 * @param services the sums of each service
+	 * @param untilMillis the time until which measures are stored, in milliseconds since
+	 * the epoch
+	 * @param services the sums by service
 	 */
 	public record StoredMeasures(long untilMillis, Map<String, MeasureSums> services) {
 
 		/**
 		 * Copies the map.
-		 * @param untilMillis until when measures are kept
-		 * @param services the sums of each service
+		 * @param untilMillis the time until which measures are stored
+		 * @param services the sums by service
 		 */
 		public StoredMeasures {
 			services = Map.copyOf(services);
@@ -234,10 +237,10 @@
 	}
 
 	/**
-	 * A write of which nobody knows yet whether it took effect.
+	 * A write that may or may not have taken effect.
 	 *
-	 * @param writeId its id
-	 * @param unwrittenMoves the moves in it
+	 * @param writeId the id of the write
+	 * @param moves the moves that the write adds, by service
 	 */
 	private record UnconfirmedWrite(String writeId, Map<String, Long> moves) {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureStore.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureStore.java
@@ -7,7 +7,8 @@
 import org.brasspier.daemon.internal.platform.TableService;
 
 /**
- * The rows {@code measures/DAY/CELL}. Belongs to the thread of operators.
+ * Reads and writes the rows {@code measures/DAY/CELL} of the table. Confined to the
+ * operators' thread.
  */
 final class MeasureStore {
 
@@ -21,9 +22,9 @@
 	}
 
 	/**
-	 * Reads a day.
-	 * @param day the day, counted since 1970
-	 * @return the day with its row's version, 0 if there is no row; or a
+	 * Reads the measures of a day.
+	 * @param day the day, counted since the epoch
+	 * @return the day with the version of its row, 0 if there is no row; or a
 	 * {@link StoreException}
 	 */
 	Promise<DayRow> read(long day) {
@@ -46,10 +47,10 @@
 	}
 
 	/**
-	 * A day as read.
+	 * A day as read from the table.
 	 *
-	 * @param version the row's version; 0 if there is none
-	 * @param day what is kept of the day
+	 * @param version the version of the row; 0 if there is none
+	 * @param day the measures of the day
 	 */
 	record DayRow(long version, MeasuredDay day) {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasuredDay.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasuredDay.java
@@ -14,10 +14,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What is kept of one day of one cell, hour by hour. Immutable and thread-safe.
+ * Measures of one cell on one day, by hour, as stored. Immutable and thread-safe.
  *
- * @param collectedUntil the last minute whose reports are in, counted since 1970
- * @param write the id of the write that made it, so that a lost answer can be settled
+ * @param collectedUntil the last minute whose reports are included, counted since the
+ * epoch
+ * @param write the id of the write that stored this value, so that a write whose answer
+ * was lost can be recognized
  * @param hours the measures by hour of the day and service
  */
 record MeasuredDay(long collectedUntil, String write, Map<Integer, Map<String, MeasureSums>> hours) {
@@ -25,21 +27,21 @@
 	private static final Gson GSON = new Gson();
 
 	/**
-	 * Begins a day.
-	 * @param day the day, counted since 1970
-	 * @return a day of which nothing is kept
+	 * Creates a day without measures.
+	 * @param day the day, counted since the epoch
+	 * @return the day
 	 */
 	static MeasuredDay emptyDay(long day) {
 		return new MeasuredDay(day * 24 * 60 - 1, "", Map.of());
 	}
 
 	/**
-	 * This day with more measures.
-	 * @param untilMinute the last minute whose reports are in now
-	 * @param writeId the id of the write
-	 * @param hour the hour that they belong to
-	 * @param added the measures of each service
-	 * @return the day
+	 * Returns this day with measures added.
+	 * @param untilMinute the last minute whose reports are now included
+	 * @param writeId the id of the write that will store the day
+	 * @param hour the hour of the added measures
+	 * @param added the measures to add, by service
+	 * @return the day with the sums
 	 */
 	MeasuredDay plus(long untilMinute, String writeId, int hour, Map<String, MeasureSums> added) {
 		Map<Integer, Map<String, MeasureSums>> newHours = new TreeMap<>(this.hours);
@@ -57,7 +59,7 @@
 		return StoredState.unwrap(bytes).flatMap((contents) -> {
 			try {
 				@Nullable MeasuredDay day = GSON.fromJson(new String(contents, StandardCharsets.UTF_8), MeasuredDay.class);
-				return (day != null && day.hours() != null) ? Either.right(day) : unreadable("it is empty");
+				return (day != null && day.hours() != null) ? Either.right(day) : unreadable("the row is empty");
 			}
 			catch (JsonParseException ex) {
 				return unreadable(String.valueOf(ex.getMessage()));
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MemberReports.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MemberReports.java
@@ -6,14 +6,14 @@
 import org.brasspier.core.measure.MinuteReport;
 
 /**
- * Collects what the daemons of the cell counted. Belongs to the thread of operators.
+ * Collects the counts of the daemons of the cell. Confined to the operators' thread.
  */
 public interface MemberReports {
 
 	/**
-	 * Collects reports.
-	 * @param afterMinute only minutes after this one, counted since 1970
-	 * @return the reports of all members that answered; members that didn't are left out
+	 * Collects the reports of all members.
+	 * @param afterMinute the minute since the epoch after which reports are collected
+	 * @return the reports of the members that answered; members that didn't are left out
 	 */
 	Promise<List<MinuteReport>> reportsAfter(long afterMinute);
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/OutcomeMeter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/OutcomeMeter.java
@@ -14,19 +14,23 @@
 import org.brasspier.core.measure.MinuteReport;
 
 /**
- * Counts, minute by minute, what the measures are made from. Thread-safe; the thread of
- * requests counts, the thread of operators reads once a minute, so the lock is all but
- * free.
+ * Counts per minute the requests, refusals and run times from which the measures are
+ * computed. Thread-safe; the requests' thread counts and the operators' thread reads once
+ * a minute, so the lock is almost uncontended.
  */
 public final class OutcomeMeter {
 
 	/**
-	 * A new lease manager collects what its predecessor had not kept yet; that is at most
-	 * the five minutes between two writes, unless the store is down meanwhile.
+	 * Number of minutes kept. A new lease manager collects the minutes that its
+	 * predecessor had not stored yet. These are at most the five minutes between two
+	 * writes, unless the store was unavailable in between.
 	 */
 	private static final int MAX_MINUTES = 120;
 
-	/** Services have names from callers: a flood of made-up ones must stay bounded. */
+	/**
+	 * Callers choose the names of services, so the number of different names must be
+	 * bounded.
+	 */
 	private static final int MAX_SERVICES = 64;
 
 	private final InstanceId instance;
@@ -38,9 +42,9 @@
 	private final Map<ServiceName, Integer> slotsByService = new HashMap<>();
 
 	/**
-	 * Creates a meter that has counted nothing.
+	 * Creates a meter without counts.
 	 * @param instance this instance
-	 * @param wallMillis the wall clock, in milliseconds since 1970
+	 * @param wallMillis the wall clock, in milliseconds since the epoch
 	 */
 	public OutcomeMeter(InstanceId instance, LongSupplier wallMillis) {
 		this.instance = instance;
@@ -48,7 +52,7 @@
 	}
 
 	/**
-	 * A caller of this daemon got its answer from a backend server.
+	 * Counts an answer of a backend server to a caller of this daemon.
 	 * @param service the service
 	 */
 	public synchronized void countAnswered(ServiceName service) {
@@ -56,9 +60,10 @@
 	}
 
 	/**
-	 * A caller of this daemon got an error.
+	 * Counts an error answered to a caller of this daemon.
 	 * @param service the service
-	 * @param kind its kind; the caller's own faults don't count
+	 * @param kind the kind of the error; errors that the caller itself caused aren't
+	 * counted
 	 */
 	public synchronized void countFailed(ServiceName service, ErrorKind kind) {
 		if (!countsAsRefused(kind)) {
@@ -83,26 +88,26 @@
 	}
 
 	/**
-	 * A request ran on the backend server beside this daemon.
+	 * Adds the run time of a request on the backend server of this instance.
 	 * @param service the service
-	 * @param nanos for how long, in nanoseconds
+	 * @param nanos the run time, in nanoseconds
 	 */
 	public synchronized void countRunTime(ServiceName service, long nanos) {
 		currentCounts(service).busyNanos += nanos;
 	}
 
 	/**
-	 * The backend server beside this daemon has told how much it runs at once.
-	 * @param service its service
-	 * @param slotCount its slots
+	 * Sets the number of slots that the backend server of this instance has announced.
+	 * @param service the service of the backend server
+	 * @param slotCount the number of requests that it runs concurrently
 	 */
 	public synchronized void updateSlots(ServiceName service, int slotCount) {
 		this.slotsByService.put(service, slotCount);
 	}
 
 	/**
-	 * What was counted in whole minutes.
-	 * @param afterMinute only minutes after this one, counted since 1970
+	 * Returns the counts of complete minutes.
+	 * @param afterMinute the minute since the epoch after which reports are returned
 	 * @return one report for each minute and service, oldest first
 	 */
 	public synchronized List<MinuteReport> reportsAfter(long afterMinute) {
@@ -127,7 +132,8 @@
 		Map<ServiceName, Counts> countsByService = this.countsByMinute.get(minute);
 		if (countsByService == null) {
 			countsByService = new HashMap<>();
-			// A server without requests counts as well: an idle one is what imbalance is.
+			// Backend servers without requests are reported as well: idle servers are
+			// part of the imbalance.
 			for (ServiceName announced : this.slotsByService.keySet()) {
 				countsByService.put(announced, new Counts());
 			}
@@ -142,7 +148,7 @@
 	}
 
 	/**
-	 * What is counted of one service in one minute.
+	 * Counts of one service in one minute.
 	 */
 	private static final class Counts {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/package-info.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Counting what the measures are made from, and keeping them in the platform's store.
+ * Counts the requests from which the measures are computed, and stores the measures in
+ * the platform's table.
  */
 @NullMarked
 package org.brasspier.daemon.internal.measure;
--- a/daemon/src/test/java/org/brasspier/daemon/internal/measure/MeasureRecorderTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/measure/MeasureRecorderTests.java
@@ -22,7 +22,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * The measures are kept in the platform's store, each minute and move once.
+ * Tests that each minute and each move is stored exactly once.
  */
 class MeasureRecorderTests {
 
@@ -50,8 +50,11 @@
 		assertThat(storedSums().requests()).isEqualTo(15);
 	}
 
-	// The primary lease manager is lost between two writes. Its successor collects from
-	// the daemons what the lost one had not kept yet, and nothing twice.
+	/**
+	 * Guards against gaps and double counts when the primary lease manager is lost
+	 * between two writes: its successor must collect from the daemons exactly the reports
+	 * that the lost one had not stored yet.
+	 */
 	@Test
 	void aNewPrimaryContinuesWhereItsPredecessorStopped() {
 		addMinuteReport(10);
@@ -61,8 +64,10 @@
 		assertThat(storedSums().requests()).isEqualTo(15);
 	}
 
-	// The write of the measures takes effect and its answer is lost. The next run must
-	// neither forget the moves nor count them twice.
+	/**
+	 * Guards against lost or doubled moves when the write of the measures takes effect
+	 * but its answer is lost.
+	 */
 	@Test
 	void movesAreCountedOnceThoughAnAnswerIsLost() {
 		tickAfterPeriod(this.recorder, "a");
--- a/daemon/src/test/java/org/brasspier/daemon/internal/measure/OutcomeMeterTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/measure/OutcomeMeterTests.java
@@ -11,7 +11,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * What the measures are made from is counted by the minute.
+ * Tests the counts per minute from which the measures are computed.
  */
 class OutcomeMeterTests {
 
