--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentStore.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentStore.java
@@ -48,7 +48,7 @@
 			return this.table.read(POINTER_KEY).then((row) -> decodeAndCache(row));
 		}
 		return this.table.readUnless(POINTER_KEY, this.cachedRow.get().rowVersion()).then((result) -> switch (result) {
-			case TableService.ReadResult.Unchanged unchanged -> Promise.of(this.cachedRow);
+			case TableService.ReadResult.Unchanged ignored -> Promise.of(this.cachedRow);
 			case TableService.ReadResult.Found(Optional<TableService.Row> row) -> decodeAndCache(row);
 		});
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureRecorder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureRecorder.java
@@ -34,7 +34,7 @@
 
 	static final Duration WRITE_PERIOD = Duration.ofMinutes(5);
 
-	private static final long HOURS_A_DAY = 24;
+	private static final long HOURS_PER_DAY = 24;
 
 	private final MeasureStore store;
 
@@ -141,16 +141,16 @@
 			return Promise.complete();
 		}
 		String writeId = UUID.randomUUID().toString();
-		MeasuredDay next = addReports(row.day(), writeId, reports);
+		MeasuredDay updatedDay = addReports(row.day(), writeId, reports);
 		if (includeMoves) {
-			int hour = (int) (TimeUnit.MILLISECONDS.toHours(this.wallMillis.getAsLong()) % HOURS_A_DAY);
-			next = next.plus(next.collectedUntil(), writeId, hour,
+			int hour = (int) (TimeUnit.MILLISECONDS.toHours(this.wallMillis.getAsLong()) % HOURS_PER_DAY);
+			updatedDay = updatedDay.plus(updatedDay.collectedUntil(), writeId, hour,
 					moves.entrySet()
 						.stream()
 						.collect(Collectors.toMap(Map.Entry::getKey, (entry) -> MeasureSums.moved(entry.getValue()))));
 			this.unwrittenMoves.clear();
 		}
-		return this.store.write(day, new MeasureStore.DayRow(row.version(), next))
+		return this.store.write(day, new MeasureStore.DayRow(row.version(), updatedDay))
 			.then((result, ex) -> onWriteCompleted(new UnconfirmedWrite(writeId, moves), result, ex));
 	}
 
@@ -174,7 +174,7 @@
 					Collectors.groupingBy((report) -> report.service().value())));
 		MeasuredDay result = day;
 		for (Map.Entry<Long, Map<String, List<MinuteReport>>> minute : minutes.entrySet()) {
-			int hour = (int) (TimeUnit.MINUTES.toHours(minute.getKey()) % HOURS_A_DAY);
+			int hour = (int) (TimeUnit.MINUTES.toHours(minute.getKey()) % HOURS_PER_DAY);
 			result = result.plus(minute.getKey(), writeId, hour, minute.getValue()
 				.entrySet()
 				.stream()
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/OutcomeMeter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/OutcomeMeter.java
@@ -92,7 +92,7 @@
 	 * @param service the service
 	 * @param nanos the run time, in nanoseconds
 	 */
-	public synchronized void countRunTime(ServiceName service, long nanos) {
+	public synchronized void addRunTime(ServiceName service, long nanos) {
 		currentCounts(service).busyNanos += nanos;
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/request/LoadReports.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/request/LoadReports.java
@@ -56,7 +56,7 @@
 
 	// Records a request that occupied a slot.
 	void recordRun(CallerRequest request, long busyNanos) {
-		this.outcomes.countRunTime(request.service(), busyNanos);
+		this.outcomes.addRunTime(request.service(), busyNanos);
 		this.meanRunNanos += (busyNanos - this.meanRunNanos) / MEAN_RUN_WEIGHT;
 		record(request, busyNanos);
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/settings/CurrentSecrets.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/settings/CurrentSecrets.java
@@ -34,12 +34,12 @@
 
 	/**
 	 * Replaces the shared keys. Open connections are kept.
-	 * @param lines the keys read from the file
+	 * @param keys the keys read from the file
 	 * @return whether the keys changed
 	 * @throws IllegalArgumentException if the keys are invalid; the present ones are kept
 	 */
-	public synchronized boolean replaceSharedKeys(List<String> lines) {
-		SharedKeys newKeys = new SharedKeys(lines);
+	public synchronized boolean replaceSharedKeys(List<String> keys) {
+		SharedKeys newKeys = new SharedKeys(keys);
 		boolean changed = !newKeys.equals(this.sharedKeys);
 		this.sharedKeys = newKeys;
 		return changed;
@@ -55,12 +55,12 @@
 
 	/**
 	 * Replaces the platform's tokens.
-	 * @param lines the tokens read from the file; the first is tried first
+	 * @param tokens the tokens read from the file; the first is tried first
 	 * @return whether the tokens changed
 	 */
-	public synchronized boolean replacePlatformTokens(List<String> lines) {
-		boolean changed = !List.copyOf(lines).equals(this.platformTokens);
-		this.platformTokens = List.copyOf(lines);
+	public synchronized boolean replacePlatformTokens(List<String> tokens) {
+		boolean changed = !List.copyOf(tokens).equals(this.platformTokens);
+		this.platformTokens = List.copyOf(tokens);
 		return changed;
 	}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/document/DocumentFollowerTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/document/DocumentFollowerTests.java
@@ -149,7 +149,7 @@
 
 	private Promise<byte[]> fetchFromPeer(InstanceId peer) {
 		this.fetchedFrom.add(peer);
-		return (this.peerDown) ? Promise.ofException(new java.io.IOException("gone"))
+		return (this.peerDown) ? Promise.ofException(new java.io.IOException("peer unreachable"))
 				: Promise.of(this.peerHolder.storedVersion().orElseThrow().bytes());
 	}
 
--- a/daemon/src/test/java/org/brasspier/daemon/internal/measure/OutcomeMeterTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/measure/OutcomeMeterTests.java
@@ -43,7 +43,7 @@
 	@Test
 	void runTimeIsReportedWithTheServersSlots() {
 		this.meter.updateSlots(HULLBOOK, 17);
-		this.meter.countRunTime(HULLBOOK, 2_500_000);
+		this.meter.addRunTime(HULLBOOK, 2_500_000);
 		assertThat(reports().getFirst().busyMillis()).isEqualTo(2);
 		assertThat(reports().getFirst().slots()).isEqualTo(17);
 	}
