--- a/cli/src/main/java/org/brasspier/cli/internal/CommandLine.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/CommandLine.java
@@ -27,7 +27,7 @@
  */
 public final class CommandLine {
 
-	private static final List<String> HELP = List.of("--help", "-h");
+	private static final List<String> HELP_FLAGS = List.of("--help", "-h");
 
 	private final Terminal terminal;
 
@@ -64,50 +64,50 @@
 	 * @return the exit code
 	 */
 	public int run(String... arguments) {
-		JCommander commander = commander();
+		JCommander commander = createCommander();
 		try {
 			// A help flag anywhere prints help, even if the rest is incomplete.
-			if (Arrays.stream(arguments).anyMatch(HELP::contains)) {
-				help(commander, arguments);
+			if (Arrays.stream(arguments).anyMatch(HELP_FLAGS::contains)) {
+				printHelp(commander, arguments);
 				return 0;
 			}
-			parse(commander, arguments);
+			parseArguments(commander, arguments);
 			String name = commander.getParsedCommand();
 			if (name == null) {
-				help(commander, arguments);
+				printHelp(commander, arguments);
 				return ErrorKind.BAD_REQUEST.exitCode();
 			}
-			return finish(command(name).run(session()));
+			return printResult(findCommand(name).run(createSession()));
 		}
 		catch (ParameterException | IllegalArgumentException | UncheckedIOException ex) {
 			String detail = "%s; see brasspier --help".formatted(ex.getMessage());
-			return finish(Either.left(ErrorAnswer.of(Failure.of(ErrorKind.BAD_REQUEST, detail))));
+			return printResult(Either.left(ErrorAnswer.of(Failure.of(ErrorKind.BAD_REQUEST, detail))));
 		}
 	}
 
-	private JCommander commander() {
+	private JCommander createCommander() {
 		JCommander commander = JCommander.newBuilder().addObject(this.flags).programName("brasspier").build();
 		this.commands.forEach(commander::addCommand);
 		return commander;
 	}
 
-	private static void parse(JCommander commander, String[] arguments) {
-		String[] expanded = FormCommand.expand(arguments);
+	private static void parseArguments(JCommander commander, String[] arguments) {
+		String[] expanded = FormCommand.expandFieldFlags(arguments);
 		commander.parse(expanded);
 		// JCommander would accept a mistyped flag as an operand of the command.
-		Set<String> known = Stream.concat(Stream.of(commander), commander.getCommands().values().stream())
-			.flatMap((part) -> part.getParameters().stream())
-			.flatMap((description) -> Arrays.stream(description.getParameter().names()))
+		Set<String> knownFlags = Stream.concat(Stream.of(commander), commander.getCommands().values().stream())
+			.flatMap((parser) -> parser.getParameters().stream())
+			.flatMap((parameter) -> Arrays.stream(parameter.getParameter().names()))
 			.collect(Collectors.toSet());
 		Arrays.stream(expanded)
-			.filter((argument) -> argument.startsWith("--") && !known.contains(argument))
+			.filter((argument) -> argument.startsWith("--") && !knownFlags.contains(argument))
 			.findFirst()
 			.ifPresent((argument) -> {
 				throw new ParameterException("unknown flag " + argument);
 			});
 	}
 
-	private Command command(String name) {
+	private Command findCommand(String name) {
 		Command command = this.commands.get(name);
 		if (command == null) {
 			throw new IllegalArgumentException("there is no command " + name);
@@ -115,24 +115,26 @@
 		return command;
 	}
 
-	private Session session() {
+	private Session createSession() {
 		if (!List.of("table", "json").contains(this.flags.output)) {
 			throw new IllegalArgumentException("--output \"%s\" must be table or json".formatted(this.flags.output));
 		}
-		Path draft = (this.flags.draft.isEmpty()) ? DraftFile.defaultPath(this.environment) : Path.of(this.flags.draft);
+		Path draftPath = (this.flags.draftFile.isEmpty()) ? DraftFile.defaultPath(this.environment)
+				: Path.of(this.flags.draftFile);
 		return new Session(
-				new OperatorClient(daemons(), secret(), Duration.ofSeconds(Math.max(1, this.flags.timeoutSeconds))),
-				this.terminal, new DraftFile(draft), json());
+				new OperatorClient(daemonAddresses(), operatorSecret(),
+						Duration.ofSeconds(Math.max(1, this.flags.timeoutSeconds))),
+				this.terminal, new DraftFile(draftPath), isJsonOutput());
 	}
 
-	private List<String> daemons() {
-		List<String> named = (this.flags.daemons.isEmpty())
+	private List<String> daemonAddresses() {
+		List<String> addresses = (this.flags.daemonAddresses.isEmpty())
 				? Arrays.asList(this.environment.getOrDefault("BRASSPIER_DAEMON", "127.0.0.1:7004").split(","))
-				: this.flags.daemons;
-		return named.stream().map(String::strip).toList();
+				: this.flags.daemonAddresses;
+		return addresses.stream().map(String::strip).toList();
 	}
 
-	private String secret() {
+	private String operatorSecret() {
 		if (this.flags.secretFile.isEmpty()) {
 			return this.environment.getOrDefault("BRASSPIER_OPERATOR_SECRET", "");
 		}
@@ -144,15 +146,15 @@
 		}
 	}
 
-	private boolean json() {
+	private boolean isJsonOutput() {
 		return this.flags.output.equals("json");
 	}
 
-	private int finish(Either<ErrorAnswer, Report> result) {
-		boolean json = json();
+	private int printResult(Either<ErrorAnswer, Report> result) {
+		boolean jsonOutput = isJsonOutput();
 		if (result.isRight()) {
 			Report report = result.get();
-			if (json) {
+			if (jsonOutput) {
 				this.terminal.out().println(OperatorJson.pretty(report.message()));
 			}
 			else {
@@ -162,23 +164,23 @@
 			return 0;
 		}
 		ErrorAnswer error = result.getLeft();
-		if (json) {
+		if (jsonOutput) {
 			this.terminal.out().println(OperatorJson.pretty(error));
 		}
 		else {
 			this.terminal.err().println("%s: %s".formatted(error.error(), error.detail()));
-			DraftCommand.faults(error.faults()).forEach(this.terminal.err()::println);
+			DraftCommand.faultTable(error.faults()).forEach(this.terminal.err()::println);
 		}
 		this.terminal.out().flush();
 		return error.error().exitCode();
 	}
 
-	private void help(JCommander commander, String[] arguments) {
+	private void printHelp(JCommander commander, String[] arguments) {
 		this.terminal.out()
 			.print(Arrays.stream(arguments)
 				.filter(this.commands::containsKey)
 				.findFirst()
-				.map((command) -> HelpText.command(commander, command))
+				.map((command) -> HelpText.commandHelp(commander, command))
 				.orElseGet(() -> HelpText.overview(commander)));
 		this.terminal.out().flush();
 	}
--- a/cli/src/main/java/org/brasspier/cli/internal/ConfigCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/ConfigCommand.java
@@ -34,68 +34,68 @@
 
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
-		String verb = (this.operands.isEmpty()) ? "" : this.operands.getFirst();
+		String action = (this.operands.isEmpty()) ? "" : this.operands.getFirst();
 		if (this.operands.stream().skip(1).anyMatch((operand) -> !operand.matches("[0-9]{1,18}"))) {
-			return Session.refuse("a version is a whole number");
+			return Session.badRequest("a version is a whole number");
 		}
-		return switch (verb) {
-			case "show" -> version(session, 1).map(ConfigCommand::show);
-			case "history" -> history(session).map(ConfigCommand::history);
-			case "diff" -> diff(session);
-			case "status" -> Either.right(status(session));
-			default -> Session.refuse("say one of config show, history, diff or status");
+		return switch (action) {
+			case "show" -> fetchVersion(session, 1).map(ConfigCommand::versionReport);
+			case "history" -> fetchHistory(session).map(ConfigCommand::historyReport);
+			case "diff" -> diffReport(session);
+			case "status" -> Either.right(daemonVersionsReport(session));
+			default -> Session.badRequest("say one of config show, history, diff or status");
 		};
 	}
 
-	private Either<ErrorAnswer, HistoryAnswer> history(Session session) {
+	private Either<ErrorAnswer, HistoryAnswer> fetchHistory(Session session) {
 		return session.client().get("/v1/document/history?count=" + this.count, HistoryAnswer.class);
 	}
 
-	private Either<ErrorAnswer, DocumentAnswer> version(Session session, int operandIndex) {
+	private Either<ErrorAnswer, DocumentAnswer> fetchVersion(Session session, int operandIndex) {
 		if (this.operands.size() <= operandIndex) {
-			return session.inForce();
+			return session.documentInForce();
 		}
-		long wanted = Long.parseLong(this.operands.get(operandIndex));
-		return history(session).flatMap((history) -> find(history, wanted));
+		long versionNumber = Long.parseLong(this.operands.get(operandIndex));
+		return fetchHistory(session).flatMap((history) -> findVersion(history, versionNumber));
 	}
 
-	private static Either<ErrorAnswer, DocumentAnswer> find(HistoryAnswer history, long wanted) {
-		if (wanted == 0) {
+	private static Either<ErrorAnswer, DocumentAnswer> findVersion(HistoryAnswer history, long versionNumber) {
+		if (versionNumber == 0) {
 			return Either.right(DocumentAnswer.NONE);
 		}
 		Optional<DocumentAnswer> found = history.versions()
 			.stream()
-			.filter((version) -> version.version() == wanted)
+			.filter((version) -> version.version() == versionNumber)
 			.findFirst();
 		return found.<Either<ErrorAnswer, DocumentAnswer>>map(Either::right)
-			.orElseGet(() -> Session
-				.refuse("version %d is not among the latest %d".formatted(wanted, history.versions().size())));
+			.orElseGet(() -> Session.badRequest(
+					"version %d is not among the latest %d".formatted(versionNumber, history.versions().size())));
 	}
 
-	private static Report show(DocumentAnswer answer) {
+	private static Report versionReport(DocumentAnswer document) {
 		List<String> lines = new ArrayList<>();
-		lines.add("version %d".formatted(answer.version()));
+		lines.add("version %d".formatted(document.version()));
 		Table table = new Table("PLACE", "VALUE");
-		answer.fields()
+		document.fields()
 			.entrySet()
 			.stream()
 			.sorted(java.util.Map.Entry.comparingByKey())
-			.forEach((entry) -> table.row(entry.getKey(), entry.getValue()));
+			.forEach((entry) -> table.addRow(entry.getKey(), entry.getValue()));
 		lines.addAll(table.lines());
-		return new Report(answer, lines);
+		return new Report(document, lines);
 	}
 
-	private static Report history(HistoryAnswer history) {
+	private static Report historyReport(HistoryAnswer history) {
 		Table table = new Table("VERSION", "SUBMITTED", "SUBMISSION", "FIELDS");
 		history.versions()
-			.forEach((version) -> table.row(version.version(), Instant.ofEpochMilli(version.submittedMillis()),
+			.forEach((version) -> table.addRow(version.version(), Instant.ofEpochMilli(version.submittedMillis()),
 					version.submission(), version.fields().size()));
 		return new Report(history, table.lines());
 	}
 
-	private Either<ErrorAnswer, Report> diff(Session session) {
-		return version(session, 2).flatMap((newer) -> older(session, newer).map((older) -> {
-			DocumentDiff diff = DocumentDiff.between(Session.document(older), Session.document(newer));
+	private Either<ErrorAnswer, Report> diffReport(Session session) {
+		return fetchVersion(session, 2).flatMap((newer) -> fetchOlderVersion(session, newer).map((older) -> {
+			DocumentDiff diff = DocumentDiff.between(Session.toDocument(older), Session.toDocument(newer));
 			List<String> lines = new ArrayList<>();
 			lines.add("version %d -> %d".formatted(older.version(), newer.version()));
 			diff.differences().forEach((difference) -> lines.add("  " + difference));
@@ -103,22 +103,22 @@
 		}));
 	}
 
-	private Either<ErrorAnswer, DocumentAnswer> older(Session session, DocumentAnswer newer) {
-		return (this.operands.size() > 1) ? version(session, 1)
-				: history(session).flatMap((history) -> find(history, Math.max(0, newer.version() - 1)));
+	private Either<ErrorAnswer, DocumentAnswer> fetchOlderVersion(Session session, DocumentAnswer newer) {
+		return (this.operands.size() > 1) ? fetchVersion(session, 1)
+				: fetchHistory(session).flatMap((history) -> findVersion(history, Math.max(0, newer.version() - 1)));
 	}
 
-	private static Report status(Session session) {
+	private static Report daemonVersionsReport(Session session) {
 		Table table = new Table("DAEMON", "INSTANCE", "VERSION");
-		List<VersionOnDaemon> message = new ArrayList<>();
-		for (String daemon : session.allDaemons()) {
+		List<VersionOnDaemon> versions = new ArrayList<>();
+		for (String daemon : session.allDaemonAddresses()) {
 			Either<ErrorAnswer, StatusAnswer> status = session.client().get(daemon, "/v1/status", StatusAnswer.class);
-			table.row(daemon, status.map(StatusAnswer::instance).getOrElse("(no answer)"),
+			table.addRow(daemon, status.map(StatusAnswer::instance).getOrElse("(no answer)"),
 					status.map((answer) -> Long.toString(answer.documentVersion())).getOrElse("?"));
 			status.peek(
-					(answer) -> message.add(new VersionOnDaemon(daemon, answer.instance(), answer.documentVersion())));
+					(answer) -> versions.add(new VersionOnDaemon(daemon, answer.instance(), answer.documentVersion())));
 		}
-		return new Report(message, table.lines());
+		return new Report(versions, table.lines());
 	}
 
 	/**
--- a/cli/src/main/java/org/brasspier/cli/internal/DeclareLostCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/DeclareLostCommand.java
@@ -25,15 +25,15 @@
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
 		if (this.operands.size() != 1) {
-			return Session.refuse("name one instance: declare-lost INSTANCE");
+			return Session.badRequest("name one instance: declare-lost INSTANCE");
 		}
 		String instance = this.operands.getFirst();
 		session.terminal()
-			.progress("DANGER: what %s owned moves at once. If its daemon or backend server still runs anywhere, "
+			.printProgress("DANGER: what %s owned moves at once. If its daemon or backend server still runs anywhere, "
 				.formatted(instance)
 					+ "two servers may own the same keys: bookings may run twice. Make sure that both are gone for good.");
 		if (!this.yes && !session.terminal().confirm("Is %s gone for good?".formatted(instance))) {
-			return Session.refuse("not confirmed; nothing was done (see TROUBLESHOOTING.md#declare-lost)");
+			return Session.badRequest("not confirmed; nothing was done (see TROUBLESHOOTING.md#declare-lost)");
 		}
 		return session.client()
 			.post("/v1/declare-lost", new OrderRequest(instance, "", "", true), OrderAnswer.class, true)
--- a/cli/src/main/java/org/brasspier/cli/internal/DraftCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/DraftCommand.java
@@ -40,22 +40,24 @@
 
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
-		String verb = (this.operands.size() == 1) ? this.operands.getFirst() : "";
-		Optional<DraftFile.Kept> kept = session.drafts().read();
-		if (kept.isEmpty() && Stream.of("check", "submit", "rebase").anyMatch(verb::equals)) {
-			return Session.refuse("there is no draft: fill in a form first (see TROUBLESHOOTING.md#draft-file)");
+		String action = (this.operands.size() == 1) ? this.operands.getFirst() : "";
+		Optional<DraftFile.StoredDraft> storedDraft = session.draftFile().read();
+		if (storedDraft.isEmpty() && Stream.of("check", "submit", "rebase").anyMatch(action::equals)) {
+			return Session.badRequest("there is no draft: fill in a form first (see TROUBLESHOOTING.md#draft-file)");
 		}
-		return switch (verb) {
-			case "show" -> session.draft().map(DraftCommand::show);
-			case "check" -> check(session, kept.orElseThrow());
-			case "submit" -> submit(session, kept.orElseThrow());
-			case "rebase" -> session.inForce().map((present) -> rebase(session, kept.orElseThrow().draft(), present));
-			case "discard" -> Either.right(Report.of(new Discarded(session.drafts().discard()), "the draft is gone"));
-			default -> Session.refuse("say one of draft show, check, submit, rebase or discard");
+		return switch (action) {
+			case "show" -> session.storedOrNewDraft().map(DraftCommand::draftReport);
+			case "check" -> check(session, storedDraft.orElseThrow());
+			case "submit" -> submit(session, storedDraft.orElseThrow());
+			case "rebase" ->
+				session.documentInForce().map((current) -> rebase(session, storedDraft.orElseThrow().draft(), current));
+			case "discard" ->
+				Either.right(Report.of(new DiscardMessage(session.draftFile().delete()), "the draft is gone"));
+			default -> Session.badRequest("say one of draft show, check, submit, rebase or discard");
 		};
 	}
 
-	private static Report show(Draft draft) {
+	private static Report draftReport(Draft draft) {
 		DocumentDiff diff = DocumentDiff.between(draft.base(), draft.document());
 		List<String> lines = new ArrayList<>();
 		lines.add("draft on version %d, %d changes".formatted(draft.baseVersion(), diff.differences().size()));
@@ -63,9 +65,9 @@
 		return new Report(new DraftMessage(draft.baseVersion(), Differences.of(diff)), lines);
 	}
 
-	private static Either<ErrorAnswer, Report> check(Session session, DraftFile.Kept kept) {
+	private static Either<ErrorAnswer, Report> check(Session session, DraftFile.StoredDraft storedDraft) {
 		return session.client()
-			.post("/v1/document/check", request(kept), FaultsAnswer.class, true)
+			.post("/v1/document/check", submitRequest(storedDraft), FaultsAnswer.class, true)
 			.flatMap((answer) -> (answer.faults().isEmpty())
 					? Either.right(Report.of(answer, "the document may take effect"))
 					: Either.left(ErrorAnswer.of(org.brasspier.core.Failure.of(ErrorKind.DOCUMENT_INVALID,
@@ -74,58 +76,58 @@
 						.withFaults(answer.faults())));
 	}
 
-	private static SubmitRequest request(DraftFile.Kept kept) {
-		return new SubmitRequest(kept.draft().baseVersion(), kept.submission(),
-				DocumentCodec.fields(kept.draft().document()));
+	private static SubmitRequest submitRequest(DraftFile.StoredDraft storedDraft) {
+		return new SubmitRequest(storedDraft.draft().baseVersion(), storedDraft.submission(),
+				DocumentCodec.fields(storedDraft.draft().document()));
 	}
 
-	private Either<ErrorAnswer, Report> submit(Session session, DraftFile.Kept kept) {
+	private Either<ErrorAnswer, Report> submit(Session session, DraftFile.StoredDraft storedDraft) {
 		Either<ErrorAnswer, SubmitAnswer> answer = session.client()
-			.post("/v1/document", request(kept), SubmitAnswer.class, true);
+			.post("/v1/document", submitRequest(storedDraft), SubmitAnswer.class, true);
 		answer.peekLeft((error) -> Optional.ofNullable(error.present())
-			.ifPresent((present) -> conflict(session, kept.draft(), present)));
+			.ifPresent((current) -> offerRebase(session, storedDraft.draft(), current)));
 		return answer.flatMap((accepted) -> {
-			session.drafts().discard();
-			session.terminal().progress("accepted as version " + accepted.version());
+			session.draftFile().delete();
+			session.terminal().printProgress("accepted as version " + accepted.version());
 			return (this.noWait) ? Either.right(Report.of(accepted, "version " + accepted.version()))
-					: new InForceWait(session).await(accepted);
+					: new InForceWaiter(session).await(accepted);
 		});
 	}
 
-	private static void conflict(Session session, Draft draft, DocumentAnswer present) {
+	private static void offerRebase(Session session, Draft draft, DocumentAnswer current) {
 		Terminal terminal = session.terminal();
-		terminal.progress("version %d is in force, the draft began from %d; in between changed:"
-			.formatted(present.version(), draft.baseVersion()));
-		DocumentDiff.between(draft.base(), Session.document(present))
+		terminal.printProgress("version %d is in force, the draft began from %d; in between changed:"
+			.formatted(current.version(), draft.baseVersion()));
+		DocumentDiff.between(draft.base(), Session.toDocument(current))
 			.differences()
-			.forEach((difference) -> terminal.progress("  " + difference));
-		if (terminal.confirm("Move the draft's changes onto version %d?".formatted(present.version()))) {
-			rebase(session, draft, present).lines().forEach(terminal::progress);
-			terminal.progress("Look at it with `brasspier draft show`, then submit it again.");
+			.forEach((difference) -> terminal.printProgress("  " + difference));
+		if (terminal.confirm("Move the draft's changes onto version %d?".formatted(current.version()))) {
+			rebase(session, draft, current).lines().forEach(terminal::printProgress);
+			terminal.printProgress("Look at it with `brasspier draft show`, then submit it again.");
 		}
 		else {
-			terminal.progress("`brasspier draft rebase` moves the draft's changes onto it.");
+			terminal.printProgress("`brasspier draft rebase` moves the draft's changes onto it.");
 		}
 	}
 
-	private static Report rebase(Session session, Draft draft, DocumentAnswer present) {
-		Draft.Rebased rebased = draft.rebase(present.version(), Session.document(present));
-		session.drafts().write(rebased.draft());
+	private static Report rebase(Session session, Draft draft, DocumentAnswer current) {
+		Draft.Rebased rebased = draft.rebase(current.version(), Session.toDocument(current));
+		session.draftFile().write(rebased.draft());
 		List<String> lines = new ArrayList<>();
-		lines.add("the draft is on version %d now, with %d changes".formatted(present.version(),
+		lines.add("the draft is on version %d now, with %d changes".formatted(current.version(),
 				rebased.draft().changes().size()));
 		rebased.overlaps()
 			.forEach((overlap) -> lines.add("  both changed %s; the draft's value stays".formatted(overlap)));
-		return new Report(new RebaseMessage(present.version(), Differences.of(new DocumentDiff(rebased.overlaps()))),
+		return new Report(new RebaseMessage(current.version(), Differences.of(new DocumentDiff(rebased.overlaps()))),
 				lines);
 	}
 
-	static List<String> faults(List<Fault> faults) {
+	static List<String> faultTable(List<Fault> faults) {
 		if (faults.isEmpty()) {
 			return List.of();
 		}
 		Table table = new Table("PLACE", "VALUE", "REMEDY");
-		faults.forEach((fault) -> table.row(fault.place(), fault.value(), fault.remedy()));
+		faults.forEach((fault) -> table.addRow(fault.place(), fault.value(), fault.remedy()));
 		return table.lines();
 	}
 
@@ -154,7 +156,7 @@
 	 *
 	 * @param discarded whether a draft existed
 	 */
-	private record Discarded(boolean discarded) {
+	private record DiscardMessage(boolean discarded) {
 
 	}
 
--- a/cli/src/main/java/org/brasspier/cli/internal/DraftFile.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/DraftFile.java
@@ -37,12 +37,12 @@
 	 * @return path of the draft file
 	 */
 	static Path defaultPath(Map<String, String> environment) {
-		String home = environment.getOrDefault("HOME", ".");
-		String state = environment.getOrDefault("XDG_STATE_HOME", home + "/.local/state");
-		return Path.of(state, "brasspier", "draft.json");
+		String homeDirectory = environment.getOrDefault("HOME", ".");
+		String stateDirectory = environment.getOrDefault("XDG_STATE_HOME", homeDirectory + "/.local/state");
+		return Path.of(stateDirectory, "brasspier", "draft.json");
 	}
 
-	Optional<Kept> read() {
+	Optional<StoredDraft> read() {
 		if (!Files.exists(this.file)) {
 			return Optional.empty();
 		}
@@ -50,7 +50,7 @@
 			DraftJson json = OperatorJson.read(Files.readString(this.file), DraftJson.class)
 				.getOrElseThrow((failure) -> new IllegalArgumentException(
 						"draft %s: %s (see TROUBLESHOOTING.md#draft-file)".formatted(this.file, failure.detail())));
-			return Optional.of(json.kept());
+			return Optional.of(json.toStoredDraft());
 		}
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
@@ -62,26 +62,26 @@
 	 * @param draft the draft
 	 * @return the stored draft
 	 */
-	Kept write(Draft draft) {
-		Kept kept = new Kept(draft, UUID.randomUUID().toString());
+	StoredDraft write(Draft draft) {
+		StoredDraft storedDraft = new StoredDraft(draft, UUID.randomUUID().toString());
 		try {
-			Path folder = this.file.toAbsolutePath().getParent();
-			if (folder != null) {
-				Files.createDirectories(folder);
+			Path directory = this.file.toAbsolutePath().getParent();
+			if (directory != null) {
+				Files.createDirectories(directory);
 			}
 			// Written to a temporary file and renamed, so that the draft file is never
 			// partly written.
 			Path temporary = this.file.resolveSibling(this.file.getFileName() + ".new");
-			Files.writeString(temporary, OperatorJson.pretty(DraftJson.of(kept)), StandardCharsets.UTF_8);
+			Files.writeString(temporary, OperatorJson.pretty(DraftJson.of(storedDraft)), StandardCharsets.UTF_8);
 			Files.move(temporary, this.file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
-			return kept;
+			return storedDraft;
 		}
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
 		}
 	}
 
-	boolean discard() {
+	boolean delete() {
 		try {
 			return Files.deleteIfExists(this.file);
 		}
@@ -96,7 +96,7 @@
 	 * @param draft the draft
 	 * @param submission submission id, the same for every retry
 	 */
-	record Kept(Draft draft, String submission) {
+	record StoredDraft(Draft draft, String submission) {
 
 	}
 
@@ -106,22 +106,22 @@
 	private record DraftJson(long baseVersion, @Nullable String submission, @Nullable Map<String, String> base,
 			@Nullable List<ChangeJson> changes) {
 
-		static DraftJson of(Kept kept) {
-			return new DraftJson(kept.draft().baseVersion(), kept.submission(),
-					DocumentCodec.fields(kept.draft().base()),
-					kept.draft()
+		static DraftJson of(StoredDraft storedDraft) {
+			return new DraftJson(storedDraft.draft().baseVersion(), storedDraft.submission(),
+					DocumentCodec.fields(storedDraft.draft().base()),
+					storedDraft.draft()
 						.changes()
 						.stream()
 						.map((change) -> new ChangeJson(change.path().text(), change.value().orElse(null)))
 						.toList());
 		}
 
-		Kept kept() {
+		StoredDraft toStoredDraft() {
 			if (this.submission == null || this.base == null || this.changes == null) {
 				throw new IllegalArgumentException("the draft's file lacks a part (see TROUBLESHOOTING.md#draft-file)");
 			}
-			return new Kept(new Draft(this.baseVersion, DocumentCodec.document(this.base),
-					this.changes.stream().map(ChangeJson::change).toList()), this.submission);
+			return new StoredDraft(new Draft(this.baseVersion, DocumentCodec.document(this.base),
+					this.changes.stream().map(ChangeJson::toFieldChange).toList()), this.submission);
 		}
 
 	}
@@ -131,7 +131,7 @@
 	 */
 	private record ChangeJson(String path, @Nullable String value) {
 
-		FieldChange change() {
+		FieldChange toFieldChange() {
 			return new FieldChange(new FieldPath(this.path), Optional.ofNullable(this.value));
 		}
 
--- a/cli/src/main/java/org/brasspier/cli/internal/DrainCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/DrainCommand.java
@@ -35,29 +35,30 @@
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
 		if (this.operands.size() != 1) {
-			return Session.refuse("name one instance: drain INSTANCE");
+			return Session.badRequest("name one instance: drain INSTANCE");
 		}
 		String instance = this.operands.getFirst();
 		return session.client()
 			.post("/v1/drain", new OrderRequest(instance, "", "", false), OrderAnswer.class, true)
 			.flatMap((answer) -> (this.noWait) ? Either.right(Report.of(answer, answer.result()))
-					: await(session, instance, answer));
+					: awaitDrained(session, instance, answer));
 	}
 
-	private static Either<ErrorAnswer, Report> await(Session session, String instance, OrderAnswer answer) {
-		long end = System.nanoTime() + WAIT_TIMEOUT.toNanos();
-		long last = -1;
-		while (System.nanoTime() - end < 0) {
+	private static Either<ErrorAnswer, Report> awaitDrained(Session session, String instance, OrderAnswer answer) {
+		long deadlineNanos = System.nanoTime() + WAIT_TIMEOUT.toNanos();
+		long lastReported = -1;
+		while (System.nanoTime() - deadlineNanos < 0) {
 			Either<ErrorAnswer, CellAnswer> cell = session.client().get("/v1/cell", CellAnswer.class);
-			long left = cell.map((found) -> found.ranges().stream().filter((range) -> range.owner().equals(instance)))
-				.map((owned) -> owned.count())
-				.getOrElse(last);
-			if (left == 0) {
+			long remainingRanges = cell
+				.map((cellAnswer) -> cellAnswer.ranges().stream().filter((range) -> range.owner().equals(instance)))
+				.map((ownedRanges) -> ownedRanges.count())
+				.getOrElse(lastReported);
+			if (remainingRanges == 0) {
 				return Either.right(Report.of(answer, "%s owns nothing any more".formatted(instance)));
 			}
-			if (left != last) {
-				session.terminal().progress("%s still owns %d ranges".formatted(instance, left));
-				last = left;
+			if (remainingRanges != lastReported) {
+				session.terminal().printProgress("%s still owns %d ranges".formatted(instance, remainingRanges));
+				lastReported = remainingRanges;
 			}
 			LockSupport.parkNanos(POLL_INTERVAL.toNanos());
 		}
--- a/cli/src/main/java/org/brasspier/cli/internal/FormCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/FormCommand.java
@@ -32,20 +32,20 @@
 	private List<String> operands = new ArrayList<>();
 
 	@DynamicParameter(names = "--set", description = "FIELD=VALUE; the same as --FIELD VALUE")
-	private Map<String, String> values = new LinkedHashMap<>();
+	private Map<String, String> valuesToSet = new LinkedHashMap<>();
 
 	@Parameter(names = "--unset", description = "FIELD to take out, so that its usual value holds; several by comma")
-	private List<String> unset = new ArrayList<>();
+	private List<String> fieldsToUnset = new ArrayList<>();
 
 	@Parameter(names = "--ask", description = "ask for each field, showing its present value")
-	private boolean ask;
+	private boolean interactive;
 
 	/**
 	 * Rewrites field flags: {@code --FIELD VALUE} becomes {@code --set FIELD=VALUE}.
 	 * @param arguments complete command line
 	 * @return the command line in the form that JCommander parses
 	 */
-	static String[] expand(String[] arguments) {
+	static String[] expandFieldFlags(String[] arguments) {
 		List<String> expanded = new ArrayList<>();
 		for (int i = 0; i < arguments.length; i++) {
 			String name = arguments[i].startsWith("--") ? arguments[i].substring(2) : "";
@@ -63,61 +63,62 @@
 
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
-		Optional<Form> form = form();
+		Optional<Form> form = findForm();
 		if (form.isEmpty()) {
-			return Session.refuse("name one of the forms " + names() + " (see TROUBLESHOOTING.md#bad-field)");
+			return Session.badRequest("name one of the forms " + formNames() + " (see TROUBLESHOOTING.md#bad-field)");
 		}
-		boolean named = this.operands.size() == ((form.get().hasSubject()) ? 2 : 1);
-		if (!named) {
+		boolean operandCountMatches = this.operands.size() == ((form.get().hasSubject()) ? 2 : 1);
+		if (!operandCountMatches) {
 			return Session
-				.refuse((form.get().hasSubject()) ? "name one service: form %s SERVICE".formatted(form.get().key())
+				.badRequest((form.get().hasSubject()) ? "name one service: form %s SERVICE".formatted(form.get().key())
 						: "form %s takes no service".formatted(form.get().key()));
 		}
 		String subject = (form.get().hasSubject()) ? this.operands.get(1) : "";
-		return session.draft()
-			.flatMap((draft) -> fill(draft, form.get(), subject))
-			.map((draft) -> (this.ask) ? new FormDialog(session.terminal(), form.get(), subject).fill(draft) : draft)
-			.peek((draft) -> keep(session, draft))
-			.map((draft) -> show(draft, form.get(), subject));
+		return session.storedOrNewDraft()
+			.flatMap((draft) -> applyFlags(draft, form.get(), subject))
+			.map((draft) -> (this.interactive) ? new FormDialog(session.terminal(), form.get(), subject).fill(draft)
+					: draft)
+			.peek((draft) -> storeIfChanged(session, draft))
+			.map((draft) -> formReport(draft, form.get(), subject));
 	}
 
-	private Optional<Form> form() {
+	private Optional<Form> findForm() {
 		return this.operands.stream()
 			.findFirst()
-			.flatMap((word) -> Stream.of(Form.values()).filter((form) -> form.key().equals(word)).findFirst());
+			.flatMap((name) -> Stream.of(Form.values()).filter((form) -> form.key().equals(name)).findFirst());
 	}
 
-	private static String names() {
+	private static String formNames() {
 		return Stream.of(Form.values()).map(Form::key).collect(Collectors.joining(", "));
 	}
 
-	private Either<ErrorAnswer, Draft> fill(Draft draft, Form form, String subject) {
+	private Either<ErrorAnswer, Draft> applyFlags(Draft draft, Form form, String subject) {
 		Either<Failure, Draft> filled = Either.right(draft);
-		for (Map.Entry<String, String> entry : this.values.entrySet()) {
+		for (Map.Entry<String, String> entry : this.valuesToSet.entrySet()) {
 			filled = filled
-				.flatMap((before) -> before.fill(form, subject, entry.getKey(), Optional.of(entry.getValue())));
+				.flatMap((previous) -> previous.fill(form, subject, entry.getKey(), Optional.of(entry.getValue())));
 		}
-		for (String field : this.unset) {
-			filled = filled.flatMap((before) -> before.fill(form, subject, field, Optional.empty()));
+		for (String field : this.fieldsToUnset) {
+			filled = filled.flatMap((previous) -> previous.fill(form, subject, field, Optional.empty()));
 		}
 		return filled.mapLeft(ErrorAnswer::of);
 	}
 
-	private void keep(Session session, Draft draft) {
-		boolean changed = !this.values.isEmpty() || !this.unset.isEmpty() || this.ask;
+	private void storeIfChanged(Session session, Draft draft) {
+		boolean changed = !this.valuesToSet.isEmpty() || !this.fieldsToUnset.isEmpty() || this.interactive;
 		if (changed) {
-			session.drafts().write(draft);
+			session.draftFile().write(draft);
 		}
 	}
 
-	private static Report show(Draft draft, Form form, String subject) {
+	private static Report formReport(Draft draft, Form form, String subject) {
 		Table table = new Table("FIELD", "VALUE", "UNIT", "ALLOWED", "MEANING");
-		List<FieldValue> message = new ArrayList<>();
+		List<FieldValue> fieldValues = new ArrayList<>();
 		for (Field field : form.fields()) {
 			@Nullable String value = draft.document().value(form.path(subject, field.name())).orElse(null);
-			table.row(field.name(), (value != null) ? value : "(%s)".formatted(field.defaultValue()), field.unit(),
+			table.addRow(field.name(), (value != null) ? value : "(%s)".formatted(field.defaultValue()), field.unit(),
 					field.rule().description(), field.meaning());
-			message.add(new FieldValue(form.path(subject, field.name()).text(), value, field.defaultValue(),
+			fieldValues.add(new FieldValue(form.path(subject, field.name()).text(), value, field.defaultValue(),
 					field.unit(), field.rule().description()));
 		}
 		List<String> lines = new ArrayList<>(table.lines());
@@ -125,7 +126,7 @@
 		lines.add("A value in brackets is the usual one, which holds as long as the document says nothing.");
 		lines.add("%d changes in the draft on version %d; `brasspier draft submit` brings them into force."
 			.formatted(draft.changes().size(), draft.baseVersion()));
-		return new Report(new FormMessage(form.name().toLowerCase(Locale.ROOT), subject, message,
+		return new Report(new FormMessage(form.name().toLowerCase(Locale.ROOT), subject, fieldValues,
 				DocumentCodec.fields(draft.document())), lines);
 	}
 
--- a/cli/src/main/java/org/brasspier/cli/internal/FormDialog.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/FormDialog.java
@@ -30,32 +30,33 @@
 	}
 
 	Draft fill(Draft draft) {
-		this.terminal.progress("Enter keeps a value, - takes it out so that the usual one holds.");
+		this.terminal.printProgress("Enter keeps a value, - takes it out so that the usual one holds.");
 		Draft filled = draft;
 		for (Field field : this.form.fields()) {
-			filled = ask(filled, field);
+			filled = promptForField(filled, field);
 		}
 		return filled;
 	}
 
-	private Draft ask(Draft draft, Field field) {
-		String present = draft.document()
+	private Draft promptForField(Draft draft, Field field) {
+		String currentValue = draft.document()
 			.value(this.form.path(this.subject, field.name()))
 			.orElseGet(() -> "(" + field.defaultValue() + ")");
 		String unit = (field.unit().isEmpty()) ? "" : " in " + field.unit();
-		this.terminal.progress("");
-		this.terminal.progress("%s: %s".formatted(field.name(), field.meaning()));
+		this.terminal.printProgress("");
+		this.terminal.printProgress("%s: %s".formatted(field.name(), field.meaning()));
 		while (true) {
-			@Nullable String typed = this.terminal.ask("  %s%s [%s]: ".formatted(field.rule().description(), unit, present));
-			if (typed == null || typed.isEmpty()) {
+			@Nullable String input = this.terminal
+				.prompt("  %s%s [%s]: ".formatted(field.rule().description(), unit, currentValue));
+			if (input == null || input.isEmpty()) {
 				return draft;
 			}
 			Either<Failure, Draft> filled = draft.fill(this.form, this.subject, field.name(),
-					Optional.of(typed).filter((value) -> !value.equals(UNSET_INPUT)));
+					Optional.of(input).filter((value) -> !value.equals(UNSET_INPUT)));
 			if (filled.isRight()) {
 				return filled.get();
 			}
-			this.terminal.progress("  " + filled.getLeft().detail());
+			this.terminal.printProgress("  " + filled.getLeft().detail());
 		}
 	}
 
--- a/cli/src/main/java/org/brasspier/cli/internal/GlobalFlags.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/GlobalFlags.java
@@ -15,7 +15,7 @@
 
 	@Parameter(names = "--daemon",
 			description = "IP:PORT of a daemon's operator port; several by comma are tried in turn (or BRASSPIER_DAEMON)")
-	List<String> daemons = new ArrayList<>();
+	List<String> daemonAddresses = new ArrayList<>();
 
 	@Parameter(names = "--secret-file",
 			description = "file with the operators' secret (or the variable BRASSPIER_OPERATOR_SECRET)")
@@ -25,7 +25,7 @@
 	String output = "table";
 
 	@Parameter(names = "--draft", description = "file that keeps the draft (default: below $XDG_STATE_HOME)")
-	String draft = "";
+	String draftFile = "";
 
 	@Parameter(names = "--timeout-seconds", description = "how long one call to a daemon may take")
 	int timeoutSeconds = 30;
--- a/cli/src/main/java/org/brasspier/cli/internal/HelpText.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/HelpText.java
@@ -21,7 +21,7 @@
 final class HelpText {
 
 	/** Error kinds that an operator can get; callers get the others. */
-	private static final List<ErrorKind> KINDS = List.of(ErrorKind.INTERNAL_ERROR, ErrorKind.BAD_REQUEST,
+	private static final List<ErrorKind> OPERATOR_ERROR_KINDS = List.of(ErrorKind.INTERNAL_ERROR, ErrorKind.BAD_REQUEST,
 			ErrorKind.UNAUTHORIZED, ErrorKind.DOCUMENT_INVALID, ErrorKind.DOCUMENT_CONFLICT,
 			ErrorKind.STORE_OUTCOME_UNKNOWN, ErrorKind.STORE_UNAVAILABLE, ErrorKind.STATE_UNREADABLE,
 			ErrorKind.ORDER_REFUSED, ErrorKind.DAEMON_UNREACHABLE);
@@ -38,7 +38,7 @@
 		// JCommander loads the descriptions of flags only when it formats its own usage
 		// text.
 		commander.getUsageFormatter().usage(new StringBuilder());
-		flags(text, commander);
+		appendFlags(text, commander);
 		text.append("\nA first session:\n")
 			.append("  export BRASSPIER_DAEMON=127.0.0.1:7004 BRASSPIER_OPERATOR_SECRET=...\n")
 			.append("  brasspier status\n")
@@ -51,50 +51,50 @@
 	}
 
 	private static Map<Integer, List<String>> exitCodes() {
-		return KINDS.stream()
+		return OPERATOR_ERROR_KINDS.stream()
 			.collect(Collectors.groupingBy(ErrorKind::exitCode, TreeMap::new,
 					Collectors.mapping(ErrorKind::name, Collectors.toList())));
 	}
 
-	static String command(JCommander commander, String name) {
+	static String commandHelp(JCommander commander, String name) {
 		JCommander command = Optional.ofNullable(commander.getCommands().get(name)).orElseThrow();
-		String words = (command.getMainParameter() != null) ? " " + command.getMainParameterDescription() : "";
+		String operands = (command.getMainParameter() != null) ? " " + command.getMainParameterDescription() : "";
 		StringBuilder text = new StringBuilder("%s%n%nUsage: brasspier %s%s%n"
-			.formatted(commander.getUsageFormatter().getCommandDescription(name), name, words));
+			.formatted(commander.getUsageFormatter().getCommandDescription(name), name, operands));
 		if (!command.getParameters().isEmpty()) {
 			text.append("\nFlags:\n");
-			flags(text, command);
+			appendFlags(text, command);
 		}
 		if (name.equals("form")) {
-			Arrays.stream(Form.values()).forEach((form) -> fields(text, form));
+			Arrays.stream(Form.values()).forEach((form) -> appendForm(text, form));
 		}
 		return text.toString();
 	}
 
-	private static void flags(StringBuilder text, JCommander command) {
+	private static void appendFlags(StringBuilder text, JCommander command) {
 		command.getParameters()
 			.stream()
-			.sorted((one, other) -> one.getNames().compareTo(other.getNames()))
+			.sorted((first, second) -> first.getNames().compareTo(second.getNames()))
 			.forEach((flag) -> text
-				.append("  %s%n      %s%s%n".formatted(flag.getNames(), flag.getDescription(), defaultValue(flag))));
+				.append("  %s%n      %s%s%n".formatted(flag.getNames(), flag.getDescription(), defaultSuffix(flag))));
 	}
 
-	private static String defaultValue(ParameterDescription flag) {
-		String text = String.valueOf(flag.getDefault());
-		boolean shown = !Stream.of("", "false", "null", "[]", "{}", "0").anyMatch(text::equals);
-		return (shown) ? " (usually %s)".formatted(text) : "";
+	private static String defaultSuffix(ParameterDescription flag) {
+		String defaultValue = String.valueOf(flag.getDefault());
+		boolean isShown = !Stream.of("", "false", "null", "[]", "{}", "0").anyMatch(defaultValue::equals);
+		return (isShown) ? " (usually %s)".formatted(defaultValue) : "";
 	}
 
-	private static void fields(StringBuilder text, Form form) {
+	private static void appendForm(StringBuilder text, Form form) {
 		text.append("%nbrasspier form %s%s%n".formatted(form.key(), (form.hasSubject()) ? " SERVICE" : ""));
-		form.fields().forEach((field) -> field(text, field));
+		form.fields().forEach((field) -> appendField(text, field));
 	}
 
-	private static void field(StringBuilder text, Field field) {
+	private static void appendField(StringBuilder text, Field field) {
 		String unit = (field.unit().isEmpty()) ? "" : " in " + field.unit();
-		String usual = (field.defaultValue().isEmpty()) ? "" : ", usually " + field.defaultValue();
+		String defaultValue = (field.defaultValue().isEmpty()) ? "" : ", usually " + field.defaultValue();
 		text.append("  --%s%n      %s%n      %s%s%s%n".formatted(field.name(), field.meaning(),
-				field.rule().description(), unit, usual));
+				field.rule().description(), unit, defaultValue));
 	}
 
 }
--- a/cli/src/main/java/org/brasspier/cli/internal/MeasuresCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/MeasuresCommand.java
@@ -31,16 +31,17 @@
 	public Either<ErrorAnswer, Report> run(Session session) {
 		try {
 			return session.client()
-				.get("/v1/measures?from=%s&to=%s".formatted(millis(this.from), millis(this.to)), MeasuresAnswer.class)
-				.map(MeasuresCommand::show);
+				.get("/v1/measures?from=%s&to=%s".formatted(toEpochMillis(this.from), toEpochMillis(this.to)),
+						MeasuresAnswer.class)
+				.map(MeasuresCommand::measuresReport);
 		}
 		catch (DateTimeParseException ex) {
-			return Session
-				.refuse("\"%s\" is no time such as 2026-10-01 or 2026-10-01T06:00:00Z".formatted(ex.getParsedString()));
+			return Session.badRequest(
+					"\"%s\" is no time such as 2026-10-01 or 2026-10-01T06:00:00Z".formatted(ex.getParsedString()));
 		}
 	}
 
-	private static String millis(String text) {
+	private static String toEpochMillis(String text) {
 		if (text.isEmpty()) {
 			return "";
 		}
@@ -49,23 +50,23 @@
 		return Long.toString(instant.toEpochMilli());
 	}
 
-	private static Report show(MeasuresAnswer answer) {
+	private static Report measuresReport(MeasuresAnswer answer) {
 		List<String> lines = new ArrayList<>();
 		lines.add("cell %s, %s to %s, kept until %s".formatted(answer.cell(), Instant.ofEpochMilli(answer.fromMillis()),
 				Instant.ofEpochMilli(answer.toMillis()), Instant.ofEpochMilli(answer.keptUntilMillis())));
 		Table table = new Table("SERVICE", "REQUESTS", "TURNED AWAY", "IMBALANCE", "TARGET", "CHURN %/DAY", "TARGET",
 				"UNAVAILABLE S/DAY", "TARGET", "MET");
 		answer.services()
-			.forEach((service) -> table.row(service.service(), service.requests(), service.turnedAway(),
-					number(service.imbalanceRatio()), number(service.imbalanceTarget()),
-					number(service.churnPercentADay()), number(service.churnTarget()),
-					number(service.unavailableSecondsADay()), number(service.unavailableTarget()),
+			.forEach((service) -> table.addRow(service.service(), service.requests(), service.turnedAway(),
+					formatNumber(service.imbalanceRatio()), formatNumber(service.imbalanceTarget()),
+					formatNumber(service.churnPercentADay()), formatNumber(service.churnTarget()),
+					formatNumber(service.unavailableSecondsADay()), formatNumber(service.unavailableTarget()),
 					(service.met()) ? "yes" : "NO"));
 		lines.addAll(table.lines());
 		return new Report(answer, lines);
 	}
 
-	private static String number(double value) {
+	private static String formatNumber(double value) {
 		return String.format(Locale.ROOT, "%.2f", value);
 	}
 
--- a/cli/src/main/java/org/brasspier/cli/internal/MoveCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/MoveCommand.java
@@ -24,7 +24,7 @@
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
 		if (this.operands.size() != OPERAND_COUNT) {
-			return Session.refuse("name a service, a range and an instance: move SERVICE RANGE INSTANCE");
+			return Session.badRequest("name a service, a range and an instance: move SERVICE RANGE INSTANCE");
 		}
 		return session.client()
 			.post("/v1/move", new OrderRequest(this.operands.get(2), this.operands.get(0), this.operands.get(1), false),
--- a/cli/src/main/java/org/brasspier/cli/internal/OperatorClient.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/OperatorClient.java
@@ -84,72 +84,72 @@
 	 * @return the response, or the error
 	 */
 	public <T> Either<ErrorAnswer, T> get(String daemon, String path, Class<T> type) {
-		return call(HttpRequest.builder(HttpMethod.GET, "http://" + daemon + path), type);
+		return send(HttpRequest.builder(HttpMethod.GET, "http://" + daemon + path), type);
 	}
 
 	/**
 	 * Sends an order in a POST request to the first daemon that can be reached.
 	 * @param <T> type of the response
 	 * @param path path of the request
-	 * @param message order, sent as JSON
+	 * @param body order, sent as JSON
 	 * @param type class of the response
-	 * @param repeatable whether the order is idempotent, so that it may reach two daemons
+	 * @param idempotent whether the order is idempotent, so that it may reach two daemons
 	 * @return the response, or the error
 	 */
-	public <T> Either<ErrorAnswer, T> post(String path, Object message, Class<T> type, boolean repeatable) {
-		return tryInOrder((daemon) -> call(HttpRequest.builder(HttpMethod.POST, "http://" + daemon + path)
-			.withBody(OperatorJson.write(message).getBytes(StandardCharsets.UTF_8)), type), repeatable);
+	public <T> Either<ErrorAnswer, T> post(String path, Object body, Class<T> type, boolean idempotent) {
+		return tryInOrder((daemon) -> send(HttpRequest.builder(HttpMethod.POST, "http://" + daemon + path)
+			.withBody(OperatorJson.write(body).getBytes(StandardCharsets.UTF_8)), type), idempotent);
 	}
 
-	private <T> Either<ErrorAnswer, T> tryInOrder(Function<String, Either<ErrorAnswer, T>> call, boolean repeatable) {
-		Either<ErrorAnswer, T> last = unreachable("no daemon was named (see TROUBLESHOOTING.md#no-daemon)");
+	private <T> Either<ErrorAnswer, T> tryInOrder(Function<String, Either<ErrorAnswer, T>> call, boolean idempotent) {
+		Either<ErrorAnswer, T> lastResult = unreachable("no daemon was named (see TROUBLESHOOTING.md#no-daemon)");
 		for (String daemon : this.daemons) {
-			last = call.apply(daemon);
-			boolean next = last.isLeft() && last.getLeft().error() == ErrorKind.DAEMON_UNREACHABLE
-					&& (repeatable || last.getLeft().ran().equals(NOT_RUN));
-			if (!next) {
-				return last;
+			lastResult = call.apply(daemon);
+			boolean shouldTryNext = lastResult.isLeft() && lastResult.getLeft().error() == ErrorKind.DAEMON_UNREACHABLE
+					&& (idempotent || lastResult.getLeft().ran().equals(NOT_RUN));
+			if (!shouldTryNext) {
+				return lastResult;
 			}
 		}
-		return last;
+		return lastResult;
 	}
 
 	private static <T> Either<ErrorAnswer, T> unreachable(String detail) {
 		return Either.left(ErrorAnswer.of(Failure.of(ErrorKind.DAEMON_UNREACHABLE, detail)));
 	}
 
-	private <T> Either<ErrorAnswer, T> call(HttpRequest.Builder builder, Class<T> type) {
-		Eventloop loop = Eventloop.builder().withCurrentThread().build();
-		HttpClient http = HttpClient.builder(loop, DnsClient.create(loop, NO_NAME_SERVER))
+	private <T> Either<ErrorAnswer, T> send(HttpRequest.Builder builder, Class<T> type) {
+		Eventloop eventloop = Eventloop.builder().withCurrentThread().build();
+		HttpClient client = HttpClient.builder(eventloop, DnsClient.create(eventloop, NO_NAME_SERVER))
 			.withNoKeepAlive()
 			.withConnectTimeout(CONNECT_TIMEOUT)
 			.withReadWriteTimeout(this.timeout)
 			.build();
-		AtomicReference<Either<ErrorAnswer, T>> outcome = new AtomicReference<>(
-				Either.left(unanswered(true, "the call did not end")));
-		http.request(builder.withHeader(HttpHeaders.AUTHORIZATION, "Bearer " + this.secret).build())
-			.then((response) -> read(response, type))
-			.whenComplete((read, ex) -> outcome
-				.set((ex != null) ? Either.left(unanswered(!(ex instanceof ConnectException), ex.toString())) : read));
-		loop.run();
-		return Objects.requireNonNull(outcome.get());
+		AtomicReference<Either<ErrorAnswer, T>> result = new AtomicReference<>(
+				Either.left(unansweredError(true, "the call did not end")));
+		client.request(builder.withHeader(HttpHeaders.AUTHORIZATION, "Bearer " + this.secret).build())
+			.then((response) -> readAnswer(response, type))
+			.whenComplete((answer, ex) -> result.set((ex != null)
+					? Either.left(unansweredError(!(ex instanceof ConnectException), ex.toString())) : answer));
+		eventloop.run();
+		return Objects.requireNonNull(result.get());
 	}
 
-	private static <T> Promise<Either<ErrorAnswer, T>> read(HttpResponse response, Class<T> type) {
+	private static <T> Promise<Either<ErrorAnswer, T>> readAnswer(HttpResponse response, Class<T> type) {
 		return response.loadBody(MAX_BODY_BYTES).map(ByteBuf::getArray).map((body) -> {
 			String json = new String(body, StandardCharsets.UTF_8);
 			if (response.getCode() == 200) {
-				return OperatorJson.read(json, type).mapLeft((failure) -> unanswered(true, failure.detail()));
+				return OperatorJson.read(json, type).mapLeft((failure) -> unansweredError(true, failure.detail()));
 			}
 			return Either.left(OperatorJson.read(json, ErrorAnswer.class)
-				.getOrElse(() -> unanswered(true, "status " + response.getCode())));
+				.getOrElse(() -> unansweredError(true, "status " + response.getCode())));
 		});
 	}
 
-	private static ErrorAnswer unanswered(boolean reached, String why) {
+	private static ErrorAnswer unansweredError(boolean mayHaveReached, String reason) {
 		ErrorAnswer error = ErrorAnswer.of(Failure.of(ErrorKind.DAEMON_UNREACHABLE,
-				"the daemon did not answer: %s (see TROUBLESHOOTING.md#no-daemon)".formatted(why)));
-		return (reached) ? error : error.withRan(NOT_RUN);
+				"the daemon did not answer: %s (see TROUBLESHOOTING.md#no-daemon)".formatted(reason)));
+		return (mayHaveReached) ? error : error.withRan(NOT_RUN);
 	}
 
 }
--- a/cli/src/main/java/org/brasspier/cli/internal/OwnerCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/OwnerCommand.java
@@ -23,18 +23,18 @@
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
 		if (this.operands.size() != 2) {
-			return Session.refuse("name a service and a key: owner SERVICE KEY");
+			return Session.badRequest("name a service and a key: owner SERVICE KEY");
 		}
 		return session.client()
-			.get("/v1/owner?service=%s&key=%s".formatted(encode(this.operands.get(0)), encode(this.operands.get(1))),
-					OwnerAnswer.class)
+			.get("/v1/owner?service=%s&key=%s".formatted(urlEncode(this.operands.get(0)),
+					urlEncode(this.operands.get(1))), OwnerAnswer.class)
 			.map((answer) -> new Report(answer, new Table("SERVICE", "POINT", "RANGE", "OWNER", "FENCE", "CALLERS")
-				.row(answer.service(), answer.point(), answer.range(),
+				.addRow(answer.service(), answer.point(), answer.range(),
 						(answer.owner().isEmpty()) ? "(none)" : answer.owner(), answer.fence(), answer.callers())
 				.lines()));
 	}
 
-	static String encode(String text) {
+	static String urlEncode(String text) {
 		return URLEncoder.encode(text, StandardCharsets.UTF_8);
 	}
 
--- a/cli/src/main/java/org/brasspier/cli/internal/Session.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/Session.java
@@ -18,12 +18,12 @@
  *
  * @param client client of the daemons' operator ports
  * @param terminal the operator's terminal
- * @param drafts file that stores the draft
- * @param json whether results are printed as JSON
+ * @param draftFile file that stores the draft
+ * @param jsonOutput whether results are printed as JSON
  */
-record Session(OperatorClient client, Terminal terminal, DraftFile drafts, boolean json) {
+record Session(OperatorClient client, Terminal terminal, DraftFile draftFile, boolean jsonOutput) {
 
-	static <T> Either<ErrorAnswer, T> refuse(String detail) {
+	static <T> Either<ErrorAnswer, T> badRequest(String detail) {
 		return Either.left(ErrorAnswer.of(Failure.of(ErrorKind.BAD_REQUEST, detail)));
 	}
 
@@ -31,7 +31,7 @@
 	 * Reads the document in force.
 	 * @return the document, or the error
 	 */
-	Either<ErrorAnswer, DocumentAnswer> inForce() {
+	Either<ErrorAnswer, DocumentAnswer> documentInForce() {
 		return this.client.get("/v1/document", DocumentAnswer.class);
 	}
 
@@ -39,13 +39,13 @@
 	 * Returns the stored draft, or a new one based on the document in force.
 	 * @return the draft, or the error
 	 */
-	Either<ErrorAnswer, Draft> draft() {
-		return this.drafts.read()
-			.<Either<ErrorAnswer, Draft>>map((kept) -> Either.right(kept.draft()))
-			.orElseGet(() -> inForce().map((answer) -> Draft.from(answer.version(), document(answer))));
+	Either<ErrorAnswer, Draft> storedOrNewDraft() {
+		return this.draftFile.read()
+			.<Either<ErrorAnswer, Draft>>map((storedDraft) -> Either.right(storedDraft.draft()))
+			.orElseGet(() -> documentInForce().map((answer) -> Draft.from(answer.version(), toDocument(answer))));
 	}
 
-	static Document document(DocumentAnswer answer) {
+	static Document toDocument(DocumentAnswer answer) {
 		return DocumentCodec.document(answer.fields());
 	}
 
@@ -54,11 +54,11 @@
 	 * command line.
 	 * @return addresses as IP:PORT
 	 */
-	Set<String> allDaemons() {
-		Set<String> all = new TreeSet<>(this.client.daemons());
+	Set<String> allDaemonAddresses() {
+		Set<String> addresses = new TreeSet<>(this.client.daemons());
 		this.client.get("/v1/cell", CellAnswer.class)
-			.peek((cell) -> cell.members().forEach((member) -> all.add(member.operators())));
-		return all;
+			.peek((cell) -> cell.members().forEach((member) -> addresses.add(member.operators())));
+		return addresses;
 	}
 
 }
--- a/cli/src/main/java/org/brasspier/cli/internal/StatusCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/StatusCommand.java
@@ -28,12 +28,12 @@
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
 		return session.client().get("/v1/cell", CellAnswer.class).map((cell) -> {
-			Map<String, StatusAnswer> statuses = statuses(session, cell);
-			return new Report(new StatusMessage(cell, statuses), lines(cell, statuses));
+			Map<String, StatusAnswer> statuses = fetchStatuses(session, cell);
+			return new Report(new StatusMessage(cell, statuses), formatStatus(cell, statuses));
 		});
 	}
 
-	private static Map<String, StatusAnswer> statuses(Session session, CellAnswer cell) {
+	private static Map<String, StatusAnswer> fetchStatuses(Session session, CellAnswer cell) {
 		Map<String, StatusAnswer> statuses = new TreeMap<>();
 		cell.members()
 			.forEach((member) -> session.client()
@@ -42,16 +42,16 @@
 		return statuses;
 	}
 
-	private List<String> lines(CellAnswer cell, Map<String, StatusAnswer> statuses) {
+	private List<String> formatStatus(CellAnswer cell, Map<String, StatusAnswer> statuses) {
 		List<String> lines = new ArrayList<>();
 		lines.add("cell %s, row version %d, epoch %d, primary %s, secondary %s".formatted(cell.cell(), cell.version(),
-				cell.epoch(), orNone(cell.primary()), orNone(cell.secondary())));
+				cell.epoch(), nameOrNone(cell.primary()), nameOrNone(cell.secondary())));
 		lines.add("");
-		lines.addAll(members(cell, statuses));
+		lines.addAll(instanceTable(cell, statuses));
 		lines.add("");
-		lines.addAll(queues(cell, statuses));
+		lines.addAll(queueTable(cell, statuses));
 		lines.add("");
-		lines.addAll(services(cell));
+		lines.addAll(serviceTable(cell));
 		cell.moves()
 			.forEach((move) -> lines.add("moving %s %s to %s%s".formatted(move.service(), move.range(), move.to(),
 					(move.released()) ? ", released" : "")));
@@ -59,18 +59,19 @@
 			lines.add("");
 			Table table = new Table("SERVICE", "RANGE", "OWNER", "FENCE");
 			cell.ranges()
-				.forEach((range) -> table.row(range.service(), range.range(), orNone(range.owner()), range.fence()));
+				.forEach((range) -> table.addRow(range.service(), range.range(), nameOrNone(range.owner()),
+						range.fence()));
 			lines.addAll(table.lines());
 		}
 		return lines;
 	}
 
-	private static List<String> members(CellAnswer cell, Map<String, StatusAnswer> statuses) {
+	private static List<String> instanceTable(CellAnswer cell, Map<String, StatusAnswer> statuses) {
 		Table table = new Table("INSTANCE", "FAILURE DOMAIN", "SERVICE", "PHASE", "SLOTS", "FENCES", "LEASE MS",
 				"RANGES", "DOCUMENT");
 		for (CellAnswer.Member member : cell.members()) {
 			StatusAnswer status = statuses.get(member.instance());
-			table.row(member.instance(), member.failureDomain(), orNone(member.service()), member.phase(),
+			table.addRow(member.instance(), member.failureDomain(), nameOrNone(member.service()), member.phase(),
 					member.slots(), (member.checksFences()) ? "checked" : "unchecked",
 					(status != null) ? status.leaseMillisLeft() : "no answer",
 					(status != null) ? status.rangesHeld() : "?", (status != null) ? status.documentVersion() : "?");
@@ -78,33 +79,34 @@
 		return table.lines();
 	}
 
-	private static List<String> queues(CellAnswer cell, Map<String, StatusAnswer> statuses) {
+	private static List<String> queueTable(CellAnswer cell, Map<String, StatusAnswer> statuses) {
 		Table table = new Table("INSTANCE", "SLOTS", "RUNNING", "WAITING", "BY CLASS (RUNNING+WAITING)");
 		for (CellAnswer.Member member : cell.members()) {
-			List<StatusAnswer.ClassLoad> loads = Optional.ofNullable(statuses.get(member.instance()))
+			List<StatusAnswer.ClassLoad> classLoads = Optional.ofNullable(statuses.get(member.instance()))
 				.map(StatusAnswer::classes)
 				.orElse(List.of());
-			table.row(member.instance(), member.slots(), sum(loads, StatusAnswer.ClassLoad::running),
-					sum(loads, StatusAnswer.ClassLoad::waiting),
-					loads.stream()
+			table.addRow(member.instance(), member.slots(), sumOrUnknown(classLoads, StatusAnswer.ClassLoad::running),
+					sumOrUnknown(classLoads, StatusAnswer.ClassLoad::waiting),
+					classLoads.stream()
 						.map((load) -> "%s %d+%d".formatted(load.requestClass(), load.running(), load.waiting()))
 						.collect(Collectors.joining(", ")));
 		}
 		return table.lines();
 	}
 
-	private static String sum(List<StatusAnswer.ClassLoad> loads, ToIntFunction<StatusAnswer.ClassLoad> count) {
-		return (loads.isEmpty()) ? "?" : Integer.toString(loads.stream().mapToInt(count).sum());
+	private static String sumOrUnknown(List<StatusAnswer.ClassLoad> classLoads,
+			ToIntFunction<StatusAnswer.ClassLoad> counter) {
+		return (classLoads.isEmpty()) ? "?" : Integer.toString(classLoads.stream().mapToInt(counter).sum());
 	}
 
-	private static List<String> services(CellAnswer cell) {
+	private static List<String> serviceTable(CellAnswer cell) {
 		Table table = new Table("SERVICE", "RANGES", "WITHOUT OWNER", "OWNERS");
 		cell.ranges()
 			.stream()
 			.collect(Collectors.groupingBy(CellAnswer.Range::service, TreeMap::new, Collectors.toList()))
-			.forEach((service, owned) -> table.row(service, owned.size(),
-					owned.stream().filter((range) -> range.owner().isEmpty()).count(),
-					owned.stream()
+			.forEach((service, serviceRanges) -> table.addRow(service, serviceRanges.size(),
+					serviceRanges.stream().filter((range) -> range.owner().isEmpty()).count(),
+					serviceRanges.stream()
 						.map(CellAnswer.Range::owner)
 						.filter((owner) -> !owner.isEmpty())
 						.distinct()
@@ -112,7 +114,7 @@
 		return table.lines();
 	}
 
-	private static String orNone(String text) {
+	private static String nameOrNone(String text) {
 		return (text.isEmpty()) ? "(none)" : text;
 	}
 
--- a/cli/src/main/java/org/brasspier/cli/internal/Table.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/Table.java
@@ -16,7 +16,7 @@
 		this.rows.add(List.of(header));
 	}
 
-	Table row(Object... cells) {
+	Table addRow(Object... cells) {
 		this.rows.add(List.of(cells).stream().map(Object::toString).toList());
 		return this;
 	}
--- a/cli/src/main/java/org/brasspier/cli/internal/Terminal.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/Terminal.java
@@ -23,7 +23,7 @@
 	 * @param question prompt text
 	 * @return the line without surrounding whitespace; null at the end of input
 	 */
-	@Nullable String ask(String question) {
+	@Nullable String prompt(String question) {
 		this.err.print(question);
 		this.err.flush();
 		try {
@@ -41,10 +41,10 @@
 	 * @return whether the answer was yes; false if the terminal is not interactive
 	 */
 	boolean confirm(String question) {
-		return this.interactive && "yes".equalsIgnoreCase(ask(question + " Type yes to go on: "));
+		return this.interactive && "yes".equalsIgnoreCase(prompt(question + " Type yes to go on: "));
 	}
 
-	void progress(String line) {
+	void printProgress(String line) {
 		this.err.println(line);
 	}
 
--- a/cli/src/main/java/org/brasspier/cli/internal/TimelineCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/TimelineCommand.java
@@ -26,7 +26,8 @@
 
 	private static final Duration POLL_INTERVAL = Duration.ofMillis(500);
 
-	private static final Comparator<EventsAnswer.Entry> ORDER = Comparator.comparingLong(EventsAnswer.Entry::stamp)
+	private static final Comparator<EventsAnswer.Entry> CAUSAL_ORDER = Comparator
+		.comparingLong(EventsAnswer.Entry::stamp)
 		.thenComparing(EventsAnswer.Entry::instance)
 		.thenComparingLong(EventsAnswer.Entry::number);
 
@@ -54,93 +55,101 @@
 	@Parameter(names = "--for-seconds", description = "with --follow, end after this time; until Ctrl-C if not given")
 	private int forSeconds;
 
-	private final Map<String, Long> lastNumbers = new HashMap<>();
+	private final Map<String, Long> lastNumberByDaemon = new HashMap<>();
 
-	private final Map<String, Long> reportedLosses = new HashMap<>();
+	private final Map<String, Long> reportedLossesByInstance = new HashMap<>();
 
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
-		List<EventsAnswer> answers = read(session);
+		List<EventsAnswer> answers = fetchEvents(session);
 		List<EventsAnswer.Entry> entries = merge(answers);
 		List<EventsAnswer.Entry> latest = entries.subList(Math.max(0, entries.size() - this.count), entries.size());
-		List<Loss> losses = answers.stream().flatMap((answer) -> losses(answer)).toList();
+		List<MissingEvents> missingEvents = answers.stream().flatMap((answer) -> newlyMissingEvents(answer)).toList();
 		if (this.follow) {
-			print(session, losses, latest);
-			return follow(session);
+			printEvents(session, missingEvents, latest);
+			return followEvents(session);
 		}
-		List<String> lines = Stream.concat(losses.stream().map(Loss::line), latest.stream().map(TimelineCommand::line))
+		List<String> lines = Stream
+			.concat(missingEvents.stream().map(MissingEvents::line), latest.stream().map(TimelineCommand::formatEvent))
 			.toList();
-		return Either.right(new Report(new Events(losses, latest), lines));
+		return Either.right(new Report(new TimelineMessage(missingEvents, latest), lines));
 	}
 
-	private List<EventsAnswer> read(Session session) {
-		return session.allDaemons()
+	private List<EventsAnswer> fetchEvents(Session session) {
+		return session.allDaemonAddresses()
 			.stream()
 			.flatMap((daemon) -> session.client()
-				.get(daemon, path(this.lastNumbers.getOrDefault(daemon, 0L)), EventsAnswer.class)
-				.peekLeft((error) -> session.terminal().progress(daemon + ": " + error.detail()))
-				.peek((answer) -> this.lastNumbers.put(daemon, answer.lastNumber()))
+				.get(daemon, eventsPath(this.lastNumberByDaemon.getOrDefault(daemon, 0L)), EventsAnswer.class)
+				.peekLeft((error) -> session.terminal().printProgress(daemon + ": " + error.detail()))
+				.peek((answer) -> this.lastNumberByDaemon.put(daemon, answer.lastNumber()))
 				.toJavaStream())
 			.toList();
 	}
 
-	private String path(long after) {
+	private String eventsPath(long afterNumber) {
 		Map<String, String> filters = Map.of("key", this.key, "range", this.range, "request", this.request, "instance",
 				this.instance, "kind", this.kind);
-		return "/v1/events?after=" + after
+		return "/v1/events?after=" + afterNumber
 				+ filters.entrySet()
 					.stream()
 					.filter((filter) -> !filter.getValue().isEmpty())
-					.map((filter) -> "&" + filter.getKey() + "=" + OwnerCommand.encode(filter.getValue()))
+					.map((filter) -> "&" + filter.getKey() + "=" + OwnerCommand.urlEncode(filter.getValue()))
 					.collect(Collectors.joining());
 	}
 
 	static List<EventsAnswer.Entry> merge(List<EventsAnswer> answers) {
-		return answers.stream().flatMap((answer) -> answer.events().stream()).sorted(ORDER).toList();
+		return answers.stream().flatMap((answer) -> answer.events().stream()).sorted(CAUSAL_ORDER).toList();
 	}
 
-	Stream<Loss> losses(EventsAnswer answer) {
-		long before = this.reportedLosses.getOrDefault(answer.instance(), 0L);
-		this.reportedLosses.put(answer.instance(), answer.lost());
-		boolean first = before == 0 && !this.follow;
-		Loss loss = new Loss(answer.instance(), Math.max(0, answer.lost() - before),
-				(first) ? answer.pushedOutUntil() : 0);
-		return (loss.isEmpty()) ? Stream.empty() : Stream.of(loss);
+	Stream<MissingEvents> newlyMissingEvents(EventsAnswer answer) {
+		long lossesReportedBefore = this.reportedLossesByInstance.getOrDefault(answer.instance(), 0L);
+		this.reportedLossesByInstance.put(answer.instance(), answer.lost());
+		boolean isFirstRead = lossesReportedBefore == 0 && !this.follow;
+		MissingEvents missing = new MissingEvents(answer.instance(), Math.max(0, answer.lost() - lossesReportedBefore),
+				(isFirstRead) ? answer.pushedOutUntil() : 0);
+		return (missing.isEmpty()) ? Stream.empty() : Stream.of(missing);
 	}
 
-	private static String line(EventsAnswer.Entry entry) {
+	private static String formatEvent(EventsAnswer.Entry entry) {
 		return "%s %-14s %d %s %s %s"
 			.formatted(Instant.ofEpochMilli(entry.millis()), entry.instance(), entry.event(), entry.kind(),
 					entry.subject(), entry.detail())
 			.stripTrailing();
 	}
 
-	private Either<ErrorAnswer, Report> follow(Session session) {
-		long end = System.nanoTime() + Duration.ofSeconds(this.forSeconds).toNanos();
+	private Either<ErrorAnswer, Report> followEvents(Session session) {
+		long deadlineNanos = System.nanoTime() + Duration.ofSeconds(this.forSeconds).toNanos();
 		List<EventsAnswer.Entry> pending = new ArrayList<>();
-		while (this.forSeconds == 0 || System.nanoTime() - end < 0) {
+		while (this.forSeconds == 0 || System.nanoTime() - deadlineNanos < 0) {
 			LockSupport.parkNanos(POLL_INTERVAL.toNanos());
-			List<EventsAnswer> answers = read(session);
-			List<Loss> losses = answers.stream().flatMap((answer) -> losses(answer)).toList();
+			List<EventsAnswer> answers = fetchEvents(session);
+			List<MissingEvents> missingEvents = answers.stream()
+				.flatMap((answer) -> newlyMissingEvents(answer))
+				.toList();
 			// Holds the events of one poll until the next one, since another daemon may
 			// still report an earlier event.
-			long pollStart = System.currentTimeMillis() - POLL_INTERVAL.toMillis();
+			long releaseBeforeMillis = System.currentTimeMillis() - POLL_INTERVAL.toMillis();
 			pending.addAll(merge(answers));
-			pending.sort(ORDER);
-			List<EventsAnswer.Entry> due = pending.stream().filter((entry) -> entry.millis() < pollStart).toList();
-			print(session, losses, due);
+			pending.sort(CAUSAL_ORDER);
+			List<EventsAnswer.Entry> due = pending.stream()
+				.filter((entry) -> entry.millis() < releaseBeforeMillis)
+				.toList();
+			printEvents(session, missingEvents, due);
 			pending.removeAll(due);
 		}
-		print(session, List.of(), pending);
-		return Either.right(Report.of(new Followed(true)));
+		printEvents(session, List.of(), pending);
+		return Either.right(Report.of(new FollowMessage(true)));
 	}
 
 	// One line for each entry, also as JSON, so that programs can read them as a stream.
-	private static void print(Session session, List<Loss> losses, List<EventsAnswer.Entry> entries) {
-		losses.forEach(
-				(loss) -> session.terminal().out().println((session.json()) ? OperatorJson.write(loss) : loss.line()));
-		entries.forEach((
-				entry) -> session.terminal().out().println((session.json()) ? OperatorJson.write(entry) : line(entry)));
+	private static void printEvents(Session session, List<MissingEvents> missingEvents,
+			List<EventsAnswer.Entry> entries) {
+		missingEvents.forEach((missing) -> session.terminal()
+			.out()
+			.println((session.jsonOutput()) ? OperatorJson.write(missing) : missing.line()));
+		entries.forEach((entry) -> session.terminal()
+			.out()
+			.println((session.jsonOutput()) ? OperatorJson.write(entry) : formatEvent(entry)));
 		session.terminal().out().flush();
 	}
 
@@ -150,7 +159,7 @@
 	 * @param losses events missing from the time line
 	 * @param events events in causal order
 	 */
-	private record Events(List<Loss> losses, List<EventsAnswer.Entry> events) {
+	private record TimelineMessage(List<MissingEvents> losses, List<EventsAnswer.Entry> events) {
 
 	}
 
@@ -162,18 +171,19 @@
 	 * @param pushedOutUntil highest number of an event evicted by newer ones, 0 if none
 	 * was
 	 */
-	record Loss(String instance, long lost, long pushedOutUntil) {
+	record MissingEvents(String instance, long lost, long pushedOutUntil) {
 
 		boolean isEmpty() {
 			return this.lost == 0 && this.pushedOutUntil == 0;
 		}
 
 		String line() {
-			String full = (this.lost > 0) ? " lost %d events: its ring was full".formatted(this.lost) : "";
-			String gone = (this.pushedOutUntil > 0)
+			String ringFullText = (this.lost > 0) ? " lost %d events: its ring was full".formatted(this.lost) : "";
+			String evictedText = (this.pushedOutUntil > 0)
 					? " keeps only its latest events; some up to number %d are gone".formatted(this.pushedOutUntil)
 					: "";
-			return "# " + this.instance + full + ((full.isEmpty() || gone.isEmpty()) ? "" : ";") + gone;
+			return "# " + this.instance + ringFullText + ((ringFullText.isEmpty() || evictedText.isEmpty()) ? "" : ";")
+					+ evictedText;
 		}
 
 	}
@@ -183,7 +193,7 @@
 	 *
 	 * @param followed always true
 	 */
-	private record Followed(boolean followed) {
+	private record FollowMessage(boolean followed) {
 
 	}
 
--- a/cli/src/main/java/org/brasspier/cli/internal/UndrainCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/UndrainCommand.java
@@ -22,7 +22,7 @@
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
 		if (this.operands.size() != 1) {
-			return Session.refuse("name one instance: undrain INSTANCE");
+			return Session.badRequest("name one instance: undrain INSTANCE");
 		}
 		return session.client()
 			.post("/v1/undrain", new OrderRequest(this.operands.getFirst(), "", "", false), OrderAnswer.class, true)
--- a/cli/src/test/java/org/brasspier/cli/internal/FormCommandTests.java
+++ b/cli/src/test/java/org/brasspier/cli/internal/FormCommandTests.java
@@ -26,42 +26,42 @@
 class FormCommandTests {
 
 	@TempDir
-	private Path folder;
+	private Path directory;
 
 	private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
 	private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
-	private Path draft;
+	private Path draftFile;
 
 	@BeforeEach
-	void beginDraft() {
-		this.draft = this.folder.resolve("draft.json");
-		new DraftFile(this.draft).write(Draft.from(0, Document.EMPTY));
+	void writeEmptyDraft() {
+		this.draftFile = this.directory.resolve("draft.json");
+		new DraftFile(this.draftFile).write(Draft.from(0, Document.EMPTY));
 	}
 
 	@Test
-	void fieldsAreFlags() {
+	void fieldsCanBeSetByFlags() {
 		assertThat(run("", "form", "service", "hullbook", "--divided-by-key", "yes", "--run-limit-millis", "500"))
 			.isEqualTo(0);
-		assertThat(document().toString())
+		assertThat(draftDocument().toString())
 			.isEqualTo("Document{service/hullbook/divided-by-key=yes, service/hullbook/run-limit-millis=500}");
-		assertThat(shown()).contains("a whole number from 1 to 600000");
+		assertThat(standardOutput()).contains("a whole number from 1 to 600000");
 	}
 
 	@Test
 	void anInvalidValueIsRefusedWithTheAllowedValuesAndNothingIsStored() {
 		assertThat(run("", "form", "service", "hullbook", "--divided-by-key", "yes", "--run-limit-millis", "0"))
 			.isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
-		assertThat(said()).contains("run-limit-millis \"0\" must be a whole number from 1 to 600000");
-		assertThat(document()).isEqualTo(Document.EMPTY);
+		assertThat(standardError()).contains("run-limit-millis \"0\" must be a whole number from 1 to 600000");
+		assertThat(draftDocument()).isEqualTo(Document.EMPTY);
 	}
 
 	@Test
-	void theDialogAsksAgainWhereAValueIsNotAllowed() {
+	void theDialogRepeatsThePromptAfterAnInvalidValue() {
 		assertThat(run("maybe\nno\n\n-\n", "form", "service", "jobdesk", "--ask")).isEqualTo(0);
-		assertThat(said()).contains("divided-by-key \"maybe\" must be yes or no");
-		assertThat(document().toString()).isEqualTo("Document{service/jobdesk/divided-by-key=no}");
+		assertThat(standardError()).contains("divided-by-key \"maybe\" must be yes or no");
+		assertThat(draftDocument().toString()).isEqualTo("Document{service/jobdesk/divided-by-key=no}");
 	}
 
 	@Test
@@ -73,24 +73,24 @@
 	void theDraftShowsItsChangesAndIsDiscarded() {
 		run("", "form", "weights", "--churn", "3");
 		assertThat(run("", "draft", "show")).isEqualTo(0);
-		assertThat(shown()).contains("weights/churn: (none) -> 3");
+		assertThat(standardOutput()).contains("weights/churn: (none) -> 3");
 		assertThat(run("", "draft", "discard")).isEqualTo(0);
-		assertThat(Files.exists(this.draft)).isFalse();
+		assertThat(Files.exists(this.draftFile)).isFalse();
 	}
 
 	@Test
 	void aDamagedDraftFileIsRefused() throws IOException {
-		Files.writeString(this.draft, "{\"base_version\":1}");
+		Files.writeString(this.draftFile, "{\"base_version\":1}");
 		assertThat(run("", "draft", "show")).isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
-		assertThat(said()).contains("TROUBLESHOOTING.md#draft-file");
+		assertThat(standardError()).contains("TROUBLESHOOTING.md#draft-file");
 	}
 
 	@Test
 	void helpListsCommandsAndTheFieldsOfForms() {
 		assertThat(run("", "--help")).isEqualTo(0);
 		assertThat(run("", "form", "--help")).isEqualTo(0);
-		assertThat(shown()).contains("declare-lost");
-		assertThat(shown()).contains("--guard-millis");
+		assertThat(standardOutput()).contains("declare-lost");
+		assertThat(standardOutput()).contains("--guard-millis");
 	}
 
 	// Guards against help that a new operator cannot use: lines over 120 columns, fields
@@ -101,12 +101,12 @@
 				"undrain", "move", "declare-lost")) {
 			assertThat(run("", (command + " --help").strip().split(" "))).isEqualTo(0);
 		}
-		assertThat(shown().lines().filter((line) -> line.length() > 120).toList()).isEmpty();
-		assertThat(shown()).doesNotContain("<empty string>");
-		assertThat(shown()).contains("--secret-file");
-		assertThat(shown()).contains("11  DOCUMENT_CONFLICT");
-		assertThat(shown()).contains("a whole number from 10 to 5000 in ms, usually 200");
-		assertThat(shown()).contains("rebase   move its changes onto the version in force");
+		assertThat(standardOutput().lines().filter((line) -> line.length() > 120).toList()).isEmpty();
+		assertThat(standardOutput()).doesNotContain("<empty string>");
+		assertThat(standardOutput()).contains("--secret-file");
+		assertThat(standardOutput()).contains("11  DOCUMENT_CONFLICT");
+		assertThat(standardOutput()).contains("a whole number from 10 to 5000 in ms, usually 200");
+		assertThat(standardOutput()).contains("rebase   move its changes onto the version in force");
 	}
 
 	@Test
@@ -116,40 +116,40 @@
 		assertThat(run("", "--output", "xml", "draft", "show")).isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
 		assertThat(run("", "form", "service")).isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
 		assertThat(run("", "form", "weights", "--chrun", "3")).isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
-		assertThat(said()).contains("unknown flag --chrun");
+		assertThat(standardError()).contains("unknown flag --chrun");
 	}
 
 	@Test
-	void theExitCodeTellsThatNoDaemonAnswered() {
+	void theExitCodeReportsThatNoDaemonAnswered() {
 		assertThat(run("", "--daemon", "127.0.0.1:1", "status")).isEqualTo(ErrorKind.DAEMON_UNREACHABLE.exitCode());
 	}
 
 	@Test
-	void declaringLostNeedsAConfirmation() {
+	void declareLostRequiresConfirmation() {
 		assertThat(run("no\n", "declare-lost", "duluth-1")).isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
-		assertThat(said()).contains("two servers may own the same keys");
+		assertThat(standardError()).contains("two servers may own the same keys");
 	}
 
-	private int run(String typed, String... arguments) {
-		Terminal terminal = new Terminal(new BufferedReader(new StringReader(typed)),
+	private int run(String input, String... arguments) {
+		Terminal terminal = new Terminal(new BufferedReader(new StringReader(input)),
 				new PrintStream(this.out, true, StandardCharsets.UTF_8),
 				new PrintStream(this.err, true, StandardCharsets.UTF_8), true);
-		String[] all = new String[arguments.length + 2];
-		all[0] = "--draft";
-		all[1] = this.draft.toString();
-		System.arraycopy(arguments, 0, all, 2, arguments.length);
-		return new CommandLine(terminal, Map.of()).run(all);
+		String[] commandLine = new String[arguments.length + 2];
+		commandLine[0] = "--draft";
+		commandLine[1] = this.draftFile.toString();
+		System.arraycopy(arguments, 0, commandLine, 2, arguments.length);
+		return new CommandLine(terminal, Map.of()).run(commandLine);
 	}
 
-	private Document document() {
-		return new DraftFile(this.draft).read().orElseThrow().draft().document();
+	private Document draftDocument() {
+		return new DraftFile(this.draftFile).read().orElseThrow().draft().document();
 	}
 
-	private String shown() {
+	private String standardOutput() {
 		return this.out.toString(StandardCharsets.UTF_8);
 	}
 
-	private String said() {
+	private String standardError() {
 		return this.err.toString(StandardCharsets.UTF_8);
 	}
 
--- a/cli/src/test/java/org/brasspier/cli/internal/TimelineCommandTests.java
+++ b/cli/src/test/java/org/brasspier/cli/internal/TimelineCommandTests.java
@@ -27,11 +27,11 @@
 	void eventsLostByAFullRingAreReportedOnce() {
 		TimelineCommand command = new TimelineCommand();
 		EventsAnswer gap = new EventsAnswer("a", 9, 3, 0, List.of());
-		assertThat(command.losses(gap).map(TimelineCommand.Loss::line))
+		assertThat(command.newlyMissingEvents(gap).map(TimelineCommand.MissingEvents::line))
 			.containsExactly("# a lost 3 events: its ring was full");
-		assertThat(command.losses(gap)).isEmpty();
+		assertThat(command.newlyMissingEvents(gap)).isEmpty();
 		EventsAnswer older = new EventsAnswer("b", 9, 5, 7, List.of());
-		assertThat(command.losses(older).map(TimelineCommand.Loss::line)).containsExactly(
+		assertThat(command.newlyMissingEvents(older).map(TimelineCommand.MissingEvents::line)).containsExactly(
 				"# b lost 5 events: its ring was full; keeps only its latest events; some up to number 7 are gone");
 	}
 
