--- a/core/src/main/java/org/brasspier/core/ownership/CellRow.java
+++ b/core/src/main/java/org/brasspier/core/ownership/CellRow.java
@@ -98,12 +98,12 @@
 	 * Returns the row in the next epoch.
 	 * @param primary the manager that writes the row from then on
 	 * @param secondary the other manager, if there is one
-	 * @param stillOpen earlier managers that may still be renewing leases
+	 * @param stillUnclosed earlier managers that may still be renewing leases
 	 * @return the row, without a challenge
 	 */
-	public CellRow nextEpoch(MemberKey primary, Optional<MemberKey> secondary, List<ManagerPair> stillOpen) {
+	public CellRow nextEpoch(MemberKey primary, Optional<MemberKey> secondary, List<ManagerPair> stillUnclosed) {
 		long next = this.epoch + 1;
-		return new CellRow(next, Optional.of(new ManagerPair(next, primary, secondary)), stillOpen, this.members,
+		return new CellRow(next, Optional.of(new ManagerPair(next, primary, secondary)), stillUnclosed, this.members,
 				this.drained, this.ranges, Optional.empty());
 	}
 
@@ -111,7 +111,7 @@
 	 * Returns the row in the next epoch without any lease manager.
 	 * @return the row
 	 */
-	public CellRow abandoned() {
+	public CellRow withoutManagers() {
 		return new CellRow(this.epoch + 1, Optional.empty(), this.unclosed, this.members, this.drained, this.ranges,
 				Optional.empty());
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/EnabledGuards.java
+++ b/core/src/main/java/org/brasspier/core/ownership/EnabledGuards.java
@@ -6,18 +6,18 @@
  * The enabled guards. All are enabled, except in the tests that prove that each one is
  * needed. Immutable and thread-safe.
  *
- * @param off the disabled guards
+ * @param disabled the disabled guards
  */
-record EnabledGuards(Set<Guard> off) {
+record EnabledGuards(Set<Guard> disabled) {
 
-	static final EnabledGuards ALL_ON = new EnabledGuards(Set.of());
+	static final EnabledGuards ALL = new EnabledGuards(Set.of());
 
 	EnabledGuards {
-		off = Set.copyOf(off);
+		disabled = Set.copyOf(disabled);
 	}
 
-	boolean on(Guard guard) {
-		return !this.off.contains(guard);
+	boolean isEnabled(Guard guard) {
+		return !this.disabled.contains(guard);
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/ownership/FormerPairs.java
+++ b/core/src/main/java/org/brasspier/core/ownership/FormerPairs.java
@@ -42,25 +42,25 @@
 	void onHeartbeat(MemberKey key, long epoch, CellRow row, long now) {
 		row.unclosed()
 			.stream()
-			.filter((old) -> old.find(key.instance())
-				.filter((member) -> !member.equals(key) || epoch > old.epoch())
+			.filter((formerPair) -> formerPair.find(key.instance())
+				.filter((member) -> !member.equals(key) || epoch > formerPair.epoch())
 				.isPresent())
-			.forEach((old) -> onManagerStopped(old, now));
+			.forEach((formerPair) -> onManagerStopped(formerPair, now));
 	}
 
-	void onManagerStopped(ManagerPair old, long now) {
-		if (!this.stoppedAt.containsKey(old.epoch())) {
-			this.stoppedAt = this.stoppedAt.put(old.epoch(), now);
+	void onManagerStopped(ManagerPair formerPair, long now) {
+		if (!this.stoppedAt.containsKey(formerPair.epoch())) {
+			this.stoppedAt = this.stoppedAt.put(formerPair.epoch(), now);
 		}
 	}
 
-	List<ManagerPair> closed(CellRow row, long since, long now) {
-		onHeartbeat(this.self, row.epoch(), row, since);
-		long lastResort = since + this.timing.withDrift(this.timing.withoutTable() + this.timing.authority());
+	List<ManagerPair> closed(CellRow row, long epochStartedAt, long now) {
+		onHeartbeat(this.self, row.epoch(), row, epochStartedAt);
+		long allEndedAt = epochStartedAt + this.timing.withDrift(this.timing.withoutTable() + this.timing.authority());
 		return row.unclosed()
 			.stream()
-			.filter((old) -> now >= lastResort || this.stoppedAt.get(old.epoch())
-				.filter((at) -> now >= at + this.timing.withDrift(this.timing.authority()))
+			.filter((formerPair) -> now >= allEndedAt || this.stoppedAt.get(formerPair.epoch())
+				.filter((stopTime) -> now >= stopTime + this.timing.withDrift(this.timing.authority()))
 				.isDefined())
 			.toList();
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
+++ b/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
@@ -29,19 +29,19 @@
 
 	private Optional<ManagerPair> pair = Optional.empty();
 
-	private long since;
+	private long epochStartedAt;
 
-	private long peerBeatSentAt = Long.MIN_VALUE;
+	private long lastPeerBeatSentAt = Long.MIN_VALUE;
 
 	private long minVersion;
 
-	private Optional<MemberKey> replaced = Optional.empty();
+	private Optional<MemberKey> replacedPeer = Optional.empty();
 
 	private SortedMap<InstanceId, MemberRecord> memberRecords = TreeMap.empty();
 
-	private SortedMap<MemberKey, Revocation> revoking = TreeMap.empty();
+	private SortedMap<MemberKey, Revocation> revocations = TreeMap.empty();
 
-	private SortedSet<MemberKey> promised = TreeSet.empty();
+	private SortedSet<MemberKey> promisedMembers = TreeSet.empty();
 
 	private final ManagerAuthority authority;
 
@@ -58,21 +58,22 @@
 	LeaseManager copy() {
 		LeaseManager copy = new LeaseManager(this.self, this.timing, this.guards);
 		copy.pair = this.pair;
-		copy.since = this.since;
+		copy.epochStartedAt = this.epochStartedAt;
 		copy.authority.copyFrom(this.authority);
-		copy.peerBeatSentAt = this.peerBeatSentAt;
+		copy.lastPeerBeatSentAt = this.lastPeerBeatSentAt;
 		copy.minVersion = this.minVersion;
-		copy.replaced = this.replaced;
+		copy.replacedPeer = this.replacedPeer;
 		copy.memberRecords = this.memberRecords;
-		copy.revoking = this.revoking;
-		copy.promised = this.promised;
+		copy.revocations = this.revocations;
+		copy.promisedMembers = this.promisedMembers;
 		copy.formerPairs.copyFrom(this.formerPairs);
 		return copy;
 	}
 
 	List<Object> state() {
-		return List.of(this.pair, this.since, this.authority.state(), this.peerBeatSentAt, this.minVersion,
-				this.replaced, this.memberRecords, this.revoking, this.promised, this.formerPairs.state());
+		return List.of(this.pair, this.epochStartedAt, this.authority.state(), this.lastPeerBeatSentAt, this.minVersion,
+				this.replacedPeer, this.memberRecords, this.revocations, this.promisedMembers,
+				this.formerPairs.state());
 	}
 
 	/**
@@ -89,18 +90,18 @@
 			next.ifPresent((managers) -> addMemberRecords(known.row(), now));
 			return false;
 		}
-		Optional<ManagerPair> before = this.pair;
+		Optional<ManagerPair> previous = this.pair;
 		this.pair = next;
-		this.since = now;
+		this.epochStartedAt = now;
 		this.authority.startEpoch(next.isPresent(), now);
-		this.peerBeatSentAt = Long.MIN_VALUE;
-		this.revoking = TreeMap.empty();
-		this.promised = TreeSet.empty();
+		this.lastPeerBeatSentAt = Long.MIN_VALUE;
+		this.revocations = TreeMap.empty();
+		this.promisedMembers = TreeSet.empty();
 		this.formerPairs.reset();
 		// Only this process renewed the replaced peer's lease as a member.
-		this.replaced = before.flatMap((old) -> old.peerOf(this.self))
+		this.replacedPeer = previous.flatMap((formerPair) -> formerPair.peerOf(this.self))
 			.filter((peer) -> next
-				.filter((managers) -> !managers.includes(peer) && managers.epoch() == before.get().epoch() + 1
+				.filter((managers) -> !managers.includes(peer) && managers.epoch() == previous.get().epoch() + 1
 						&& managers.primary().equals(this.self))
 				.isPresent());
 		next.ifPresent((managers) -> addMemberRecords(known.row(), now));
@@ -111,7 +112,7 @@
 		row.members()
 			.forEach((member) -> this.memberRecords = this.memberRecords.put(member.instance(),
 					this.memberRecords.get(member.instance())
-						.filter((watch) -> watch.incarnation() == member.key().incarnation())
+						.filter((memberRecord) -> memberRecord.incarnation() == member.key().incarnation())
 						.getOrElse(() -> MemberRecord.initial(member.key().incarnation(), now))));
 	}
 
@@ -141,7 +142,7 @@
 
 	Optional<MemberRecord> memberRecord(MemberKey key) {
 		return this.memberRecords.get(key.instance())
-			.filter((watch) -> watch.incarnation() == key.incarnation())
+			.filter((memberRecord) -> memberRecord.incarnation() == key.incarnation())
 			.toJavaOptional();
 	}
 
@@ -159,41 +160,43 @@
 	 * @param key the sender
 	 * @param heartbeat the heartbeat
 	 * @param row the newest known row
-	 * @param writing whether a write is in progress that may move the sender's ranges
+	 * @param writePending whether a write is in progress that may move the sender's
+	 * ranges
 	 * @param now current time, milliseconds
 	 * @return duration of the lease from the sending, 0 if it is not renewed
 	 */
-	long renew(MemberKey key, ControlMessage.Heartbeat heartbeat, CellRow row, boolean writing, long now) {
-		recordHeartbeat(key, heartbeat, row, writing, now);
-		boolean refused = this.revoking.containsKey(key) || this.promised.contains(key)
-				|| (key.equals(this.self) && this.guards.on(Guard.MANAGER_RENEWED_BY_PEER)) || !row.has(key)
+	long renew(MemberKey key, ControlMessage.Heartbeat heartbeat, CellRow row, boolean writePending, long now) {
+		recordHeartbeat(key, heartbeat, row, writePending, now);
+		boolean refused = this.revocations.containsKey(key) || this.promisedMembers.contains(key)
+				|| (key.equals(this.self) && this.guards.isEnabled(Guard.MANAGER_RENEWED_BY_PEER)) || !row.has(key)
 				|| heartbeat.epoch() > epoch() || !isActive();
-		long span = this.authority.maxRenewalMillis(now);
-		if (refused || span <= 0) {
+		long duration = this.authority.maxRenewalMillis(now);
+		if (refused || duration <= 0) {
 			return 0;
 		}
 		this.memberRecords = this.memberRecords
-			.computeIfPresent(key.instance(), (instance, watch) -> watch.withRenewal(now + drift(span)))
+			.computeIfPresent(key.instance(),
+					(instance, memberRecord) -> memberRecord.withRenewal(now + withDrift(duration)))
 			._2();
-		return span;
+		return duration;
 	}
 
-	private void recordHeartbeat(MemberKey key, ControlMessage.Heartbeat heartbeat, CellRow row, boolean writing,
+	private void recordHeartbeat(MemberKey key, ControlMessage.Heartbeat heartbeat, CellRow row, boolean writePending,
 			long now) {
-		MemberRecord watch = memberRecord(key).orElse(MemberRecord.initial(key.incarnation(), now));
+		MemberRecord memberRecord = memberRecord(key).orElse(MemberRecord.initial(key.incarnation(), now));
 		if (memberRecord(key).isPresent() || row.has(key)) {
-			long bound = now + drift(heartbeat.leaseLeft());
+			long latestLeaseEnd = now + withDrift(heartbeat.leaseLeft());
 			this.memberRecords = this.memberRecords.put(key.instance(),
-					watch.withHeartbeat(now, heartbeat.epoch(), bound));
+					memberRecord.withHeartbeat(now, heartbeat.epoch(), latestLeaseEnd));
 		}
-		if (!writing) {
-			this.revoking = this.revoking.remove(key);
+		if (!writePending) {
+			this.revocations = this.revocations.remove(key);
 		}
 		this.formerPairs.onHeartbeat(key, heartbeat.epoch(), row, now);
 	}
 
-	private long drift(long span) {
-		return (this.guards.on(Guard.DRIFT_ALLOWED)) ? this.timing.withDrift(span) : span;
+	private long withDrift(long span) {
+		return (this.guards.isEnabled(Guard.DRIFT_ALLOWED)) ? this.timing.withDrift(span) : span;
 	}
 
 	/**
@@ -209,13 +212,14 @@
 			return Optional.empty();
 		}
 		this.authority.onPeerHeard(now);
-		if (beat.sentAt() > this.peerBeatSentAt) {
-			this.peerBeatSentAt = beat.sentAt();
+		if (beat.sentAt() > this.lastPeerBeatSentAt) {
+			this.lastPeerBeatSentAt = beat.sentAt();
 			this.minVersion = Math.max(this.minVersion, beat.version());
-			this.promised = TreeSet.ofAll(beat.revoking())
-				.filter((member) -> this.promised.contains(member) || isSilent(member, now) || neverHeard(member));
+			this.promisedMembers = TreeSet.ofAll(beat.revoking())
+				.filter((member) -> this.promisedMembers.contains(member) || isSilent(member, now)
+						|| wasNeverHeard(member));
 		}
-		List<ControlMessage.Promised> promises = this.promised.toStream()
+		List<ControlMessage.Promised> promises = this.promisedMembers.toStream()
 			.map((member) -> new ControlMessage.Promised(member, leaseLeft(member, now)))
 			.toJavaList();
 		return Optional.of(new ControlMessage.BeatAnswer(from.incarnation(), beat.sentAt(), epoch(),
@@ -225,15 +229,17 @@
 	// Negative after the lease has expired: the guard time counts from the expiry, and if
 	// each answer reported zero, it would never end.
 	private long leaseLeft(MemberKey member, long now) {
-		return Math.max(memberRecord(member).map(MemberRecord::leaseBound).orElse(this.since), this.since) - now;
+		return Math.max(memberRecord(member).map(MemberRecord::latestLeaseEnd).orElse(this.epochStartedAt),
+				this.epochStartedAt) - now;
 	}
 
-	private boolean neverHeard(MemberKey member) {
-		return memberRecord(member).filter((watch) -> watch.ackedEpoch() > 0).isEmpty();
+	private boolean wasNeverHeard(MemberKey member) {
+		return memberRecord(member).filter((memberRecord) -> memberRecord.ackedEpoch() > 0).isEmpty();
 	}
 
 	boolean isSilent(MemberKey member, long now) {
-		return memberRecord(member).filter((watch) -> now - watch.lastHeartbeatAt() <= this.timing.memberSilence())
+		return memberRecord(member)
+			.filter((memberRecord) -> now - memberRecord.lastHeartbeatAt() <= this.timing.memberSilence())
 			.isEmpty();
 	}
 
@@ -250,19 +256,19 @@
 		this.authority.onPeerHeard(now);
 		this.authority.onBeatAnswer(answer);
 		for (ControlMessage.Promised promise : answer.promises()) {
-			this.revoking = this.revoking
-				.computeIfPresent(promise.member(),
-						(key, revocation) -> (answer.sentAt() >= revocation.since()
-								|| !this.guards.on(Guard.PROMISE_IS_FRESH))
-										? revocation.promised(now + promisedSpan(promise.leaseLeft())) : revocation)
+			this.revocations = this.revocations.computeIfPresent(promise.member(),
+					(key, revocation) -> (answer.sentAt() >= revocation.since()
+							|| !this.guards.isEnabled(Guard.PROMISE_IS_FRESH))
+									? revocation.withPromise(now + leaseLeftWithDrift(promise.leaseLeft()))
+									: revocation)
 				._2();
 		}
 	}
 
 	// A lease that expired some time ago by the peer's clock expired a little later by
 	// this clock.
-	private long promisedSpan(long leaseLeft) {
-		return (leaseLeft < 0) ? 2 * leaseLeft + drift(-leaseLeft) : drift(leaseLeft);
+	private long leaseLeftWithDrift(long leaseLeft) {
+		return (leaseLeft < 0) ? 2 * leaseLeft + withDrift(-leaseLeft) : withDrift(leaseLeft);
 	}
 
 	/**
@@ -273,7 +279,7 @@
 	 */
 	ControlMessage.Beat beat(long version, long now) {
 		return new ControlMessage.Beat(this.self.incarnation(), now, epoch(), version,
-				this.revoking.keySet().toJavaList());
+				this.revocations.keySet().toJavaList());
 	}
 
 	/**
@@ -286,14 +292,15 @@
 	 * @return the members whose revocation has just started
 	 */
 	List<MemberKey> revokeSilent(CellRow row, long now) {
-		List<MemberKey> begun = row.members()
+		List<MemberKey> newlySilent = row.members()
 			.stream()
 			.map(MemberInfo::key)
 			.filter((key) -> !key.equals(this.self) && !peer().filter(key::equals).isPresent())
-			.filter((key) -> !this.revoking.containsKey(key) && isSilent(key, now))
+			.filter((key) -> !this.revocations.containsKey(key) && isSilent(key, now))
 			.toList();
-		begun.forEach((key) -> this.revoking = this.revoking.put(key, new Revocation(now, Optional.empty())));
-		return begun;
+		newlySilent
+			.forEach((key) -> this.revocations = this.revocations.put(key, new Revocation(now, Optional.empty())));
+		return newlySilent;
 	}
 
 	/**
@@ -306,32 +313,33 @@
 	Set<MemberKey> lostMembers(CellRow row, long now) {
 		return row.members()
 			.stream()
-			.filter((member) -> this.revoking.containsKey(member.key()) && hasExpired(member, row, now))
+			.filter((member) -> this.revocations.containsKey(member.key()) && hasExpired(member, row, now))
 			.map(MemberInfo::key)
 			.collect(Collectors.toUnmodifiableSet());
 	}
 
 	private boolean hasExpired(MemberInfo member, CellRow row, long now) {
-		long guard = this.timing.withDrift(row.guardMillis(member));
-		Revocation revocation = this.revoking.get(member.key()).get();
-		boolean promiseKept = isLone() || !this.guards.on(Guard.PROMISE_OF_PEER)
-				|| revocation.promiseUntil().filter((until) -> until + guard <= now).isPresent();
-		boolean ownRunOut = !this.guards.on(Guard.RENEWALS_RUN_OUT)
-				|| memberRecord(member.key()).filter((watch) -> watch.leaseBound() > now - guard).isEmpty();
-		return promiseKept && ownRunOut && noOldRenewals(member.key(), row, now - guard);
+		long guardMillis = this.timing.withDrift(row.guardMillis(member));
+		Revocation revocation = this.revocations.get(member.key()).get();
+		boolean peerPromised = isLone() || !this.guards.isEnabled(Guard.PROMISE_OF_PEER)
+				|| revocation.promiseUntil().filter((until) -> until + guardMillis <= now).isPresent();
+		boolean ownRenewalsExpired = !this.guards.isEnabled(Guard.RENEWALS_RUN_OUT) || memberRecord(member.key())
+			.filter((memberRecord) -> memberRecord.latestLeaseEnd() > now - guardMillis)
+			.isEmpty();
+		return peerPromised && ownRenewalsExpired && haveEarlierRenewalsEnded(member.key(), row, now - guardMillis);
 	}
 
 	// Whether no lease manager of an earlier epoch can still be renewing a member.
-	private boolean noOldRenewals(MemberKey member, CellRow row, long now) {
-		long acked = memberRecord(member).map(MemberRecord::ackedEpoch).orElse(0L);
-		if (acked >= epoch() || !this.guards.on(Guard.OLD_AUTHORITY_ENDS)) {
+	private boolean haveEarlierRenewalsEnded(MemberKey member, CellRow row, long now) {
+		long ackedEpoch = memberRecord(member).map(MemberRecord::ackedEpoch).orElse(0L);
+		if (ackedEpoch >= epoch() || !this.guards.isEnabled(Guard.OLD_AUTHORITY_ENDS)) {
 			return true;
 		}
-		if (this.replaced.filter(member::equals).isPresent() && acked >= epoch() - 1) {
+		if (this.replacedPeer.filter(member::equals).isPresent() && ackedEpoch >= epoch() - 1) {
 			return true;
 		}
-		boolean pairsClosed = row.unclosed().isEmpty() || !this.guards.on(Guard.OLD_PAIR_CLOSED);
-		return pairsClosed && now >= this.since + drift(this.timing.authority());
+		boolean pairsClosed = row.unclosed().isEmpty() || !this.guards.isEnabled(Guard.OLD_PAIR_CLOSED);
+		return pairsClosed && now >= this.epochStartedAt + withDrift(this.timing.authority());
 	}
 
 	FormerPairs formerPairs() {
@@ -345,15 +353,15 @@
 	 * @return the pairs
 	 */
 	List<ManagerPair> closedPairs(CellRow row, long now) {
-		return this.formerPairs.closed(row, this.since, now);
+		return this.formerPairs.closed(row, this.epochStartedAt, now);
 	}
 
-	Map<InstanceId, Long> heardAt() {
+	Map<InstanceId, Long> lastHeartbeats() {
 		return (isActive()) ? this.memberRecords.mapValues(MemberRecord::lastHeartbeatAt).toJavaMap() : Map.of();
 	}
 
-	SortedMap<MemberKey, Revocation> revoking() {
-		return this.revoking;
+	SortedMap<MemberKey, Revocation> revocations() {
+		return this.revocations;
 	}
 
 	/**
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerAuthority.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerAuthority.java
@@ -17,13 +17,13 @@
 
 	private final EnabledGuards guards;
 
-	private long until = Long.MIN_VALUE;
+	private long authorityEnd = Long.MIN_VALUE;
 
 	private boolean confirming;
 
-	private boolean stopped;
+	private boolean stoppedConfirming;
 
-	private long tableSeenAt = NEVER;
+	private long epochSeenAt = NEVER;
 
 	private long peerHeardAt;
 
@@ -33,26 +33,26 @@
 	}
 
 	void copyFrom(ManagerAuthority other) {
-		this.until = other.until;
+		this.authorityEnd = other.authorityEnd;
 		this.confirming = other.confirming;
-		this.stopped = other.stopped;
-		this.tableSeenAt = other.tableSeenAt;
+		this.stoppedConfirming = other.stoppedConfirming;
+		this.epochSeenAt = other.epochSeenAt;
 		this.peerHeardAt = other.peerHeardAt;
 	}
 
 	List<Object> state() {
-		return List.of(this.until, this.confirming, this.stopped, this.tableSeenAt, this.peerHeardAt);
+		return List.of(this.authorityEnd, this.confirming, this.stoppedConfirming, this.epochSeenAt, this.peerHeardAt);
 	}
 
 	/**
 	 * Starts another epoch.
-	 * @param manages whether this process is a manager in it
+	 * @param isManager whether this process is a manager in it
 	 * @param now current time, milliseconds
 	 */
-	void startEpoch(boolean manages, long now) {
-		this.confirming = manages;
-		this.stopped = false;
-		this.tableSeenAt = NEVER;
+	void startEpoch(boolean isManager, long now) {
+		this.confirming = isManager;
+		this.stoppedConfirming = false;
+		this.epochSeenAt = NEVER;
 		this.peerHeardAt = now;
 	}
 
@@ -62,9 +62,9 @@
 	 * @param lone whether there is no peer that could confirm this manager
 	 */
 	void onEpochSeen(long sentAt, boolean lone) {
-		this.tableSeenAt = Math.max(this.tableSeenAt, sentAt);
+		this.epochSeenAt = Math.max(this.epochSeenAt, sentAt);
 		if (lone) {
-			this.until = Math.max(this.until, sentAt + this.timing.authority());
+			this.authorityEnd = Math.max(this.authorityEnd, sentAt + this.timing.authority());
 		}
 	}
 
@@ -86,13 +86,13 @@
 	 */
 	void onBeatAnswer(ControlMessage.BeatAnswer answer) {
 		// The peer answered after the beat was sent, so this time is never too late.
-		this.tableSeenAt = Math.max(this.tableSeenAt, answer.sentAt() - this.timing.withDrift(answer.tableAge()));
+		this.epochSeenAt = Math.max(this.epochSeenAt, answer.sentAt() - this.timing.withDrift(answer.tableAge()));
 		// While a write that replaces the peer is in progress, or its outcome is unknown,
 		// members of the next epoch may already be waiting until the authority of both
 		// managers has ended.
-		boolean replacing = this.stopped && this.guards.on(Guard.UNCONFIRMED_AFTER_REPLACING);
-		if (answer.confirmed() && !replacing) {
-			this.until = Math.max(this.until, answer.sentAt() + this.timing.authority());
+		boolean replacingPeer = this.stoppedConfirming && this.guards.isEnabled(Guard.UNCONFIRMED_AFTER_REPLACING);
+		if (answer.confirmed() && !replacingPeer) {
+			this.authorityEnd = Math.max(this.authorityEnd, answer.sentAt() + this.timing.authority());
 		}
 	}
 
@@ -102,16 +102,17 @@
 	 * @return the span in milliseconds, 0 or less if no renewal is allowed
 	 */
 	long maxRenewalMillis(long now) {
-		long left = (this.guards.on(Guard.RENEWAL_WITHIN_AUTHORITY)) ? this.until - now : this.timing.lease();
-		return Math.min(this.timing.lease(), left);
+		long remaining = (this.guards.isEnabled(Guard.RENEWAL_WITHIN_AUTHORITY)) ? this.authorityEnd - now
+				: this.timing.lease();
+		return Math.min(this.timing.lease(), remaining);
 	}
 
 	boolean isConfirming(long now) {
-		return this.confirming && now < this.tableSeenAt + this.timing.withoutTable();
+		return this.confirming && now < this.epochSeenAt + this.timing.withoutTable();
 	}
 
 	long tableAge(long now) {
-		return now - this.tableSeenAt;
+		return now - this.epochSeenAt;
 	}
 
 	/**
@@ -120,12 +121,12 @@
 	 * reassigned.
 	 */
 	void stopConfirming() {
-		this.stopped = true;
-		this.confirming = !this.guards.on(Guard.STOP_CONFIRMING_FIRST);
+		this.stoppedConfirming = true;
+		this.confirming = !this.guards.isEnabled(Guard.STOP_CONFIRMING_FIRST);
 	}
 
-	boolean hasStopped() {
-		return this.stopped;
+	boolean hasStoppedConfirming() {
+		return this.stoppedConfirming;
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerChoice.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerChoice.java
@@ -29,10 +29,10 @@
 	 * @param now current time, milliseconds
 	 * @return true if it must be replaced
 	 */
-	boolean peerSilent(CellRow row, long now) {
-		long others = row.members().size() - 2L;
-		long heard = heardMembers(row, now).size();
-		long timeout = (heard * 2 >= others) ? this.timing.peerSilence()
+	boolean isPeerSilent(CellRow row, long now) {
+		long otherCount = row.members().size() - 2L;
+		long heardCount = heardMembers(row, now).size();
+		long timeout = (heardCount * 2 >= otherCount) ? this.timing.peerSilence()
 				: this.timing.peerSilence() * ISOLATED_FACTOR_PERMILLE / PERMILLE_BASE;
 		return this.manager.peer().isPresent() && now - this.manager.authority().peerHeardAt() > timeout;
 	}
@@ -42,8 +42,9 @@
 			.stream()
 			.filter((member) -> !member.key().equals(this.self)
 					&& !this.manager.peer().filter(member.key()::equals).isPresent())
-			.filter((member) -> !this.manager.isSilent(member.key(), now)
-					&& this.manager.memberRecord(member.key()).filter((watch) -> watch.ackedEpoch() > 0).isPresent())
+			.filter((member) -> !this.manager.isSilent(member.key(), now) && this.manager.memberRecord(member.key())
+				.filter((memberRecord) -> memberRecord.ackedEpoch() > 0)
+				.isPresent())
 			.toList();
 	}
 
@@ -55,14 +56,14 @@
 	 * @return the member, empty if there is none
 	 */
 	Optional<MemberInfo> candidate(CellRow row, long now) {
-		Optional<MemberInfo> me = row.member(this.self.instance());
-		List<MemberInfo> heard = new ArrayList<>(heardMembers(row, now));
-		heard.removeIf(
-				(member) -> member.phase() == MemberPhase.LEAVING || this.manager.revoking().containsKey(member.key()));
-		return heard.stream()
-			.filter((member) -> me.filter((own) -> own.domain().equals(member.domain())).isEmpty())
+		Optional<MemberInfo> ownInfo = row.member(this.self.instance());
+		List<MemberInfo> candidates = new ArrayList<>(heardMembers(row, now));
+		candidates.removeIf((member) -> member.phase() == MemberPhase.LEAVING
+				|| this.manager.revocations().containsKey(member.key()));
+		return candidates.stream()
+			.filter((member) -> ownInfo.filter((info) -> info.domain().equals(member.domain())).isEmpty())
 			.findFirst()
-			.or(() -> heard.stream().findFirst());
+			.or(() -> candidates.stream().findFirst());
 	}
 
 	// The other manager in the next epoch: the current one if it is heard again,
--- a/core/src/main/java/org/brasspier/core/ownership/MemberLease.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberLease.java
@@ -61,10 +61,10 @@
 	}
 
 	long leaseLeft(long now) {
-		return (valid(now)) ? this.leaseEnd - now : 0;
+		return (isValid(now)) ? this.leaseEnd - now : 0;
 	}
 
-	boolean valid(long now) {
+	boolean isValid(long now) {
 		return now < this.leaseEnd;
 	}
 
@@ -93,21 +93,21 @@
 	 * @return whether the lease now ends later
 	 */
 	boolean renew(ControlMessage.Renewal renewal, long now) {
-		if (renewal.incarnation() != this.self.incarnation() && this.guards.on(Guard.INCARNATION_COUNTS)) {
+		if (renewal.incarnation() != this.self.incarnation() && this.guards.isEnabled(Guard.INCARNATION_COUNTS)) {
 			return false;
 		}
-		if (renewal.epoch() < epoch() && this.guards.on(Guard.OWN_EPOCH_OR_LATER)) {
+		if (renewal.epoch() < epoch() && this.guards.isEnabled(Guard.OWN_EPOCH_OR_LATER)) {
 			// The sender is a manager that was replaced and has not noticed it yet: once
 			// this member has acknowledged its successors, they do not wait for its
 			// renewals to expire.
 			return false;
 		}
-		if (!valid(now) && renewal.version() > this.known.version() && this.guards.on(Guard.LAPSE_DROPS_ALL)) {
+		if (!isValid(now) && renewal.version() > this.known.version() && this.guards.isEnabled(Guard.LAPSE_DROPS_ALL)) {
 			// Ranges may have moved while the lease was expired. Without the row that
 			// shows it, this member would serve ranges that another member owns now.
 			return false;
 		}
-		return extend((this.guards.on(Guard.LEASE_FROM_SENDING)) ? renewal.sentAt() : now, renewal.lease(), now);
+		return extend((this.guards.isEnabled(Guard.LEASE_FROM_SENDING)) ? renewal.sentAt() : now, renewal.lease(), now);
 	}
 
 	/**
@@ -130,7 +130,7 @@
 	/**
 	 * Ends the lease immediately, for example when this process is no longer a member.
 	 */
-	void drop() {
+	void end() {
 		this.leaseEnd = Long.MIN_VALUE;
 	}
 
@@ -140,18 +140,18 @@
 	 * @return the ranges
 	 */
 	List<RangeState> held() {
-		if (!this.known.row().has(this.self) && this.guards.on(Guard.INCARNATION_COUNTS)) {
+		if (!this.known.row().has(this.self) && this.guards.isEnabled(Guard.INCARNATION_COUNTS)) {
 			return List.of();
 		}
 		return this.known.row()
 			.ownedBy(this.self.instance())
 			.stream()
-			.filter((range) -> !this.draining.contains(range.held()) && !letGo(range.held()))
+			.filter((range) -> !this.draining.contains(range.held()) && !isReleased(range.held()))
 			.toList();
 	}
 
-	private boolean letGo(HeldRange held) {
-		return this.released.containsKey(held) && this.guards.on(Guard.RELEASED_FOR_GOOD);
+	private boolean isReleased(HeldRange held) {
+		return this.released.containsKey(held) && this.guards.isEnabled(Guard.RELEASED_FOR_GOOD);
 	}
 
 	/**
@@ -159,10 +159,10 @@
 	 * @param ranges the ranges
 	 * @return those that must be drained now
 	 */
-	List<HeldRange> drain(List<HeldRange> ranges) {
-		List<HeldRange> begun = held().stream().map(RangeState::held).filter(ranges::contains).toList();
-		this.draining = this.draining.addAll(begun);
-		return begun;
+	List<HeldRange> startDraining(List<HeldRange> ranges) {
+		List<HeldRange> started = held().stream().map(RangeState::held).filter(ranges::contains).toList();
+		this.draining = this.draining.addAll(started);
+		return started;
 	}
 
 	/**
@@ -170,7 +170,7 @@
 	 * @param held the range
 	 * @param marks the crash marks of the range
 	 */
-	void drained(HeldRange held, List<CrashMark> marks) {
+	void onDrained(HeldRange held, List<CrashMark> marks) {
 		if (this.draining.contains(held)) {
 			this.draining = this.draining.remove(held);
 			this.released = this.released.put(held, marks);
--- a/core/src/main/java/org/brasspier/core/ownership/MemberRole.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberRole.java
@@ -14,7 +14,7 @@
 
 	private static final long REPEAT_INTERVAL_MILLIS = 200;
 
-	private static final long TAKEOVER_TRY_MILLIS = 300;
+	private static final long TAKEOVER_RETRY_INTERVAL_MILLIS = 300;
 
 	/**
 	 * Some tens of network delays between instances of a region, and half a heartbeat
@@ -24,35 +24,35 @@
 
 	private final ProcessParts parts;
 
-	private final RowHandler rows;
+	private final RowHandler rowHandler;
 
 	MemberRole(ProcessParts parts, RowHandler rows) {
 		this.parts = parts;
-		this.rows = rows;
+		this.rowHandler = rows;
 	}
 
 	void recordLapse(long now) {
-		if (this.parts.timers.wasLeaseValid() && !this.parts.lease.valid(now)) {
-			this.parts.out.recordEvent(EventKind.LEASE_LAPSED, this.parts.me.instance(),
+		if (this.parts.timers.wasLeaseValid() && !this.parts.lease.isValid(now)) {
+			this.parts.outbox.recordEvent(EventKind.LEASE_LAPSED, this.parts.me.instance(),
 					"epoch " + this.parts.lease.epoch());
 		}
-		this.parts.timers.setLeaseValid(this.parts.lease.valid(now));
+		this.parts.timers.setLeaseValid(this.parts.lease.isValid(now));
 	}
 
-	void memberWork(long now) {
+	void doPeriodicWork(long now) {
 		CellRow row = this.parts.lease.known().row();
-		boolean shown = row.member(this.parts.me.instance()).filter(this.parts.me::equals).isPresent();
-		if (!shown && row.managers().isPresent() && this.parts.timers.announceDue(now, REPEAT_INTERVAL_MILLIS)) {
-			toManagers(row, new ControlMessage.Announce(this.parts.me));
+		boolean rowIsCurrent = row.member(this.parts.me.instance()).filter(this.parts.me::equals).isPresent();
+		if (!rowIsCurrent && row.managers().isPresent() && this.parts.timers.announceDue(now, REPEAT_INTERVAL_MILLIS)) {
+			sendToManagers(row, new ControlMessage.Announce(this.parts.me));
 		}
-		boolean withBeats = this.parts.manager.peer().isPresent();
-		heartbeatIfDue(row, (withBeats) ? -this.parts.timing.beat() / 2 : 0, now);
+		boolean hasPeer = this.parts.manager.peer().isPresent();
+		heartbeatIfDue(row, (hasPeer) ? -this.parts.timing.beat() / 2 : 0, now);
 		// For a member that reaches only one manager, or one manager of a pair whose
 		// other manager is lost: every second heartbeat would be lost, and a pause of 200
 		// ms would cost the member its lease.
 		if (row.has(this.parts.me.key())
 				&& this.parts.timers.heartbeatMissed(this.parts.managerHeardAt, HEARTBEAT_ANSWER_TIMEOUT_MILLIS, now)) {
-			heartbeat(row, now);
+			sendHeartbeat(row, now);
 		}
 		List<ControlMessage.ReleasedRange> released = this.parts.lease.released();
 		if (!released.isEmpty() && this.parts.timers.releasedDue(now, REPEAT_INTERVAL_MILLIS)) {
@@ -65,26 +65,28 @@
 	void heartbeatIfDue(CellRow row, long early, long now) {
 		if (row.has(this.parts.me.key())
 				&& this.parts.timers.heartbeatDue(now, this.parts.timing.heartbeat() - early)) {
-			heartbeat(row, now);
+			sendHeartbeat(row, now);
 		}
 	}
 
-	private void heartbeat(CellRow row, long now) {
+	private void sendHeartbeat(CellRow row, long now) {
 		ControlMessage heartbeat = new ControlMessage.Heartbeat(this.parts.me.key().incarnation(), now, row.epoch(),
-				this.parts.lease.known().version(), this.parts.lease.leaseLeft(now), this.parts.document);
+				this.parts.lease.known().version(), this.parts.lease.leaseLeft(now), this.parts.documentVersion);
 		List<MemberKey> renewers = row.managers()
 			.stream()
 			.flatMap(ManagerPair::managers)
-			.filter((key) -> !key.equals(this.parts.me.key()) || !this.parts.guards.on(Guard.MANAGER_RENEWED_BY_PEER))
+			.filter((key) -> !key.equals(this.parts.me.key())
+					|| !this.parts.guards.isEnabled(Guard.MANAGER_RENEWED_BY_PEER))
 			.toList();
-		this.parts.timers.heartbeatReceivers(renewers).forEach((key) -> this.parts.out.send(key.instance(), heartbeat));
+		this.parts.timers.heartbeatReceivers(renewers)
+			.forEach((key) -> this.parts.outbox.send(key.instance(), heartbeat));
 	}
 
-	void toManagers(CellRow row, ControlMessage message) {
+	void sendToManagers(CellRow row, ControlMessage message) {
 		row.managers()
 			.stream()
 			.flatMap(ManagerPair::managers)
-			.forEach((key) -> this.parts.out.send(key.instance(), message));
+			.forEach((key) -> this.parts.outbox.send(key.instance(), message));
 	}
 
 	void sendReleased(List<ControlMessage.ReleasedRange> released) {
@@ -92,36 +94,36 @@
 		this.parts.lease.known()
 			.row()
 			.managers()
-			.ifPresent((pair) -> this.parts.out.send(pair.primary().instance(), message));
+			.ifPresent((pair) -> this.parts.outbox.send(pair.primary().instance(), message));
 	}
 
 	void onRenewal(InstanceId from, ControlMessage.Renewal renewal, long now) {
-		boolean before = this.parts.lease.valid(now);
+		boolean wasValid = this.parts.lease.isValid(now);
 		if (renewal.epoch() >= this.parts.lease.epoch()) {
 			this.parts.managerHeardAt = now;
 		}
 		if (this.parts.lease.renew(renewal, now)) {
 			this.parts.timers.setLeaseValid(true);
-			this.parts.out.publish();
-			if (!before) {
-				this.parts.out.recordEvent(EventKind.LEASE_GRANTED, this.parts.me.instance(),
+			this.parts.outbox.publish();
+			if (!wasValid) {
+				this.parts.outbox.recordEvent(EventKind.LEASE_GRANTED, this.parts.me.instance(),
 						"epoch %d by %s".formatted(renewal.epoch(), from));
 			}
 		}
 	}
 
 	void release(List<HeldRange> ranges) {
-		List<HeldRange> begun = this.parts.lease.drain(ranges);
-		if (!begun.isEmpty()) {
-			this.parts.out.publish();
-			begun.forEach((held) -> this.parts.out.add(new OwnershipAction.Drain(held)));
+		List<HeldRange> draining = this.parts.lease.startDraining(ranges);
+		if (!draining.isEmpty()) {
+			this.parts.outbox.publish();
+			draining.forEach((held) -> this.parts.outbox.add(new OwnershipAction.Drain(held)));
 		}
-		List<ControlMessage.ReleasedRange> again = this.parts.lease.released()
+		List<ControlMessage.ReleasedRange> alreadyReleased = this.parts.lease.released()
 			.stream()
 			.filter((range) -> ranges.contains(range.held()))
 			.toList();
-		if (!again.isEmpty()) {
-			sendReleased(again);
+		if (!alreadyReleased.isEmpty()) {
+			sendReleased(alreadyReleased);
 		}
 	}
 
@@ -130,38 +132,38 @@
 	// be unavailable for the rest of the outage. Therefore a read that was answered after
 	// the loss must first show that the table is available; this takes some milliseconds.
 	void releaseIfTableAnswers() {
-		if (this.parts.releasingSince.filter((since) -> this.parts.access.readSentAt() >= since).isPresent()) {
-			this.parts.releasingSince = Optional.empty();
+		if (this.parts.backendLostAt.filter((lostAt) -> this.parts.rowAccess.readSentAt() >= lostAt).isPresent()) {
+			this.parts.backendLostAt = Optional.empty();
 			release(this.parts.lease.held().stream().map(RangeState::held).toList());
 		}
 	}
 
 	void searchForManagers(long now) {
 		CellRow row = this.parts.lease.known().row();
-		long silentFor = now - this.parts.managerHeardAt;
+		long silentMillis = now - this.parts.managerHeardAt;
 		if (this.parts.lease.known().version() == 0 || this.parts.leaving) {
 			return;
 		}
-		if (silentFor > this.parts.takeover.silenceTimeout()
+		if (silentMillis > this.parts.takeover.silenceTimeout()
 				&& this.parts.timers.probeDue(now, Takeover.PROBE_MILLIS)) {
 			row.members()
 				.stream()
 				.map(MemberInfo::instance)
 				.filter((instance) -> !instance.equals(this.parts.me.instance()))
-				.forEach((instance) -> this.parts.out.send(instance, new ControlMessage.Probe()));
+				.forEach((instance) -> this.parts.outbox.send(instance, new ControlMessage.Probe()));
 		}
-		Optional<CellRow> attempt = this.parts.takeover.attempt(row, silentFor, now);
-		if (attempt.isPresent() && this.parts.access.isIdle(now)
-				&& this.parts.timers.takeoverDue(now, TAKEOVER_TRY_MILLIS)) {
-			this.parts.out.recordEvent(EventKind.TAKEOVER_TRIED, this.parts.me.instance(),
-					"silent for %d ms".formatted(silentFor));
-			this.rows.propose(attempt.get(), now);
+		Optional<CellRow> takeoverRow = this.parts.takeover.rowToWrite(row, silentMillis, now);
+		if (takeoverRow.isPresent() && this.parts.rowAccess.isIdle(now)
+				&& this.parts.timers.takeoverDue(now, TAKEOVER_RETRY_INTERVAL_MILLIS)) {
+			this.parts.outbox.recordEvent(EventKind.TAKEOVER_TRIED, this.parts.me.instance(),
+					"silent for %d ms".formatted(silentMillis));
+			this.rowHandler.propose(takeoverRow.get(), now);
 		}
 	}
 
-	void answerProbe(InstanceId from, long now) {
+	void onProbe(InstanceId from, long now) {
 		long heardAgo = (this.parts.manager.isActive()) ? 0 : now - this.parts.managerHeardAt;
-		this.parts.out.send(from,
+		this.parts.outbox.send(from,
 				new ControlMessage.ProbeAnswer(this.parts.me.key().incarnation(), this.parts.lease.epoch(), heardAgo));
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/OperatorOrders.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OperatorOrders.java
@@ -24,7 +24,7 @@
 		if (!this.manager.isPrimary()) {
 			return refused("this instance is not the primary lease manager; try again");
 		}
-		if (!this.access.reachable()) {
+		if (!this.access.isReachable()) {
 			return refused("the table can't be reached, so nothing can be moved now");
 		}
 		return switch (order) {
@@ -55,13 +55,13 @@
 		if (range.isEmpty() || range.get().owner().isEmpty()) {
 			return refused("%s has no owned range %s".formatted(order.service(), order.range()));
 		}
-		boolean placeable = this.known.row()
+		boolean eligible = this.known.row()
 			.member(order.to())
 			.filter((member) -> member.phase() == MemberPhase.ACTIVE)
 			.flatMap(MemberInfo::backend)
 			.filter((backend) -> backend.service().equals(order.service()))
 			.isPresent();
-		if (!placeable || this.known.row().drained().contains(order.to())) {
+		if (!eligible || this.known.row().drained().contains(order.to())) {
 			return refused("%s can't own ranges of %s now".formatted(order.to(), order.service()));
 		}
 		HeldRange held = range.get().held();
@@ -74,7 +74,7 @@
 
 	private Answer declareLost(InstanceId instance, long now) {
 		Optional<MemberInfo> member = this.known.row().member(instance);
-		if (member.filter((known) -> !this.manager.isSilent(known.key(), now)).isPresent()) {
+		if (member.filter((present) -> !this.manager.isSilent(present.key(), now)).isPresent()) {
 			return refused("%s is heard, so it can't be declared lost".formatted(instance));
 		}
 		List<ManagerPair> pairs = this.known.row()
--- a/core/src/main/java/org/brasspier/core/ownership/OwnershipMachine.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OwnershipMachine.java
@@ -25,11 +25,11 @@
 
 	private final ProcessParts parts;
 
-	private final RowHandler rows;
+	private final RowHandler rowHandler;
 
-	private final MemberRole member;
+	private final MemberRole memberRole;
 
-	private final ManagerRole managing;
+	private final ManagerRole managerRole;
 
 	/**
 	 * Creates the state machine of a process that has just started.
@@ -40,7 +40,7 @@
 	 */
 	public OwnershipMachine(MemberInfo me, Timing timing, PlacementPolicy placement, long now) {
 		this(me, timing, new PrimaryState.Placement(placement, PlacementWeights.EQUAL, INITIAL_RANGES),
-				EnabledGuards.ALL_ON, now);
+				EnabledGuards.ALL, now);
 	}
 
 	OwnershipMachine(MemberInfo me, Timing timing, PrimaryState.Placement placement, EnabledGuards guards, long now) {
@@ -49,9 +49,9 @@
 
 	private OwnershipMachine(ProcessParts parts) {
 		this.parts = parts;
-		this.rows = new RowHandler(parts);
-		this.member = new MemberRole(parts, this.rows);
-		this.managing = new ManagerRole(parts, this.rows, this.member);
+		this.rowHandler = new RowHandler(parts);
+		this.memberRole = new MemberRole(parts, this.rowHandler);
+		this.managerRole = new ManagerRole(parts, this.rowHandler, this.memberRole);
 	}
 
 	OwnershipMachine copy() {
@@ -87,17 +87,17 @@
 		if (this.parts.left) {
 			return List.of();
 		}
-		this.member.recordLapse(now);
-		this.parts.access.settle(now).ifPresent(this.parts.out::add);
-		this.rows.readIfDue(now);
-		this.member.memberWork(now);
+		this.memberRole.recordLapse(now);
+		this.parts.rowAccess.readIfUnresolved(now).ifPresent(this.parts.outbox::add);
+		this.rowHandler.readIfDue(now);
+		this.memberRole.doPeriodicWork(now);
 		if (this.parts.manager.isActive()) {
-			this.managing.managerWork(now);
+			this.managerRole.doPeriodicWork(now);
 		}
 		else {
-			this.member.searchForManagers(now);
+			this.memberRole.searchForManagers(now);
 		}
-		return finish(now);
+		return takeActions(now);
 	}
 
 	/**
@@ -111,28 +111,28 @@
 		if (!this.parts.left) {
 			handle(from, message, now);
 		}
-		return finish(now);
+		return takeActions(now);
 	}
 
 	private void handle(InstanceId from, ControlMessage message, long now) {
 		switch (message) {
-			case ControlMessage.Heartbeat heartbeat -> this.managing.onHeartbeat(from, heartbeat, now);
-			case ControlMessage.Renewal renewal -> this.member.onRenewal(from, renewal, now);
-			case ControlMessage.Beat beat -> this.managing.onBeat(from, beat, now);
-			case ControlMessage.BeatAnswer answer -> this.managing.onBeatAnswer(from, answer, now);
-			case ControlMessage.RowUpdate update -> this.rows.adopt(update.row(), now);
-			case ControlMessage.RowDifference difference -> this.rows.onDelta(from, difference.delta(), now);
-			case ControlMessage.RowRequest request -> this.rows.sendWholeRow(from, request.version());
-			case ControlMessage.Announce announce -> this.managing.onAnnouncement(from, announce, now);
-			case ControlMessage.Release release -> this.member.release(release.ranges());
+			case ControlMessage.Heartbeat heartbeat -> this.managerRole.onHeartbeat(from, heartbeat, now);
+			case ControlMessage.Renewal renewal -> this.memberRole.onRenewal(from, renewal, now);
+			case ControlMessage.Beat beat -> this.managerRole.onBeat(from, beat, now);
+			case ControlMessage.BeatAnswer answer -> this.managerRole.onBeatAnswer(from, answer, now);
+			case ControlMessage.RowUpdate update -> this.rowHandler.adopt(update.row(), now);
+			case ControlMessage.RowDifference difference -> this.rowHandler.onDelta(from, difference.delta(), now);
+			case ControlMessage.RowRequest request -> this.rowHandler.sendWholeRow(from, request.version());
+			case ControlMessage.Announce announce -> this.managerRole.onAnnouncement(from, announce, now);
+			case ControlMessage.Release release -> this.memberRole.release(release.ranges());
 			case ControlMessage.Released released ->
 				this.parts.primaryState.onReleased(from, released, this.parts.lease.known().row());
 			case ControlMessage.Loads loads -> this.parts.primaryState.onLoads(loads, this.parts.lease.known().row());
-			case ControlMessage.Probe probe -> this.member.answerProbe(from, now);
+			case ControlMessage.Probe probe -> this.memberRole.onProbe(from, now);
 			case ControlMessage.ProbeAnswer answer -> this.parts.takeover.onProbeAnswer(from, answer, now);
-			case ControlMessage.OrderSent order -> this.managing.onOrder(from, order, now);
-			case ControlMessage.OrderAnswer answer ->
-				this.parts.out.add(new OwnershipAction.OrderDone(answer.number(), answer.accepted(), answer.detail()));
+			case ControlMessage.OrderSent order -> this.managerRole.onOrder(from, order, now);
+			case ControlMessage.OrderAnswer answer -> this.parts.outbox
+				.add(new OwnershipAction.OrderDone(answer.number(), answer.accepted(), answer.detail()));
 		}
 	}
 
@@ -146,12 +146,12 @@
 	public List<OwnershipAction> order(long number, ControlMessage.Order order, long now) {
 		Optional<ManagerPair> pair = this.parts.lease.known().row().managers();
 		if (pair.isPresent()) {
-			this.parts.out.send(pair.get().primary().instance(), new ControlMessage.OrderSent(number, order));
+			this.parts.outbox.send(pair.get().primary().instance(), new ControlMessage.OrderSent(number, order));
 		}
 		else {
-			this.parts.out.add(new OwnershipAction.OrderDone(number, false, "the cell has no lease manager yet"));
+			this.parts.outbox.add(new OwnershipAction.OrderDone(number, false, "the cell has no lease manager yet"));
 		}
-		return finish(now);
+		return takeActions(now);
 	}
 
 	/**
@@ -161,9 +161,9 @@
 	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> onRowRead(VersionedRow row, long now) {
-		this.rows.onRowRead(row, now);
-		this.member.releaseIfTableAnswers();
-		return finish(now);
+		this.rowHandler.onRowRead(row, now);
+		this.memberRole.releaseIfTableAnswers();
+		return takeActions(now);
 	}
 
 	/**
@@ -172,8 +172,8 @@
 	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> onReadFailed(long now) {
-		this.parts.access.onReadFailed(now);
-		return finish(now);
+		this.parts.rowAccess.onReadFailed(now);
+		return takeActions(now);
 	}
 
 	/**
@@ -183,8 +183,8 @@
 	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> onWritten(long version, long now) {
-		this.rows.onWritten(version, now);
-		return finish(now);
+		this.rowHandler.onWritten(version, now);
+		return takeActions(now);
 	}
 
 	/**
@@ -193,8 +193,8 @@
 	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> onWriteConflict(long now) {
-		this.rows.onWriteConflict(now);
-		return finish(now);
+		this.rowHandler.onWriteConflict(now);
+		return takeActions(now);
 	}
 
 	/**
@@ -203,8 +203,8 @@
 	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> onWriteUnknown(long now) {
-		this.rows.onWriteUnknown(now);
-		return finish(now);
+		this.rowHandler.onWriteUnknown(now);
+		return takeActions(now);
 	}
 
 	/**
@@ -213,8 +213,8 @@
 	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> onWriteFailed(long now) {
-		this.parts.access.onWriteFailed(now);
-		return finish(now);
+		this.parts.rowAccess.onWriteFailed(now);
+		return takeActions(now);
 	}
 
 	/**
@@ -228,9 +228,9 @@
 		this.parts.me = new MemberInfo(this.parts.me.key(), this.parts.me.domain(), this.parts.me.address(),
 				(this.parts.leaving) ? MemberPhase.LEAVING : phase, backend.or(this.parts.me::backend));
 		if (phase == MemberPhase.ACTIVE) {
-			this.parts.releasingSince = Optional.empty();
+			this.parts.backendLostAt = Optional.empty();
 		}
-		return finish(now);
+		return takeActions(now);
 	}
 
 	/**
@@ -240,11 +240,11 @@
 	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> onBackendLost(long now) {
-		if (this.parts.releasingSince.isEmpty()) {
-			this.parts.releasingSince = Optional.of(now);
-			this.rows.readIfDue(now);
+		if (this.parts.backendLostAt.isEmpty()) {
+			this.parts.backendLostAt = Optional.of(now);
+			this.rowHandler.readIfDue(now);
 		}
-		return finish(now);
+		return takeActions(now);
 	}
 
 	/**
@@ -255,9 +255,9 @@
 	 * @return the actions to execute
 	 */
 	public List<OwnershipAction> onDrained(HeldRange held, List<CrashMark> marks, long now) {
-		this.parts.lease.drained(held, marks);
-		this.member.sendReleased(this.parts.lease.released());
-		return finish(now);
+		this.parts.lease.onDrained(held, marks);
+		this.memberRole.sendReleased(this.parts.lease.released());
+		return takeActions(now);
 	}
 
 	/**
@@ -270,8 +270,8 @@
 		this.parts.lease.known()
 			.row()
 			.managers()
-			.ifPresent((pair) -> this.parts.out.send(pair.primary().instance(), loads));
-		return finish(now);
+			.ifPresent((pair) -> this.parts.outbox.send(pair.primary().instance(), loads));
+		return takeActions(now);
 	}
 
 	/**
@@ -286,9 +286,9 @@
 		this.parts.me = this.parts.me.in(MemberPhase.LEAVING);
 		if (!this.parts.lease.known().row().has(this.parts.me.key()) && !this.parts.manager.isActive()) {
 			this.parts.left = true;
-			this.parts.out.add(new OwnershipAction.Left());
+			this.parts.outbox.add(new OwnershipAction.Left());
 		}
-		return finish(now);
+		return takeActions(now);
 	}
 
 	/**
@@ -296,7 +296,7 @@
 	 * @param version the version in force in this process
 	 */
 	public void setDocumentVersion(long version) {
-		this.parts.document = version;
+		this.parts.documentVersion = version;
 	}
 
 	/**
@@ -307,9 +307,10 @@
 		this.parts.placement = this.parts.placement.withWeights(weights);
 	}
 
-	private List<OwnershipAction> finish(long now) {
+	private List<OwnershipAction> takeActions(long now) {
 		List<OwnershipAction> actions = new ArrayList<>();
-		for (Optional<OwnershipAction> next = this.parts.out.next(); next.isPresent(); next = this.parts.out.next()) {
+		for (Optional<OwnershipAction> next = this.parts.outbox.next(); next
+			.isPresent(); next = this.parts.outbox.next()) {
 			if (next.get() instanceof OwnershipAction.Send send && send.to().equals(this.parts.me.instance())) {
 				handle(this.parts.me.instance(), send.message(), now);
 			}
--- a/core/src/main/java/org/brasspier/core/ownership/PrimaryState.java
+++ b/core/src/main/java/org/brasspier/core/ownership/PrimaryState.java
@@ -33,7 +33,7 @@
 	 */
 	private static final long SUCCESSOR_WAIT_MILLIS = 2500;
 
-	private SortedMap<InstanceId, Announced> announced = TreeMap.empty();
+	private SortedMap<InstanceId, Announcement> announcements = TreeMap.empty();
 
 	private SortedMap<HeldRange, List<CrashMark>> released = TreeMap.empty();
 
@@ -49,11 +49,11 @@
 
 	private WarmUp warmUp = new WarmUp();
 
-	private long since;
+	private long epochStartedAt;
 
 	PrimaryState copy() {
 		PrimaryState copy = new PrimaryState();
-		copy.announced = this.announced;
+		copy.announcements = this.announcements;
 		copy.released = this.released;
 		copy.moves = this.moves;
 		copy.drained = this.drained;
@@ -61,12 +61,12 @@
 		copy.movedAt = this.movedAt;
 		copy.leavingSince = this.leavingSince;
 		copy.warmUp = this.warmUp.copy();
-		copy.since = this.since;
+		copy.epochStartedAt = this.epochStartedAt;
 		return copy;
 	}
 
 	List<Object> state() {
-		return List.of(this.announced, this.released, this.moves, this.drained);
+		return List.of(this.announcements, this.released, this.moves, this.drained);
 	}
 
 	/**
@@ -81,7 +81,7 @@
 		this.loads = TreeMap.empty();
 		this.movedAt = TreeMap.empty();
 		this.leavingSince = TreeMap.empty();
-		this.since = now;
+		this.epochStartedAt = now;
 	}
 
 	void adopt(VersionedRow known, long now) {
@@ -97,29 +97,29 @@
 		owned.filter((held) -> held.fence().value() == known.version())
 			.forEach((held) -> this.movedAt = this.movedAt.put(held, now));
 		this.warmUp.adopt(known.row(), now);
-		recordLeaving(known.row(), now);
+		recordLeavingMembers(known.row(), now);
 		if (this.drained.filter(known.row().drained()::equals).isPresent()) {
 			this.drained = Optional.empty();
 		}
 	}
 
-	private void recordLeaving(CellRow row, long now) {
-		SortedSet<MemberKey> leavers = TreeSet.ofAll(row.members()
+	private void recordLeavingMembers(CellRow row, long now) {
+		SortedSet<MemberKey> leavingMembers = TreeSet.ofAll(row.members()
 			.stream()
 			.filter((member) -> member.phase() != MemberPhase.ACTIVE)
 			.map(MemberInfo::key)
 			.toList());
-		this.leavingSince = this.leavingSince.filterKeys(leavers::contains);
-		leavers.reject(this.leavingSince::containsKey)
+		this.leavingSince = this.leavingSince.filterKeys(leavingMembers::contains);
+		leavingMembers.reject(this.leavingSince::containsKey)
 			.forEach((key) -> this.leavingSince = this.leavingSince.put(key, now));
 	}
 
 	void onAnnouncement(MemberInfo member, long now) {
-		this.announced = this.announced.put(member.instance(), new Announced(member, now));
+		this.announcements = this.announcements.put(member.instance(), new Announcement(member, now));
 	}
 
 	void removeAnnouncements(Set<MemberKey> lost) {
-		this.announced = this.announced.filterValues((entry) -> !lost.contains(entry.member().key()));
+		this.announcements = this.announcements.filterValues((entry) -> !lost.contains(entry.member().key()));
 	}
 
 	void onReleased(InstanceId from, ControlMessage.Released message, CellRow row) {
@@ -173,15 +173,17 @@
 		Set<MemberKey> lost = manager.lostMembers(known.row(), now);
 		// By incarnation: a restarted process is not suspect because its previous
 		// incarnation was silent.
-		Set<MemberKey> suspects = manager.revoking().keySet().toJavaSet();
-		List<MemberInfo> fresh = this.announced.values()
-			.filter((entry) -> now - entry.at() <= MAX_ANNOUNCEMENT_AGE_MILLIS && !lost.contains(entry.member().key()))
-			.map(Announced::member)
+		Set<MemberKey> suspects = manager.revocations().keySet().toJavaSet();
+		List<MemberInfo> recentlyAnnounced = this.announcements.values()
+			.filter((entry) -> now - entry.receivedAt() <= MAX_ANNOUNCEMENT_AGE_MILLIS
+					&& !lost.contains(entry.member().key()))
+			.map(Announcement::member)
 			.toJavaList();
-		Map<HeldRange, List<CrashMark>> letGo = this.released.toJavaMap();
-		return new PlanFacts(known, now, lost, suspects, fresh, letGo, this.moves,
+		Map<HeldRange, List<CrashMark>> releasedRanges = this.released.toJavaMap();
+		return new PlanFacts(known, now, lost, suspects, recentlyAnnounced, releasedRanges, this.moves,
 				manager.closedPairs(known.row(), now), drained(known.row()), balance, placement, this::load,
-				(member) -> this.warmUp.share(member, now), (held) -> this.movedAt.get(held).getOrElse(this.since),
+				(member) -> this.warmUp.share(member, now),
+				(held) -> this.movedAt.get(held).getOrElse(this.epochStartedAt),
 				(member) -> awaitsSuccessor(member, now));
 	}
 
@@ -190,16 +192,16 @@
 	}
 
 	private boolean awaitsSuccessor(MemberInfo member, long now) {
-		return this.leavingSince.get(member.key()).exists((began) -> now - began < SUCCESSOR_WAIT_MILLIS);
+		return this.leavingSince.get(member.key()).exists((startedAt) -> now - startedAt < SUCCESSOR_WAIT_MILLIS);
 	}
 
 	/**
 	 * An announcement.
 	 *
 	 * @param member the announced information
-	 * @param at when it arrived
+	 * @param receivedAt when it arrived
 	 */
-	private record Announced(MemberInfo member, long at) {
+	private record Announcement(MemberInfo member, long receivedAt) {
 
 	}
 
@@ -212,8 +214,8 @@
 	 */
 	record Placement(PlacementPolicy policy, PlacementWeights weights, int initialRanges) {
 
-		Placement withWeights(PlacementWeights others) {
-			return new Placement(this.policy, others, this.initialRanges);
+		Placement withWeights(PlacementWeights newWeights) {
+			return new Placement(this.policy, newWeights, this.initialRanges);
 		}
 
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/ProcessParts.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ProcessParts.java
@@ -17,7 +17,7 @@
 
 	final LeaseManager manager;
 
-	final RowAccess access;
+	final RowAccess rowAccess;
 
 	final PrimaryState primaryState;
 
@@ -25,7 +25,7 @@
 
 	final Timers timers;
 
-	final Outbox out = new Outbox();
+	final Outbox outbox = new Outbox();
 
 	PrimaryState.Placement placement;
 
@@ -33,18 +33,18 @@
 
 	long managerHeardAt;
 
-	long document;
+	long documentVersion;
 
 	/**
 	 * Time at which the backend server was lost, while its ranges are still to be
 	 * released.
 	 */
-	Optional<Long> releasingSince = Optional.empty();
+	Optional<Long> backendLostAt = Optional.empty();
 
 	/**
 	 * Time from which this manager has not heard the other one and intends to replace it.
 	 */
-	Optional<Long> peerMissedSince = Optional.empty();
+	Optional<Long> peerSilentSince = Optional.empty();
 
 	boolean leaving;
 
@@ -57,7 +57,7 @@
 		this.placement = placement;
 		this.lease = new MemberLease(me.key(), guards);
 		this.manager = new LeaseManager(me.key(), timing, guards);
-		this.access = new RowAccess();
+		this.rowAccess = new RowAccess();
 		this.primaryState = new PrimaryState();
 		this.takeover = new Takeover(me.key(), timing);
 		this.timers = new Timers();
@@ -71,14 +71,14 @@
 		this.placement = other.placement;
 		this.lease = other.lease.copy();
 		this.manager = other.manager.copy();
-		this.access = other.access.copy();
+		this.rowAccess = other.rowAccess.copy();
 		this.primaryState = other.primaryState.copy();
 		this.takeover = other.takeover.copy();
 		this.timers = other.timers.copy();
 		this.managerHeardAt = other.managerHeardAt;
-		this.document = other.document;
-		this.releasingSince = other.releasingSince;
-		this.peerMissedSince = other.peerMissedSince;
+		this.documentVersion = other.documentVersion;
+		this.backendLostAt = other.backendLostAt;
+		this.peerSilentSince = other.peerSilentSince;
 		this.leaving = other.leaving;
 		this.left = other.left;
 	}
@@ -88,14 +88,15 @@
 	}
 
 	List<Object> state() {
-		return List.of(this.lease.state(), this.manager.state(), this.access.state(), this.primaryState.state(),
-				this.takeover.state(), this.timers.state(), this.me, this.managerHeardAt, this.releasingSince,
-				this.peerMissedSince, this.leaving, this.left);
+		return List.of(this.lease.state(), this.manager.state(), this.rowAccess.state(), this.primaryState.state(),
+				this.takeover.state(), this.timers.state(), this.me, this.managerHeardAt, this.backendLostAt,
+				this.peerSilentSince, this.leaving, this.left);
 	}
 
 	OwnershipState view() {
 		return new OwnershipState(this.me, this.lease.known(), this.lease.held(), this.lease.draining(),
-				this.lease.leaseEnd(), this.primaryState.moves(), this.manager.heardAt(), this.access.reachable());
+				this.lease.leaseEnd(), this.primaryState.moves(), this.manager.lastHeartbeats(),
+				this.rowAccess.isReachable());
 	}
 
 	VersionedRow known() {
@@ -106,8 +107,8 @@
 		return this.lease.known().row();
 	}
 
-	void beat(long now) {
-		this.out.send(this.manager.peer().orElseThrow().instance(),
+	void sendBeat(long now) {
+		this.outbox.send(this.manager.peer().orElseThrow().instance(),
 				this.manager.beat(this.lease.known().version(), now));
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/RangeState.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RangeState.java
@@ -37,11 +37,11 @@
 
 	/**
 	 * Returns the range without an owner.
-	 * @param kept the marks for the next owner
+	 * @param nextMarks the marks for the next owner
 	 * @return the range; the fence stays until it has a new owner
 	 */
-	public RangeState unowned(List<CrashMark> kept) {
-		return new RangeState(this.service, this.range, Optional.empty(), this.fence, kept);
+	public RangeState unowned(List<CrashMark> nextMarks) {
+		return new RangeState(this.service, this.range, Optional.empty(), this.fence, nextMarks);
 	}
 
 	/**
--- a/core/src/main/java/org/brasspier/core/ownership/Revocation.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Revocation.java
@@ -11,7 +11,7 @@
  */
 record Revocation(long since, Optional<Long> promiseUntil) {
 
-	Revocation promised(long until) {
+	Revocation withPromise(long until) {
 		return new Revocation(this.since, Optional.of(Math.max(until, this.promiseUntil.orElse(Long.MIN_VALUE))));
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/RowAccess.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowAccess.java
@@ -19,49 +19,50 @@
 	 * Minimum time before a failed call is repeated, to avoid load on a store that is
 	 * down.
 	 */
-	static final long RETRY_MILLIS = 200;
+	static final long RETRY_DELAY_MILLIS = 200;
 
-	private Optional<Pending> pending = Optional.empty();
+	private Optional<PendingWrite> pendingWrite = Optional.empty();
 
-	private boolean writing;
+	private boolean writeInProgress;
 
-	private boolean reading;
+	private boolean readInProgress;
 
 	private long readSentAt;
 
-	private long answeredSentAt = Long.MIN_VALUE / 4;
+	private long lastAnsweredReadSentAt = Long.MIN_VALUE / 4;
 
 	private long writeSentAt;
 
-	private long notBefore = Long.MIN_VALUE;
+	private long nextCallNotBefore = Long.MIN_VALUE;
 
 	private boolean reachable = true;
 
-	private boolean stale;
+	private boolean readRequired;
 
-	private long lastTook;
+	private long lastReadDuration;
 
 	private long lastReadAt = Long.MIN_VALUE / 4;
 
 	RowAccess copy() {
 		RowAccess copy = new RowAccess();
-		copy.pending = this.pending;
-		copy.writing = this.writing;
-		copy.reading = this.reading;
+		copy.pendingWrite = this.pendingWrite;
+		copy.writeInProgress = this.writeInProgress;
+		copy.readInProgress = this.readInProgress;
 		copy.readSentAt = this.readSentAt;
-		copy.answeredSentAt = this.answeredSentAt;
+		copy.lastAnsweredReadSentAt = this.lastAnsweredReadSentAt;
 		copy.writeSentAt = this.writeSentAt;
-		copy.notBefore = this.notBefore;
+		copy.nextCallNotBefore = this.nextCallNotBefore;
 		copy.reachable = this.reachable;
-		copy.stale = this.stale;
-		copy.lastTook = this.lastTook;
+		copy.readRequired = this.readRequired;
+		copy.lastReadDuration = this.lastReadDuration;
 		copy.lastReadAt = this.lastReadAt;
 		return copy;
 	}
 
 	List<Object> state() {
-		return List.of(this.pending, this.writing, this.reading, this.readSentAt, this.writeSentAt, this.notBefore,
-				this.reachable, this.stale, isFast(), this.lastReadAt, this.answeredSentAt);
+		return List.of(this.pendingWrite, this.writeInProgress, this.readInProgress, this.readSentAt, this.writeSentAt,
+				this.nextCallNotBefore, this.reachable, this.readRequired, isFast(), this.lastReadAt,
+				this.lastAnsweredReadSentAt);
 	}
 
 	/**
@@ -70,43 +71,44 @@
 	 * @return true if a write may be proposed
 	 */
 	boolean isIdle(long now) {
-		return this.pending.isEmpty() && !this.writing && !this.stale && now >= this.notBefore;
+		return this.pendingWrite.isEmpty() && !this.writeInProgress && !this.readRequired
+				&& now >= this.nextCallNotBefore;
 	}
 
-	boolean unsettled() {
-		return this.pending.isPresent();
+	boolean hasPendingWrite() {
+		return this.pendingWrite.isPresent();
 	}
 
-	boolean reachable() {
+	boolean isReachable() {
 		return this.reachable;
 	}
 
 	/**
 	 * Returns whether the table recently answered a read.
-	 * @param span the maximum time since the read, milliseconds
+	 * @param maxAge the maximum time since the read, milliseconds
 	 * @param now current time, milliseconds
 	 * @return true if it did, and no call has failed since
 	 */
-	boolean readWithin(long span, long now) {
-		return this.reachable && now - this.lastReadAt <= span;
+	boolean hasReadWithin(long maxAge, long now) {
+		return this.reachable && now - this.lastReadAt <= maxAge;
 	}
 
 	/**
 	 * Returns whether the table has answered a read that was sent at a given time or
 	 * later.
-	 * @param time the earliest time of sending, milliseconds
+	 * @param earliest the earliest time of sending, milliseconds
 	 * @return true if it has
 	 */
-	boolean hasAnsweredReadSince(long time) {
-		return this.answeredSentAt >= time;
+	boolean hasAnsweredReadSince(long earliest) {
+		return this.lastAnsweredReadSentAt >= earliest;
 	}
 
 	boolean isFast() {
-		return this.reachable && this.lastTook <= FAST_CALL_LIMIT_MILLIS;
+		return this.reachable && this.lastReadDuration <= FAST_CALL_LIMIT_MILLIS;
 	}
 
 	Optional<CellRow> pendingRow() {
-		return this.pending.map(Pending::row);
+		return this.pendingWrite.map(PendingWrite::row);
 	}
 
 	long readSentAt() {
@@ -118,13 +120,13 @@
 	}
 
 	OwnershipAction propose(long expectedVersion, CellRow row, long now) {
-		this.pending = Optional.of(new Pending(expectedVersion, row, false));
-		return send(now);
+		this.pendingWrite = Optional.of(new PendingWrite(expectedVersion, row, false));
+		return sendWrite(now);
 	}
 
-	private OwnershipAction send(long now) {
-		Pending write = this.pending.orElseThrow();
-		this.writing = true;
+	private OwnershipAction sendWrite(long now) {
+		PendingWrite write = this.pendingWrite.orElseThrow();
+		this.writeInProgress = true;
 		this.writeSentAt = now;
 		return new OwnershipAction.WriteRow(write.expectedVersion(), write.row());
 	}
@@ -134,15 +136,16 @@
 	 * @param now current time, milliseconds
 	 * @return a read, if one is due
 	 */
-	Optional<OwnershipAction> settle(long now) {
-		return ((this.pending.isPresent() && !this.writing) || this.stale) ? read(now) : Optional.empty();
+	Optional<OwnershipAction> readIfUnresolved(long now) {
+		return ((this.pendingWrite.isPresent() && !this.writeInProgress) || this.readRequired) ? read(now)
+				: Optional.empty();
 	}
 
 	Optional<OwnershipAction> read(long now) {
-		if (this.reading || now < this.notBefore) {
+		if (this.readInProgress || now < this.nextCallNotBefore) {
 			return Optional.empty();
 		}
-		this.reading = true;
+		this.readInProgress = true;
 		this.readSentAt = now;
 		return Optional.of(new OwnershipAction.ReadRow());
 	}
@@ -154,25 +157,25 @@
 	 * @return the write to repeat, if it has not taken effect yet
 	 */
 	Optional<OwnershipAction> onRowRead(long version, long now) {
-		this.reading = false;
-		this.stale = false;
-		this.lastTook = now - this.readSentAt;
+		this.readInProgress = false;
+		this.readRequired = false;
+		this.lastReadDuration = now - this.readSentAt;
 		this.lastReadAt = now;
-		this.answeredSentAt = this.readSentAt;
-		answered();
-		if (this.pending.isEmpty() || this.writing) {
+		this.lastAnsweredReadSentAt = this.readSentAt;
+		recordAnswer();
+		if (this.pendingWrite.isEmpty() || this.writeInProgress) {
 			return Optional.empty();
 		}
-		if (version > this.pending.get().expectedVersion()) {
-			this.pending = Optional.empty();
+		if (version > this.pendingWrite.get().expectedVersion()) {
+			this.pendingWrite = Optional.empty();
 			return Optional.empty();
 		}
-		return Optional.of(send(now));
+		return Optional.of(sendWrite(now));
 	}
 
 	void onReadFailed(long now) {
-		this.reading = false;
-		failed(now);
+		this.readInProgress = false;
+		recordFailure(now);
 	}
 
 	/**
@@ -180,10 +183,10 @@
 	 * @return the row that was written
 	 */
 	CellRow onWritten() {
-		CellRow row = this.pending.orElseThrow().row();
-		this.pending = Optional.empty();
-		this.writing = false;
-		answered();
+		CellRow row = this.pendingWrite.orElseThrow().row();
+		this.pendingWrite = Optional.empty();
+		this.writeInProgress = false;
+		recordAnswer();
 		return row;
 	}
 
@@ -192,16 +195,17 @@
 	 * attempt of this write took effect. The next read shows which.
 	 */
 	void onWriteConflict() {
-		this.stale = true;
-		this.pending = Optional.empty();
-		this.writing = false;
-		answered();
+		this.readRequired = true;
+		this.pendingWrite = Optional.empty();
+		this.writeInProgress = false;
+		recordAnswer();
 	}
 
 	void onWriteUnknown(long now) {
-		this.pending = this.pending.map((write) -> new Pending(write.expectedVersion(), write.row(), true));
-		this.writing = false;
-		failed(now);
+		this.pendingWrite = this.pendingWrite
+			.map((write) -> new PendingWrite(write.expectedVersion(), write.row(), true));
+		this.writeInProgress = false;
+		recordFailure(now);
 	}
 
 	/**
@@ -210,18 +214,18 @@
 	 * @param now current time, milliseconds
 	 */
 	void onWriteFailed(long now) {
-		this.pending = this.pending.filter(Pending::uncertain);
-		this.writing = false;
-		failed(now);
+		this.pendingWrite = this.pendingWrite.filter(PendingWrite::uncertain);
+		this.writeInProgress = false;
+		recordFailure(now);
 	}
 
-	private void failed(long now) {
-		this.notBefore = now + RETRY_MILLIS;
+	private void recordFailure(long now) {
+		this.nextCallNotBefore = now + RETRY_DELAY_MILLIS;
 		this.reachable = false;
 	}
 
-	private void answered() {
-		this.notBefore = Long.MIN_VALUE;
+	private void recordAnswer() {
+		this.nextCallNotBefore = Long.MIN_VALUE;
 		this.reachable = true;
 	}
 
@@ -233,7 +237,7 @@
 	 * @param uncertain whether an earlier attempt may have taken effect or may still do
 	 * so
 	 */
-	record Pending(long expectedVersion, CellRow row, boolean uncertain) {
+	record PendingWrite(long expectedVersion, CellRow row, boolean uncertain) {
 
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/RowChange.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowChange.java
@@ -16,26 +16,26 @@
  */
 record RowChange(MemberKey self, VersionedRow before, VersionedRow after) {
 
-	boolean newEpoch() {
+	boolean isNewEpoch() {
 		return this.after.row().epoch() > this.before.row().epoch();
 	}
 
-	boolean joined() {
+	boolean hasJoined() {
 		return this.after.row().has(this.self) && !this.before.row().has(this.self);
 	}
 
 	List<OwnershipAction> events() {
-		Stream<OwnershipAction> epoch = (newEpoch()) ? Stream.of(recordEvent(EventKind.EPOCH_CHANGED,
-				this.self.instance(), "epoch %d under %s".formatted(this.after.row().epoch(), managers())))
+		Stream<OwnershipAction> epoch = (isNewEpoch()) ? Stream.of(recordEvent(EventKind.EPOCH_CHANGED,
+				this.self.instance(), "epoch %d under %s".formatted(this.after.row().epoch(), managerNames())))
 				: Stream.empty();
-		Stream<OwnershipAction> granted = gained()
+		Stream<OwnershipAction> granted = gainedRanges()
 			.map((range) -> recordEvent(EventKind.RANGE_GRANTED, subject(range), "fence " + range.fence()));
-		Stream<OwnershipAction> gone = lost()
+		Stream<OwnershipAction> released = lostRanges()
 			.map((range) -> recordEvent(EventKind.RANGE_RELEASED, subject(range), "fence " + range.fence()));
-		return Stream.of(epoch, granted, gone).flatMap((events) -> events).toList();
+		return Stream.of(epoch, granted, released).flatMap((events) -> events).toList();
 	}
 
-	private String managers() {
+	private String managerNames() {
 		return this.after.row()
 			.managers()
 			.map((pair) -> pair.primary().instance()
@@ -43,20 +43,20 @@
 			.orElse("nobody");
 	}
 
-	private Stream<RangeState> gained() {
-		Set<RangeState> old = new HashSet<>(this.before.row().ownedBy(this.self.instance()));
+	private Stream<RangeState> gainedRanges() {
+		Set<RangeState> ownedBefore = new HashSet<>(this.before.row().ownedBy(this.self.instance()));
 		return this.after.row()
 			.ownedBy(this.self.instance())
 			.stream()
-			.filter((range) -> old.stream().noneMatch((known) -> known.held().equals(range.held())));
+			.filter((range) -> ownedBefore.stream().noneMatch((known) -> known.held().equals(range.held())));
 	}
 
-	private Stream<RangeState> lost() {
-		Set<RangeState> next = new HashSet<>(this.after.row().ownedBy(this.self.instance()));
+	private Stream<RangeState> lostRanges() {
+		Set<RangeState> ownedAfter = new HashSet<>(this.after.row().ownedBy(this.self.instance()));
 		return this.before.row()
 			.ownedBy(this.self.instance())
 			.stream()
-			.filter((range) -> next.stream().noneMatch((known) -> known.held().equals(range.held())));
+			.filter((range) -> ownedAfter.stream().noneMatch((known) -> known.held().equals(range.held())));
 	}
 
 	private static String subject(RangeState range) {
--- a/core/src/main/java/org/brasspier/core/ownership/RowDelta.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowDelta.java
@@ -45,18 +45,18 @@
 	public static RowDelta between(VersionedRow from, VersionedRow to) {
 		CellRow before = from.row();
 		CellRow after = to.row();
-		Set<InstanceId> staying = instances(after).collect(Collectors.toSet());
-		Set<Place> kept = places(after).collect(Collectors.toSet());
-		CellRow changed = after.withMembers(without(after.members(), before.members()))
-			.withRanges(without(after.ranges(), before.ranges()));
+		Set<InstanceId> remainingMembers = instances(after).collect(Collectors.toSet());
+		Set<Place> remainingRanges = places(after).collect(Collectors.toSet());
+		CellRow changed = after.withMembers(newOrChanged(after.members(), before.members()))
+			.withRanges(newOrChanged(after.ranges(), before.ranges()));
 		return new RowDelta(from.version(), to.version(), RowDigest.of(after), changed,
-				instances(before).filter((instance) -> !staying.contains(instance)).toList(),
-				places(before).filter((place) -> !kept.contains(place)).toList());
+				instances(before).filter((instance) -> !remainingMembers.contains(instance)).toList(),
+				places(before).filter((place) -> !remainingRanges.contains(place)).toList());
 	}
 
-	private static <T> List<T> without(List<T> all, List<T> known) {
-		Set<T> unchanged = new HashSet<>(known);
-		return all.stream().filter((one) -> !unchanged.contains(one)).toList();
+	private static <T> List<T> newOrChanged(List<T> entries, List<T> previous) {
+		Set<T> unchanged = new HashSet<>(previous);
+		return entries.stream().filter((entry) -> !unchanged.contains(entry)).toList();
 	}
 
 	private static Stream<InstanceId> instances(CellRow row) {
@@ -71,9 +71,9 @@
 	 * Returns whether the difference is smaller than the whole row.
 	 * @return false if most of the row is new
 	 */
-	boolean worthwhile(CellRow whole) {
+	boolean isSmallerThan(CellRow row) {
 		int changeCount = this.changed.ranges().size() + this.goneRanges.size();
-		return changeCount < whole.ranges().size();
+		return changeCount < row.ranges().size();
 	}
 
 	/**
--- a/core/src/main/java/org/brasspier/core/ownership/RowDigest.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowDigest.java
@@ -23,23 +23,23 @@
 	static long of(CellRow row) {
 		HashStream64 hash = Hashing.komihash5_0().hashStream();
 		hash.putLong(row.epoch());
-		optional(hash, row.managers(), (pair) -> put(hash, pair));
-		all(hash, row.unclosed(), (pair) -> put(hash, pair));
-		all(hash, row.members(), (member) -> put(hash, member));
-		all(hash, row.drained().stream().map(InstanceId::value).sorted().toList(), hash::putString);
-		all(hash, row.ranges(), (range) -> put(hash, range));
-		optional(hash, row.challenger(), (key) -> put(hash, key));
+		putOptional(hash, row.managers(), (pair) -> put(hash, pair));
+		putAll(hash, row.unclosed(), (pair) -> put(hash, pair));
+		putAll(hash, row.members(), (member) -> put(hash, member));
+		putAll(hash, row.drained().stream().map(InstanceId::value).sorted().toList(), hash::putString);
+		putAll(hash, row.ranges(), (range) -> put(hash, range));
+		putOptional(hash, row.challenger(), (key) -> put(hash, key));
 		return hash.getAsLong();
 	}
 
-	private static <T> void all(HashStream64 hash, Collection<T> entries, Consumer<T> each) {
+	private static <T> void putAll(HashStream64 hash, Collection<T> entries, Consumer<T> putEntry) {
 		hash.putInt(entries.size());
-		entries.forEach(each);
+		entries.forEach(putEntry);
 	}
 
-	private static <T> void optional(HashStream64 hash, Optional<T> entry, Consumer<T> each) {
+	private static <T> void putOptional(HashStream64 hash, Optional<T> entry, Consumer<T> putEntry) {
 		hash.putBoolean(entry.isPresent());
-		entry.ifPresent(each);
+		entry.ifPresent(putEntry);
 	}
 
 	private static void put(HashStream64 hash, MemberKey key) {
@@ -50,7 +50,7 @@
 	private static void put(HashStream64 hash, ManagerPair pair) {
 		hash.putLong(pair.epoch());
 		put(hash, pair.primary());
-		optional(hash, pair.secondary(), (key) -> put(hash, key));
+		putOptional(hash, pair.secondary(), (key) -> put(hash, key));
 	}
 
 	private static void put(HashStream64 hash, MemberInfo member) {
@@ -62,7 +62,7 @@
 		hash.putInt(member.address().callerPort());
 		hash.putInt(member.address().operatorPort());
 		hash.putInt(member.phase().ordinal());
-		optional(hash, member.backend(), (backend) -> put(hash, backend));
+		putOptional(hash, member.backend(), (backend) -> put(hash, backend));
 	}
 
 	private static void put(HashStream64 hash, MemberInfo.Backend backend) {
@@ -77,9 +77,9 @@
 		hash.putString(range.service().value());
 		hash.putLong(range.range().low());
 		hash.putLong(range.range().high());
-		optional(hash, range.owner(), (owner) -> hash.putString(owner.value()));
+		putOptional(hash, range.owner(), (owner) -> hash.putString(owner.value()));
 		hash.putLong(range.fence().value());
-		all(hash, range.marks(), (mark) -> {
+		putAll(hash, range.marks(), (mark) -> {
 			hash.putLong(mark.requestHash());
 			hash.putInt(mark.crashes());
 		});
--- a/core/src/main/java/org/brasspier/core/ownership/RowHandler.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowHandler.java
@@ -19,20 +19,20 @@
 	 * much: reading a row of 8 KB every second would use most of the 10 KB a second that
 	 * a node may spend on control traffic.
 	 */
-	private static final long READ_MANAGER_MILLIS = 4000;
+	private static final long MANAGER_READ_INTERVAL_MILLIS = 4000;
 
 	/** While ranges are to be released, see {@link ManagerRole#requestReleases}. */
-	private static final long READ_MOVING_MILLIS = 500;
+	private static final long MOVE_READ_INTERVAL_MILLIS = 500;
 
-	private static final long READ_MEMBER_MILLIS = 500;
+	private static final long MEMBER_READ_INTERVAL_MILLIS = 500;
 
 	/**
 	 * While ranges of a lost backend server wait to be released; each interval delays the
 	 * recovery.
 	 */
-	private static final long READ_RELEASING_MILLIS = 50;
+	private static final long RELEASE_READ_INTERVAL_MILLIS = 50;
 
-	private static final long PUSH_MILLIS = 100;
+	private static final long MIN_PUSH_INTERVAL_MILLIS = 100;
 
 	private final ProcessParts parts;
 
@@ -42,40 +42,40 @@
 
 	void propose(CellRow row, long now) {
 		long version = this.parts.lease.known().version();
-		this.parts.out.add(this.parts.access.propose(version, row, now));
-		if (!this.parts.guards.on(Guard.TOLD_AFTER_WRITTEN)) {
+		this.parts.outbox.add(this.parts.rowAccess.propose(version, row, now));
+		if (!this.parts.guards.isEnabled(Guard.TOLD_AFTER_WRITTEN)) {
 			adopt(new VersionedRow(version + 1, row), now);
 		}
 	}
 
 	void readIfDue(long now) {
-		boolean givingUp = this.parts.releasingSince.isPresent();
-		boolean silent = now - this.parts.managerHeardAt > this.parts.takeover.silenceTimeout();
-		long every = (givingUp) ? READ_RELEASING_MILLIS
+		boolean releasing = this.parts.backendLostAt.isPresent();
+		boolean managerSilent = now - this.parts.managerHeardAt > this.parts.takeover.silenceTimeout();
+		long interval = (releasing) ? RELEASE_READ_INTERVAL_MILLIS
 				: (this.parts.manager.isLone()) ? this.parts.timing.authority() / 3
-						: (this.parts.manager.isActive()) ? managerPeriod() : READ_MEMBER_MILLIS;
-		boolean wanted = givingUp || this.parts.manager.isActive() || silent || this.parts.lease.known().version() == 0
-				|| !this.parts.lease.known().row().has(this.parts.me.key());
-		if (wanted && this.parts.timers.readDue(now, every)) {
-			this.parts.access.read(now).ifPresent(this.parts.out::add);
+						: (this.parts.manager.isActive()) ? managerReadInterval() : MEMBER_READ_INTERVAL_MILLIS;
+		boolean needed = releasing || this.parts.manager.isActive() || managerSilent
+				|| this.parts.lease.known().version() == 0 || !this.parts.lease.known().row().has(this.parts.me.key());
+		if (needed && this.parts.timers.readDue(now, interval)) {
+			this.parts.rowAccess.read(now).ifPresent(this.parts.outbox::add);
 		}
 	}
 
-	private long managerPeriod() {
-		return (this.parts.primaryState.moves().isEmpty()) ? READ_MANAGER_MILLIS : READ_MOVING_MILLIS;
+	private long managerReadInterval() {
+		return (this.parts.primaryState.moves().isEmpty()) ? MANAGER_READ_INTERVAL_MILLIS : MOVE_READ_INTERVAL_MILLIS;
 	}
 
-	void confirmedByTable(CellRow row, long sentAt, long now) {
+	void onConfirmedByTable(CellRow row, long sentAt, long now) {
 		if (!this.parts.manager.isActive() || row.epoch() != this.parts.manager.epoch()) {
 			return;
 		}
 		this.parts.manager.onEpochSeen(sentAt);
-		boolean alone = this.parts.manager.isLone() && row.has(this.parts.me.key());
-		if (alone && this.parts.lease.extend(sentAt, Math.min(this.parts.timing.lease(), this.parts.timing.authority()),
-				now)) {
+		boolean loneMember = this.parts.manager.isLone() && row.has(this.parts.me.key());
+		if (loneMember && this.parts.lease.extend(sentAt,
+				Math.min(this.parts.timing.lease(), this.parts.timing.authority()), now)) {
 			this.parts.managerHeardAt = now;
 			this.parts.timers.setLeaseValid(true);
-			this.parts.out.publish();
+			this.parts.outbox.publish();
 		}
 	}
 
@@ -85,13 +85,13 @@
 		if (!this.parts.lease.adopt(row)) {
 			return;
 		}
-		this.parts.out.publish();
-		change.events().forEach(this.parts.out::add);
+		this.parts.outbox.publish();
+		change.events().forEach(this.parts.outbox::add);
 		this.parts.takeover.adopt(row.row(), now);
 		// A process that waited to become a member, as after a restart until its previous
 		// incarnation was removed from the row, was not renewed in the meantime. This is
 		// no sign that the managers are lost.
-		if (change.newEpoch() || change.joined()) {
+		if (change.isNewEpoch() || change.hasJoined()) {
 			this.parts.managerHeardAt = now;
 		}
 		boolean newPair = this.parts.manager.adopt(row, now);
@@ -104,14 +104,14 @@
 			pushToAll(before, row);
 		}
 		if (this.parts.manager.isActive()) {
-			recordPushes(row.row(), now);
+			recordPushTimes(row.row(), now);
 		}
 		if (newPair && this.parts.manager.peer().isPresent()) {
-			this.parts.beat(now);
+			this.parts.sendBeat(now);
 		}
 		this.parts.left = this.parts.leaving && !row.row().has(this.parts.me.key()) && !this.parts.manager.isActive();
 		if (this.parts.left) {
-			this.parts.out.add(new OwnershipAction.Left());
+			this.parts.outbox.add(new OwnershipAction.Left());
 		}
 	}
 
@@ -121,20 +121,20 @@
 	// change requests the whole row.
 	private void pushToAll(VersionedRow before, VersionedRow row) {
 		RowDelta delta = RowDelta.between(before, row);
-		boolean worthwhile = before.version() > 0 && delta.worthwhile(row.row());
-		ControlMessage whole = new ControlMessage.RowUpdate(row);
-		ControlMessage difference = (worthwhile) ? new ControlMessage.RowDifference(delta) : whole;
+		boolean sendDelta = before.version() > 0 && delta.isSmallerThan(row.row());
+		ControlMessage wholeRow = new ControlMessage.RowUpdate(row);
+		ControlMessage update = (sendDelta) ? new ControlMessage.RowDifference(delta) : wholeRow;
 		row.row()
 			.members()
 			.stream()
 			.filter((member) -> !member.instance().equals(this.parts.me.instance()))
-			.forEach((member) -> this.parts.out.send(member.instance(),
-					before.row().has(member.key()) ? difference : whole));
+			.forEach((member) -> this.parts.outbox.send(member.instance(),
+					before.row().has(member.key()) ? update : wholeRow));
 	}
 
 	// Otherwise a heartbeat that was sent before the member received the new row would
 	// make it get the whole row although the difference is in transit.
-	private void recordPushes(CellRow row, long now) {
+	private void recordPushTimes(CellRow row, long now) {
 		row.members().forEach((member) -> this.parts.timers.pushDue(member.instance(), now, 0));
 	}
 
@@ -146,47 +146,48 @@
 		if (next.isPresent()) {
 			adopt(next.get(), now);
 		}
-		else if (this.parts.timers.rowRequestDue(now, PUSH_MILLIS)) {
-			this.parts.out.send(from, new ControlMessage.RowRequest(this.parts.lease.known().version()));
+		else if (this.parts.timers.rowRequestDue(now, MIN_PUSH_INTERVAL_MILLIS)) {
+			this.parts.outbox.send(from, new ControlMessage.RowRequest(this.parts.lease.known().version()));
 		}
 	}
 
 	void sendWholeRow(InstanceId to, long version) {
 		if (version < this.parts.lease.known().version()) {
-			this.parts.out.send(to, new ControlMessage.RowUpdate(this.parts.lease.known()));
+			this.parts.outbox.send(to, new ControlMessage.RowUpdate(this.parts.lease.known()));
 		}
 	}
 
 	void pushIfBehind(InstanceId to, long version, long now) {
-		if (version < this.parts.lease.known().version() && this.parts.timers.pushDue(to, now, PUSH_MILLIS)) {
-			this.parts.out.send(to, new ControlMessage.RowUpdate(this.parts.lease.known()));
+		if (version < this.parts.lease.known().version()
+				&& this.parts.timers.pushDue(to, now, MIN_PUSH_INTERVAL_MILLIS)) {
+			this.parts.outbox.send(to, new ControlMessage.RowUpdate(this.parts.lease.known()));
 		}
 	}
 
 	void onRowRead(VersionedRow row, long now) {
-		Optional<OwnershipAction> again = this.parts.access.onRowRead(row.version(), now);
-		again.ifPresent(this.parts.out::add);
+		Optional<OwnershipAction> repeatedWrite = this.parts.rowAccess.onRowRead(row.version(), now);
+		repeatedWrite.ifPresent(this.parts.outbox::add);
 		adopt(row, now);
-		confirmedByTable(row.row(), this.parts.access.readSentAt(), now);
-		if (row.version() == 0 && again.isEmpty() && this.parts.access.isIdle(now) && !this.parts.leaving) {
+		onConfirmedByTable(row.row(), this.parts.rowAccess.readSentAt(), now);
+		if (row.version() == 0 && repeatedWrite.isEmpty() && this.parts.rowAccess.isIdle(now) && !this.parts.leaving) {
 			propose(CellRow.EMPTY.nextEpoch(this.parts.me.key(), Optional.empty(), List.of()), now);
 		}
 	}
 
 	void onWritten(long version, long now) {
-		CellRow row = this.parts.access.onWritten();
+		CellRow row = this.parts.rowAccess.onWritten();
 		adopt(new VersionedRow(version, row), now);
-		confirmedByTable(row, this.parts.access.writeSentAt(), now);
+		onConfirmedByTable(row, this.parts.rowAccess.writeSentAt(), now);
 	}
 
 	void onWriteConflict(long now) {
-		this.parts.access.onWriteConflict();
-		this.parts.access.settle(now).ifPresent(this.parts.out::add);
+		this.parts.rowAccess.onWriteConflict();
+		this.parts.rowAccess.readIfUnresolved(now).ifPresent(this.parts.outbox::add);
 	}
 
 	void onWriteUnknown(long now) {
-		this.parts.access.onWriteUnknown(now);
-		this.parts.out.recordEvent(EventKind.WRITE_UNKNOWN, this.parts.me.instance(), "reading the row back");
+		this.parts.rowAccess.onWriteUnknown(now);
+		this.parts.outbox.recordEvent(EventKind.WRITE_UNKNOWN, this.parts.me.instance(), "reading the row back");
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/ownership/RowPlanner.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowPlanner.java
@@ -50,24 +50,24 @@
 	 * wait for their owners to release the ranges
 	 */
 	Plan plan() {
-		closePairs();
-		removeLost();
-		takeAnnouncements();
-		removeLeft();
-		addServices();
-		takeReleased();
-		place();
-		this.moves.removeIf((move) -> owned(move.held()).isEmpty());
+		removeClosedPairs();
+		removeLostMembers();
+		applyAnnouncements();
+		removeDepartedMembers();
+		addRangesOfNewServices();
+		reassignReleasedRanges();
+		applyPlacement();
+		this.moves.removeIf((move) -> findOwned(move.held()).isEmpty());
 		return new Plan(this.row, List.copyOf(this.moves));
 	}
 
-	private void closePairs() {
-		List<ManagerPair> open = new ArrayList<>(this.row.unclosed());
-		open.removeAll(this.facts.closed());
-		this.row = this.row.withUnclosed(open).challengedBy(Optional.empty()).withDrained(this.facts.drained());
+	private void removeClosedPairs() {
+		List<ManagerPair> unclosed = new ArrayList<>(this.row.unclosed());
+		unclosed.removeAll(this.facts.closed());
+		this.row = this.row.withUnclosed(unclosed).challengedBy(Optional.empty()).withDrained(this.facts.drained());
 	}
 
-	private void removeLost() {
+	private void removeLostMembers() {
 		for (MemberKey key : this.facts.lost()) {
 			this.row = this.row.withoutMember(key.instance())
 				.mapRanges((range) -> (range.owner().filter(key.instance()::equals).isPresent())
@@ -75,7 +75,7 @@
 		}
 	}
 
-	private void takeAnnouncements() {
+	private void applyAnnouncements() {
 		for (MemberInfo member : this.facts.announced()) {
 			Optional<MemberInfo> present = this.row.member(member.instance());
 			boolean joins = present.isEmpty() && member.phase() != MemberPhase.LEAVING;
@@ -86,20 +86,20 @@
 		}
 	}
 
-	private void removeLeft() {
+	private void removeDepartedMembers() {
 		List<MemberInfo> staying = this.row.members()
 			.stream()
-			.filter((member) -> member.phase() != MemberPhase.LEAVING || manages(member.key())
+			.filter((member) -> member.phase() != MemberPhase.LEAVING || isManager(member.key())
 					|| !this.row.ownedBy(member.instance()).isEmpty())
 			.toList();
 		this.row = this.row.withMembers(staying);
 	}
 
-	private boolean manages(MemberKey key) {
+	private boolean isManager(MemberKey key) {
 		return this.row.managers().filter((pair) -> pair.includes(key)).isPresent();
 	}
 
-	private void addServices() {
+	private void addRangesOfNewServices() {
 		Set<ServiceName> known = new TreeSet<>(this.row.ranges().stream().map(RangeState::service).toList());
 		List<RangeState> ranges = new ArrayList<>(this.row.ranges());
 		this.row.members()
@@ -113,25 +113,25 @@
 		this.row = this.row.withRanges(ranges);
 	}
 
-	private void takeReleased() {
+	private void reassignReleasedRanges() {
 		this.row = this.row.mapRanges((range) -> {
 			List<CrashMark> marks = this.facts.released().get(range.held());
 			return (range.owner().isPresent() && marks != null)
-					? target(range.held()).map((to) -> range.unowned(marks).ownedBy(to, this.version))
+					? moveTarget(range.held()).map((to) -> range.unowned(marks).ownedBy(to, this.version))
 						.orElse(range.unowned(marks))
 					: range;
 		});
 	}
 
-	private Optional<InstanceId> target(HeldRange held) {
+	private Optional<InstanceId> moveTarget(HeldRange held) {
 		return this.moves.stream()
 			.filter((move) -> move.held().equals(held))
 			.findFirst()
 			.flatMap(PlannedMove::to)
-			.filter((to) -> placeable(held.service()).contains(to));
+			.filter((to) -> eligibleOwners(held.service()).contains(to));
 	}
 
-	private List<InstanceId> placeable(ServiceName service) {
+	private List<InstanceId> eligibleOwners(ServiceName service) {
 		return this.row.members()
 			.stream()
 			.filter((member) -> member.phase() == MemberPhase.ACTIVE && !this.row.drained().contains(member.instance())
@@ -141,20 +141,20 @@
 			.toList();
 	}
 
-	private void place() {
+	private void applyPlacement() {
 		Set<ServiceName> services = new LinkedHashSet<>(this.row.ranges().stream().map(RangeState::service).toList());
 		for (ServiceName service : services) {
 			List<RangeState> ranges = this.row.rangesOf(service);
 			if (this.facts.balance() || ranges.stream().anyMatch((range) -> range.owner().isEmpty())) {
-				ServicePlan plan = new ServicePlan(this.facts, this.row, service, this.moves, placeable(service));
+				ServicePlan plan = new ServicePlan(this.facts, this.row, service, this.moves, eligibleOwners(service));
 				plan.run();
-				this.row = plan.row(this.version);
+				this.row = plan.nextRow(this.version);
 				this.moves.addAll(plan.newMoves());
 			}
 		}
 	}
 
-	private Optional<RangeState> owned(HeldRange held) {
+	private Optional<RangeState> findOwned(HeldRange held) {
 		return this.row.ranges()
 			.stream()
 			.filter((range) -> range.owner().isPresent() && range.held().equals(held))
@@ -163,21 +163,22 @@
 
 	// Fallback for ranges without an owner if the policy's choice is not possible: the
 	// instance that owns the fewest points.
-	static Optional<InstanceId> leastLoaded(List<InstanceId> placeable, Map<InstanceId, Long> points) {
-		return placeable.stream().min((a, b) -> Long.compare(points.getOrDefault(a, 0L), points.getOrDefault(b, 0L)));
+	static Optional<InstanceId> leastLoaded(List<InstanceId> eligibleOwners, Map<InstanceId, Long> points) {
+		return eligibleOwners.stream()
+			.min((a, b) -> Long.compare(points.getOrDefault(a, 0L), points.getOrDefault(b, 0L)));
 	}
 
-	static Map<InstanceId, Long> points(List<RangeState> ranges) {
-		Map<InstanceId, Long> points = new HashMap<>();
-		ranges.forEach(
-				(range) -> range.owner().ifPresent((owner) -> points.merge(owner, range.range().size(), Long::sum)));
-		return points;
+	static Map<InstanceId, Long> pointsByOwner(List<RangeState> ranges) {
+		Map<InstanceId, Long> pointsByOwner = new HashMap<>();
+		ranges.forEach((range) -> range.owner()
+			.ifPresent((owner) -> pointsByOwner.merge(owner, range.range().size(), Long::sum)));
+		return pointsByOwner;
 	}
 
-	static Map<KeyRange, RangeState> byRange(List<RangeState> ranges) {
-		Map<KeyRange, RangeState> byRange = new LinkedHashMap<>();
-		ranges.forEach((range) -> byRange.put(range.range(), range));
-		return byRange;
+	static Map<KeyRange, RangeState> statesByRange(List<RangeState> ranges) {
+		Map<KeyRange, RangeState> statesByRange = new LinkedHashMap<>();
+		ranges.forEach((range) -> statesByRange.put(range.range(), range));
+		return statesByRange;
 	}
 
 	/**
--- a/core/src/main/java/org/brasspier/core/ownership/ServicePlan.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ServicePlan.java
@@ -22,41 +22,41 @@
 
 	private final PlanFacts facts;
 
-	private final CellRow before;
+	private final CellRow original;
 
 	private final ServiceName service;
 
-	private final List<InstanceId> placeable;
+	private final List<InstanceId> eligibleOwners;
 
 	private final Map<KeyRange, RangeState> ranges;
 
-	private final Map<KeyRange, PlannedMove> moving;
+	private final Map<KeyRange, PlannedMove> pendingMoves;
 
 	private final List<PlannedMove> newMoves = new ArrayList<>();
 
-	private final List<KeyRange> assigned = new ArrayList<>();
+	private final List<KeyRange> newlyAssigned = new ArrayList<>();
 
 	ServicePlan(PlanFacts facts, CellRow row, ServiceName service, List<PlannedMove> moves,
-			List<InstanceId> placeable) {
+			List<InstanceId> eligibleOwners) {
 		this.facts = facts;
-		this.before = row;
+		this.original = row;
 		this.service = service;
-		this.placeable = placeable;
-		this.ranges = RowPlanner.byRange(row.rangesOf(service));
-		this.moving = new java.util.HashMap<>();
+		this.eligibleOwners = eligibleOwners;
+		this.ranges = RowPlanner.statesByRange(row.rangesOf(service));
+		this.pendingMoves = new java.util.HashMap<>();
 		moves.stream()
 			.filter((move) -> move.held().service().equals(service))
-			.forEach((move) -> this.moving.put(move.held().range(), move));
+			.forEach((move) -> this.pendingMoves.put(move.held().range(), move));
 	}
 
 	void run() {
 		this.facts.placement().policy().plan(input()).forEach(this::apply);
 		assignUnowned();
-		releaseLeaving();
+		releaseRangesOfLeavingMembers();
 	}
 
 	private PlacementInput input() {
-		List<PlacementInput.Member> members = this.before.members()
+		List<PlacementInput.Member> members = this.original.members()
 			.stream()
 			.filter((
 					member) -> member.backend().filter((backend) -> backend.service().equals(this.service)).isPresent())
@@ -67,22 +67,23 @@
 	}
 
 	private PlacementInput.Member member(MemberInfo member) {
-		double warm = this.facts.warmShare().apply(member);
+		double warmShare = this.facts.warmShare().apply(member);
 		return new PlacementInput.Member(member.instance(), member.domain(),
-				member.backend().map(MemberInfo.Backend::slots).orElse(1), phase(member, warm), warm);
+				member.backend().map(MemberInfo.Backend::slots).orElse(1), phase(member, warmShare), warmShare);
 	}
 
-	private Phase phase(MemberInfo member, double warm) {
-		if (member.phase() != MemberPhase.ACTIVE || this.before.drained().contains(member.instance())) {
+	private Phase phase(MemberInfo member, double warmShare) {
+		if (member.phase() != MemberPhase.ACTIVE || this.original.drained().contains(member.instance())) {
 			return Phase.LEAVING;
 		}
-		return (warm < 1) ? Phase.COLD : Phase.ACTIVE;
+		return (warmShare < 1) ? Phase.COLD : Phase.ACTIVE;
 	}
 
 	private PlacementInput.Range range(RangeState range) {
-		Optional<InstanceId> planned = Optional.ofNullable(this.moving.get(range.range())).flatMap(PlannedMove::to);
+		Optional<InstanceId> plannedOwner = Optional.ofNullable(this.pendingMoves.get(range.range()))
+			.flatMap(PlannedMove::to);
 		RangeLoad load = this.facts.load().apply(range.held());
-		return new PlacementInput.Range(range.range(), planned.or(range::owner), load.busySlots(), load.hottest(),
+		return new PlacementInput.Range(range.range(), plannedOwner.or(range::owner), load.busySlots(), load.hottest(),
 				this.facts.movedAt().apply(range.held()));
 	}
 
@@ -96,7 +97,7 @@
 
 	private void move(KeyRange range, InstanceId to, MoveCause cause) {
 		RangeState state = this.ranges.get(range);
-		if (state == null || !this.placeable.contains(to) || this.moving.containsKey(range)) {
+		if (state == null || !this.eligibleOwners.contains(to) || this.pendingMoves.containsKey(range)) {
 			return;
 		}
 		if (state.owner().isEmpty()) {
@@ -105,76 +106,76 @@
 		else if (!state.owner().get().equals(to)) {
 			PlannedMove move = new PlannedMove(state.held(), Optional.of(to), cause);
 			this.newMoves.add(move);
-			this.moving.put(range, move);
+			this.pendingMoves.put(range, move);
 		}
 	}
 
 	private void assign(RangeState state, InstanceId to) {
-		this.assigned.add(state.range());
+		this.newlyAssigned.add(state.range());
 		this.ranges.put(state.range(),
 				new RangeState(state.service(), state.range(), Optional.of(to), state.fence(), state.marks()));
 	}
 
-	private void split(KeyRange range, long at) {
+	private void split(KeyRange range, long splitPoint) {
 		RangeState state = this.ranges.get(range);
-		if (state == null || at <= range.low() || at >= range.high() || busy(range)) {
+		if (state == null || splitPoint <= range.low() || splitPoint >= range.high() || isMovingOrAssigned(range)) {
 			return;
 		}
 		this.ranges.remove(range);
-		KeyRange first = new KeyRange(range.low(), at);
-		KeyRange second = new KeyRange(at, range.high());
+		KeyRange first = new KeyRange(range.low(), splitPoint);
+		KeyRange second = new KeyRange(splitPoint, range.high());
 		this.ranges.put(first, state.over(first));
 		this.ranges.put(second, state.over(second));
 	}
 
-	private boolean busy(KeyRange range) {
-		return this.moving.containsKey(range) || this.assigned.contains(range);
+	private boolean isMovingOrAssigned(KeyRange range) {
+		return this.pendingMoves.containsKey(range) || this.newlyAssigned.contains(range);
 	}
 
 	// Merges adjacent ranges with the same owner and fence. If the fences differ, the
 	// owner keeps separate records of request ids for them, so both ranges are first
 	// released and granted again together; a later plan finds them under one fence.
 	private void merge(KeyRange first, KeyRange second) {
-		RangeState low = this.ranges.get(first);
-		RangeState high = this.ranges.get(second);
-		if (low == null || high == null || first.high() != second.low() || busy(first) || busy(second)
-				|| !low.owner().equals(high.owner())) {
+		RangeState firstState = this.ranges.get(first);
+		RangeState secondState = this.ranges.get(second);
+		if (firstState == null || secondState == null || first.high() != second.low() || isMovingOrAssigned(first)
+				|| isMovingOrAssigned(second) || !firstState.owner().equals(secondState.owner())) {
 			return;
 		}
-		if (!low.fence().equals(high.fence())) {
-			grantAnew(low);
-			grantAnew(high);
+		if (!firstState.fence().equals(secondState.fence())) {
+			releaseAndRegrant(firstState);
+			releaseAndRegrant(secondState);
 			return;
 		}
 		this.ranges.remove(first);
 		this.ranges.remove(second);
-		KeyRange joined = new KeyRange(first.low(), second.high());
-		this.ranges.put(joined, low.over(joined));
+		KeyRange merged = new KeyRange(first.low(), second.high());
+		this.ranges.put(merged, firstState.over(merged));
 	}
 
-	private void grantAnew(RangeState state) {
+	private void releaseAndRegrant(RangeState state) {
 		if (state.owner().isPresent()) {
 			PlannedMove move = new PlannedMove(state.held(), state.owner(), MoveCause.BALANCE);
 			this.newMoves.add(move);
-			this.moving.put(state.range(), move);
+			this.pendingMoves.put(state.range(), move);
 		}
 	}
 
 	private void assignUnowned() {
 		List<RangeState> unowned = this.ranges.values().stream().filter((range) -> range.owner().isEmpty()).toList();
 		for (RangeState range : unowned) {
-			RowPlanner.leastLoaded(this.placeable, RowPlanner.points(List.copyOf(this.ranges.values())))
+			RowPlanner.leastLoaded(this.eligibleOwners, RowPlanner.pointsByOwner(List.copyOf(this.ranges.values())))
 				.ifPresent((to) -> assign(range, to));
 		}
 	}
 
 	// If no instance can take the ranges of a leaving instance, it releases them without
 	// a successor after a waiting time; otherwise it could never stop.
-	private void releaseLeaving() {
-		if (!this.placeable.isEmpty()) {
+	private void releaseRangesOfLeavingMembers() {
+		if (!this.eligibleOwners.isEmpty()) {
 			return;
 		}
-		List<InstanceId> leavers = this.before.members()
+		List<InstanceId> leavingInstances = this.original.members()
 			.stream()
 			.filter((member) -> member.phase() != MemberPhase.ACTIVE)
 			.filter((member) -> !this.facts.awaitsSuccessor().test(member))
@@ -182,17 +183,18 @@
 			.toList();
 		this.ranges.values()
 			.stream()
-			.filter((range) -> range.owner().filter(leavers::contains).isPresent() && !busy(range.range()))
+			.filter((range) -> range.owner().filter(leavingInstances::contains).isPresent()
+					&& !isMovingOrAssigned(range.range()))
 			.forEach((range) -> this.newMoves.add(new PlannedMove(range.held(), Optional.empty(), MoveCause.LEAVING)));
 	}
 
-	CellRow row(long version) {
-		List<RangeState> all = new ArrayList<>(
-				this.before.ranges().stream().filter((range) -> !range.service().equals(this.service)).toList());
+	CellRow nextRow(long version) {
+		List<RangeState> allRanges = new ArrayList<>(
+				this.original.ranges().stream().filter((range) -> !range.service().equals(this.service)).toList());
 		this.ranges.values()
-			.forEach((range) -> all.add((this.assigned.contains(range.range()))
+			.forEach((range) -> allRanges.add((this.newlyAssigned.contains(range.range()))
 					? range.ownedBy(range.owner().orElseThrow(), version) : range));
-		return this.before.withRanges(all);
+		return this.original.withRanges(allRanges);
 	}
 
 	List<PlannedMove> newMoves() {
--- a/core/src/main/java/org/brasspier/core/ownership/Takeover.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Takeover.java
@@ -87,11 +87,11 @@
 	/**
 	 * Returns the row that this process should write, if any.
 	 * @param row the newest known row
-	 * @param silentFor time since it last heard of a lease manager, milliseconds
+	 * @param silentMillis time since it last heard of a lease manager, milliseconds
 	 * @param now current time, milliseconds
 	 * @return the row to write
 	 */
-	Optional<CellRow> attempt(CellRow row, long silentFor, long now) {
+	Optional<CellRow> rowToWrite(CellRow row, long silentMillis, long now) {
 		if (row.managers().isEmpty()) {
 			return Optional.of(row.nextEpoch(this.self, Optional.empty(), row.unclosed()));
 		}
@@ -101,10 +101,10 @@
 			// usual waiting time is sufficient.
 			return Optional.of(row.nextEpoch(this.self, Optional.empty(), row.unclosed()));
 		}
-		if (silentFor > silenceTimeout() && othersAgree(row, pair, silentFor, now)) {
-			return Optional.of(takeOver(row, pair));
+		if (silentMillis > silenceTimeout() && othersAgree(row, pair, silentMillis, now)) {
+			return Optional.of(takeoverRow(row, pair));
 		}
-		return (silentFor > CHALLENGE_AFTER_MILLIS) ? challenge(row, pair, now) : Optional.empty();
+		return (silentMillis > CHALLENGE_AFTER_MILLIS) ? challengeOrTakeOver(row, pair, now) : Optional.empty();
 	}
 
 	// Whether a manager's process has certainly ended: its instance runs another process
@@ -114,62 +114,62 @@
 			return manager.incarnation() != this.self.incarnation();
 		}
 		return this.answers.get(manager.instance())
-			.filter((answer) -> answer.fresh(now) && answer.message().incarnation() != manager.incarnation())
+			.filter((answer) -> answer.isRecent(now) && answer.message().incarnation() != manager.incarnation())
 			.isDefined();
 	}
 
-	private boolean othersAgree(CellRow row, ManagerPair pair, long silentFor, long now) {
+	private boolean othersAgree(CellRow row, ManagerPair pair, long silentMillis, long now) {
 		List<InstanceId> voters = row.members()
 			.stream()
 			.filter((member) -> !pair.includes(member.key()))
 			.map(MemberInfo::instance)
 			.toList();
 		List<InstanceId> agreeing = voters.stream().filter((voter) -> agrees(voter, row.epoch(), now)).toList();
-		boolean first = agreeing.stream().allMatch((voter) -> voter.compareTo(this.self.instance()) > 0);
-		boolean enough = row.has(this.self) && (agreeing.size() + 1) * 2 > voters.size();
-		return enough && (first || silentFor > silenceTimeout() + STAGGER_MILLIS);
+		boolean lowestName = agreeing.stream().allMatch((voter) -> voter.compareTo(this.self.instance()) > 0);
+		boolean majority = row.has(this.self) && (agreeing.size() + 1) * 2 > voters.size();
+		return majority && (lowestName || silentMillis > silenceTimeout() + STAGGER_MILLIS);
 	}
 
 	private boolean agrees(InstanceId voter, long epoch, long now) {
 		return this.answers.get(voter)
-			.filter((answer) -> answer.fresh(now) && answer.message().epoch() <= epoch
+			.filter((answer) -> answer.isRecent(now) && answer.message().epoch() <= epoch
 					&& answer.message().heardAgo() > this.timing.peerSilence())
 			.isDefined();
 	}
 
-	private Optional<CellRow> challenge(CellRow row, ManagerPair pair, long now) {
+	private Optional<CellRow> challengeOrTakeOver(CellRow row, ManagerPair pair, long now) {
 		if (row.challenger().isEmpty()) {
 			// Managers that answered a challenge reach the table, so there is no urgency.
 			return (now - this.challengeAnsweredAt > this.timing.challenge())
 					? Optional.of(row.challengedBy(Optional.of(this.self))) : Optional.empty();
 		}
-		boolean mine = row.challenger().filter(this.self::equals).isPresent();
+		boolean ownChallenge = row.challenger().filter(this.self::equals).isPresent();
 		// The challenge of a process that has ended since must not delay other members
 		// indefinitely.
-		long wait = (mine) ? this.timing.challenge() : this.timing.challenge() * 2;
-		return (now - this.challengeSeenAt > wait) ? Optional.of(takeOver(row, pair)) : Optional.empty();
+		long waitMillis = (ownChallenge) ? this.timing.challenge() : this.timing.challenge() * 2;
+		return (now - this.challengeSeenAt > waitMillis) ? Optional.of(takeoverRow(row, pair)) : Optional.empty();
 	}
 
-	private CellRow takeOver(CellRow row, ManagerPair pair) {
-		List<ManagerPair> open = new ArrayList<>(row.unclosed());
+	private CellRow takeoverRow(CellRow row, ManagerPair pair) {
+		List<ManagerPair> unclosed = new ArrayList<>(row.unclosed());
 		// The authority of a lone manager depends on its reads of the table, so it ends
 		// by itself.
 		if (pair.secondary().isPresent()) {
-			open.add(pair);
+			unclosed.add(pair);
 		}
-		return row.nextEpoch(this.self, Optional.empty(), open);
+		return row.nextEpoch(this.self, Optional.empty(), unclosed);
 	}
 
 	/**
 	 * An answer to a probe.
 	 *
-	 * @param at when it arrived
+	 * @param receivedAt when it arrived
 	 * @param message the answer
 	 */
-	private record Answer(long at, ControlMessage.ProbeAnswer message) {
+	private record Answer(long receivedAt, ControlMessage.ProbeAnswer message) {
 
-		boolean fresh(long now) {
-			return now - this.at <= MAX_ANSWER_AGE_MILLIS;
+		boolean isRecent(long now) {
+			return now - this.receivedAt <= MAX_ANSWER_AGE_MILLIS;
 		}
 
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/Timers.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Timers.java
@@ -13,45 +13,45 @@
  */
 final class Timers {
 
-	private static final long BALANCE_MILLIS = 1000;
+	private static final long BALANCE_INTERVAL_MILLIS = 1000;
 
-	private final Map<Kind, Long> last = new EnumMap<>(Kind.class);
+	private final Map<Task, Long> lastDoneAt = new EnumMap<>(Task.class);
 
 	private SortedMap<InstanceId, Long> pushedAt = TreeMap.empty();
 
 	private boolean wasLeaseValid;
 
 	/** Index of the manager that gets the next heartbeat; 0 for all. */
-	private int turn;
+	private int nextReceiver;
 
 	Timers copy() {
 		Timers copy = new Timers();
-		copy.last.putAll(this.last);
+		copy.lastDoneAt.putAll(this.lastDoneAt);
 		copy.pushedAt = this.pushedAt;
 		copy.wasLeaseValid = this.wasLeaseValid;
-		copy.turn = this.turn;
+		copy.nextReceiver = this.nextReceiver;
 		return copy;
 	}
 
 	List<Object> state() {
-		return List.of(Map.copyOf(this.last), this.pushedAt, this.wasLeaseValid, this.turn);
+		return List.of(Map.copyOf(this.lastDoneAt), this.pushedAt, this.wasLeaseValid, this.nextReceiver);
 	}
 
-	private boolean due(Kind kind, long now, long every) {
-		Long before = this.last.get(kind);
-		if (before != null && now - before < every) {
+	private boolean due(Task task, long now, long interval) {
+		Long previous = this.lastDoneAt.get(task);
+		if (previous != null && now - previous < interval) {
 			return false;
 		}
-		this.last.put(kind, now);
+		this.lastDoneAt.put(task, now);
 		return true;
 	}
 
-	boolean readDue(long now, long every) {
-		return due(Kind.READ, now, every);
+	boolean readDue(long now, long interval) {
+		return due(Task.READ, now, interval);
 	}
 
-	boolean heartbeatDue(long now, long every) {
-		return due(Kind.HEARTBEAT, now, every);
+	boolean heartbeatDue(long now, long interval) {
+		return due(Task.HEARTBEAT, now, interval);
 	}
 
 	/**
@@ -63,11 +63,11 @@
 	 * @return true if a heartbeat to the other manager is due
 	 */
 	boolean heartbeatMissed(long heardAt, long answerTimeout, long now) {
-		Long sentAt = this.last.get(Kind.HEARTBEAT);
+		Long sentAt = this.lastDoneAt.get(Task.HEARTBEAT);
 		boolean missed = sentAt != null && heardAt < sentAt && now - sentAt >= answerTimeout
-				&& !sentAt.equals(this.last.get(Kind.HEARTBEAT_AGAIN));
+				&& !sentAt.equals(this.lastDoneAt.get(Task.HEARTBEAT_TO_OTHER_MANAGER));
 		if (missed) {
-			this.last.put(Kind.HEARTBEAT_AGAIN, sentAt);
+			this.lastDoneAt.put(Task.HEARTBEAT_TO_OTHER_MANAGER, sentAt);
 		}
 		return missed;
 	}
@@ -81,53 +81,53 @@
 	 * @return one of them, or all
 	 */
 	List<MemberKey> heartbeatReceivers(List<MemberKey> renewers) {
-		if (this.turn == 0 || renewers.isEmpty()) {
-			this.turn = 1;
+		if (this.nextReceiver == 0 || renewers.isEmpty()) {
+			this.nextReceiver = 1;
 			return renewers;
 		}
-		MemberKey next = renewers.get(this.turn % renewers.size());
-		this.turn = this.turn % 2 + 1;
+		MemberKey next = renewers.get(this.nextReceiver % renewers.size());
+		this.nextReceiver = this.nextReceiver % 2 + 1;
 		return List.of(next);
 	}
 
-	boolean announceDue(long now, long every) {
-		return due(Kind.ANNOUNCE, now, every);
+	boolean announceDue(long now, long interval) {
+		return due(Task.ANNOUNCE, now, interval);
 	}
 
-	boolean releasedDue(long now, long every) {
-		return due(Kind.RELEASED, now, every);
+	boolean releasedDue(long now, long interval) {
+		return due(Task.RELEASED, now, interval);
 	}
 
-	boolean beatDue(long now, long every) {
-		return due(Kind.BEAT, now, every);
+	boolean beatDue(long now, long interval) {
+		return due(Task.BEAT, now, interval);
 	}
 
-	boolean releaseDue(long now, long every) {
-		return due(Kind.RELEASE, now, every);
+	boolean releaseDue(long now, long interval) {
+		return due(Task.RELEASE, now, interval);
 	}
 
-	boolean probeDue(long now, long every) {
-		return due(Kind.PROBE, now, every);
+	boolean probeDue(long now, long interval) {
+		return due(Task.PROBE, now, interval);
 	}
 
-	boolean epochDue(long now, long every) {
-		return due(Kind.EPOCH, now, every);
+	boolean epochDue(long now, long interval) {
+		return due(Task.EPOCH, now, interval);
 	}
 
-	boolean rowRequestDue(long now, long every) {
-		return due(Kind.ROW_REQUEST, now, every);
+	boolean rowRequestDue(long now, long interval) {
+		return due(Task.ROW_REQUEST, now, interval);
 	}
 
-	boolean takeoverDue(long now, long every) {
-		return due(Kind.TAKEOVER, now, every);
+	boolean takeoverDue(long now, long interval) {
+		return due(Task.TAKEOVER, now, interval);
 	}
 
 	boolean balanceDue(long now) {
-		return due(Kind.BALANCE, now, BALANCE_MILLIS);
+		return due(Task.BALANCE, now, BALANCE_INTERVAL_MILLIS);
 	}
 
-	boolean pushDue(InstanceId to, long now, long every) {
-		boolean due = this.pushedAt.get(to).filter((before) -> now - before < every).isEmpty();
+	boolean pushDue(InstanceId to, long now, long interval) {
+		boolean due = this.pushedAt.get(to).filter((previous) -> now - previous < interval).isEmpty();
 		if (due) {
 			this.pushedAt = this.pushedAt.put(to, now);
 		}
@@ -135,23 +135,23 @@
 	}
 
 	void onRowChanged() {
-		this.last.remove(Kind.BALANCE);
-		this.last.remove(Kind.HEARTBEAT);
-		this.turn = 0;
+		this.lastDoneAt.remove(Task.BALANCE);
+		this.lastDoneAt.remove(Task.HEARTBEAT);
+		this.nextReceiver = 0;
 	}
 
 	boolean wasLeaseValid() {
 		return this.wasLeaseValid;
 	}
 
-	void setLeaseValid(boolean runs) {
-		this.wasLeaseValid = runs;
+	void setLeaseValid(boolean valid) {
+		this.wasLeaseValid = valid;
 	}
 
-	private enum Kind {
+	private enum Task {
 
 		READ, HEARTBEAT, ANNOUNCE, RELEASED, BEAT, RELEASE, PROBE, EPOCH, TAKEOVER, BALANCE, ROW_REQUEST,
-		HEARTBEAT_AGAIN
+		HEARTBEAT_TO_OTHER_MANAGER
 
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/WarmUp.java
+++ b/core/src/main/java/org/brasspier/core/ownership/WarmUp.java
@@ -22,12 +22,12 @@
 
 	private SortedMap<MemberKey, Long> activeSince = TreeMap.empty();
 
-	private SortedSet<MemberKey> warm = TreeSet.empty();
+	private SortedSet<MemberKey> warmMembers = TreeSet.empty();
 
 	WarmUp copy() {
 		WarmUp copy = new WarmUp();
 		copy.activeSince = this.activeSince;
-		copy.warm = this.warm;
+		copy.warmMembers = this.warmMembers;
 		return copy;
 	}
 
@@ -41,7 +41,7 @@
 	 */
 	void adopt(CellRow row, long now) {
 		if (this.activeSince.isEmpty()) {
-			this.warm = TreeSet.ofAll(row.members()
+			this.warmMembers = TreeSet.ofAll(row.members()
 				.stream()
 				.filter((member) -> !row.ownedBy(member.instance()).isEmpty())
 				.map(MemberInfo::key)
@@ -52,7 +52,7 @@
 			.filter((member) -> member.phase() == MemberPhase.ACTIVE && !this.activeSince.containsKey(member.key()))
 			.forEach((member) -> this.activeSince = this.activeSince.put(member.key(), now));
 		this.activeSince = this.activeSince.filterKeys(row::has);
-		this.warm = this.warm.filter(row::has);
+		this.warmMembers = this.warmMembers.filter(row::has);
 	}
 
 	/**
@@ -62,12 +62,12 @@
 	 * @return the share, more than 0 and at most 1
 	 */
 	double share(MemberInfo member, long now) {
-		if (this.warm.contains(member.key())) {
+		if (this.warmMembers.contains(member.key())) {
 			return 1;
 		}
-		int announced = member.backend().map(MemberInfo.Backend::coldStartMillis).orElse(0);
-		long served = now - this.activeSince.get(member.key()).getOrElse(now);
-		return Math.clamp(served / (double) Math.max(announced, NEW_PROCESS_MILLIS), MIN_SHARE, 1);
+		int announcedMillis = member.backend().map(MemberInfo.Backend::coldStartMillis).orElse(0);
+		long activeMillis = now - this.activeSince.get(member.key()).getOrElse(now);
+		return Math.clamp(activeMillis / (double) Math.max(announcedMillis, NEW_PROCESS_MILLIS), MIN_SHARE, 1);
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/ownership/CellModel.java
+++ b/core/src/test/java/org/brasspier/core/ownership/CellModel.java
@@ -25,7 +25,7 @@
  */
 final class CellModel {
 
-	static final long TICK = 25;
+	static final long TICK_MILLIS = 25;
 
 	final Setup setup;
 
@@ -33,7 +33,7 @@
 
 	final Map<InstanceId, ModelProcess> processes = new TreeMap<>();
 
-	final Set<String> cuts = new HashSet<>();
+	final Set<String> brokenLinks = new HashSet<>();
 
 	final List<String> violations = new ArrayList<>();
 
@@ -45,11 +45,11 @@
 
 	private final Map<Integer, Long> highestFence = new HashMap<>();
 
-	private final Map<Long, CellRow> written = new HashMap<>();
+	private final Map<Long, CellRow> writtenRows = new HashMap<>();
 
 	long now;
 
-	VersionedRow stored = VersionedRow.NONE;
+	VersionedRow storedRow = VersionedRow.NONE;
 
 	boolean storeDown;
 
@@ -61,13 +61,13 @@
 
 	int messagesLostPermille;
 
-	int messagesDoubledPermille;
+	int messagesDuplicatedPermille;
 
 	long reads;
 
 	long writes;
 
-	private long nextNumber;
+	private long nextEventNumber;
 
 	private int nextIncarnation = 1;
 
@@ -88,7 +88,7 @@
 		this.processes.remove(process.instance, process);
 	}
 
-	boolean alive(ModelProcess process) {
+	boolean isAlive(ModelProcess process) {
 		return this.processes.get(process.instance) == process;
 	}
 
@@ -102,31 +102,31 @@
 	/**
 	 * Disconnects two groups of processes from each other in both directions, and the
 	 * first group from the table.
-	 * @param one the processes that lose the table too
+	 * @param first the processes that lose the table too
 	 * @param others the other processes
 	 */
-	void partition(List<ModelProcess> one, List<ModelProcess> others) {
-		for (ModelProcess from : one) {
-			this.cuts.add(from.instance + ">store");
+	void partition(List<ModelProcess> first, List<ModelProcess> others) {
+		for (ModelProcess from : first) {
+			this.brokenLinks.add(from.instance + ">store");
 			for (ModelProcess to : others) {
-				this.cuts.add(from.instance + ">" + to.instance);
-				this.cuts.add(to.instance + ">" + from.instance);
+				this.brokenLinks.add(from.instance + ">" + to.instance);
+				this.brokenLinks.add(to.instance + ">" + from.instance);
 			}
 		}
 	}
 
 	private void tick(ModelProcess process) {
-		if (!alive(process)) {
+		if (!isAlive(process)) {
 			return;
 		}
-		after(TICK, () -> tick(process));
+		after(TICK_MILLIS, () -> tick(process));
 		if (!process.paused) {
 			run(process, process.machine.tick(process.clock(this.now)));
 		}
 	}
 
 	void after(long delay, Runnable event) {
-		this.events.add(new Event(this.now + delay, this.nextNumber++, event));
+		this.events.add(new Event(this.now + delay, this.nextEventNumber++, event));
 	}
 
 	/**
@@ -139,7 +139,7 @@
 			Event event = this.events.poll();
 			this.now = event.at();
 			event.action().run();
-			check();
+			checkInvariants();
 		}
 		this.now = end;
 	}
@@ -151,11 +151,11 @@
 	 * @return the time that passed, or the limit
 	 */
 	long runUntil(long limit, BooleanSupplier condition) {
-		long begin = this.now;
-		while (this.now - begin < limit && !condition.getAsBoolean() && this.violations.isEmpty()) {
+		long startedAt = this.now;
+		while (this.now - startedAt < limit && !condition.getAsBoolean() && this.violations.isEmpty()) {
 			run(1);
 		}
-		return this.now - begin;
+		return this.now - startedAt;
 	}
 
 	/**
@@ -164,7 +164,7 @@
 	 * @param step the step
 	 */
 	void step(ModelProcess process, Consumer<ModelProcess> step) {
-		if (!alive(process)) {
+		if (!isAlive(process)) {
 			return;
 		}
 		if (process.paused) {
@@ -195,11 +195,11 @@
 	}
 
 	private void send(ModelProcess from, OwnershipAction.Send send) {
-		int copies = (this.random.nextInt(1000) < this.messagesDoubledPermille) ? 2 : 1;
+		int copies = (this.random.nextInt(1000) < this.messagesDuplicatedPermille) ? 2 : 1;
 		for (int i = 0; i < copies; i++) {
 			boolean lost = this.random.nextInt(1000) < this.messagesLostPermille;
 			long delay = (i == 0) ? 1 + this.random.nextInt(4) : this.random.nextInt(1500);
-			if (!lost && !this.cuts.contains(from.instance + ">" + send.to())) {
+			if (!lost && !this.brokenLinks.contains(from.instance + ">" + send.to())) {
 				ModelProcess to = this.processes.get(send.to());
 				after(delay, () -> deliver(from.instance, to, send));
 			}
@@ -212,19 +212,19 @@
 		}
 	}
 
-	private long storeTime() {
+	private long randomStoreDelay() {
 		return this.storeDelay + this.random.nextInt(3);
 	}
 
 	private boolean reachesStore(ModelProcess process) {
-		return !this.storeDown && !this.cuts.contains(process.instance + ">store");
+		return !this.storeDown && !this.brokenLinks.contains(process.instance + ">store");
 	}
 
 	private void read(ModelProcess process) {
 		this.reads++;
-		after(storeTime(), () -> {
+		after(randomStoreDelay(), () -> {
 			boolean answered = reachesStore(process);
-			VersionedRow row = this.stored;
+			VersionedRow row = this.storedRow;
 			after(1, () -> step(process, (p) -> run(p, (answered) ? p.machine.onRowRead(row, p.clock(this.now))
 					: p.machine.onReadFailed(p.clock(this.now)))));
 		});
@@ -236,39 +236,41 @@
 			after(1, () -> step(process, (p) -> run(p, p.machine.onWriteFailed(p.clock(this.now)))));
 			return;
 		}
-		after(storeTime(), () -> arrive(process, write));
+		after(randomStoreDelay(), () -> applyWrite(process, write));
 	}
 
-	private void arrive(ModelProcess process, OwnershipAction.WriteRow write) {
+	private void applyWrite(ModelProcess process, OwnershipAction.WriteRow write) {
 		boolean lost = this.answersToLose > 0 || !reachesStore(process);
-		boolean matches = this.stored.version() == write.expectedVersion();
+		boolean matches = this.storedRow.version() == write.expectedVersion();
 		boolean takesEffect = matches && !(lost && !this.lostWritesTakeEffect && this.random.nextBoolean());
 		this.answersToLose = Math.max(0, this.answersToLose - 1);
 		if (takesEffect) {
-			this.stored = new VersionedRow(write.expectedVersion() + 1, write.row());
-			this.written.put(this.stored.version(), write.row());
+			this.storedRow = new VersionedRow(write.expectedVersion() + 1, write.row());
+			this.writtenRows.put(this.storedRow.version(), write.row());
 		}
 		else if (matches) {
 			// The write reaches the table much later, when other processes may have made
 			// other plans.
-			after(this.random.nextInt(2000), () -> arriveLate(write));
+			after(this.random.nextInt(2000), () -> applyDelayedWrite(write));
 		}
-		long version = this.stored.version();
-		after(1, () -> step(process, (p) -> run(p, answer(p, lost, matches, version))));
+		long version = this.storedRow.version();
+		after(1, () -> step(process, (p) -> run(p, reportWriteOutcome(p, lost, matches, version))));
 	}
 
-	private List<OwnershipAction> answer(ModelProcess process, boolean lost, boolean matches, long version) {
-		long at = process.clock(this.now);
+	private List<OwnershipAction> reportWriteOutcome(ModelProcess process, boolean lost, boolean matches,
+			long version) {
+		long processTime = process.clock(this.now);
 		if (lost) {
-			return process.machine.onWriteUnknown(at);
+			return process.machine.onWriteUnknown(processTime);
 		}
-		return (matches) ? process.machine.onWritten(version, at) : process.machine.onWriteConflict(at);
+		return (matches) ? process.machine.onWritten(version, processTime)
+				: process.machine.onWriteConflict(processTime);
 	}
 
-	private void arriveLate(OwnershipAction.WriteRow write) {
-		if (this.stored.version() == write.expectedVersion()) {
-			this.stored = new VersionedRow(write.expectedVersion() + 1, write.row());
-			this.written.put(this.stored.version(), write.row());
+	private void applyDelayedWrite(OwnershipAction.WriteRow write) {
+		if (this.storedRow.version() == write.expectedVersion()) {
+			this.storedRow = new VersionedRow(write.expectedVersion() + 1, write.row());
+			this.writtenRows.put(this.storedRow.version(), write.row());
 		}
 	}
 
@@ -277,7 +279,7 @@
 	 * @param range the index of the range
 	 * @return the processes
 	 */
-	List<ModelProcess> servers(int range) {
+	List<ModelProcess> processesServing(int range) {
 		long point = KeyRange.split(this.setup.ranges()).get(range).low();
 		return this.processes.values()
 			.stream()
@@ -290,7 +292,7 @@
 	/**
 	 * Spreads the ranges over all processes by operators' orders.
 	 */
-	void spread() {
+	void spreadRanges() {
 		List<ModelProcess> all = List.copyOf(this.processes.values());
 		List<KeyRange> ranges = KeyRange.split(this.setup.ranges());
 		for (int range = 0; range < ranges.size() && this.violations.isEmpty(); range++) {
@@ -305,7 +307,7 @@
 
 	boolean allServed() {
 		for (int range = 0; range < this.setup.ranges(); range++) {
-			if (servers(range).isEmpty()) {
+			if (processesServing(range).isEmpty()) {
 				return false;
 			}
 		}
@@ -313,17 +315,17 @@
 	}
 
 	ModelProcess primary() {
-		InstanceId primary = this.stored.row().managers().orElseThrow().primary().instance();
+		InstanceId primary = this.storedRow.row().managers().orElseThrow().primary().instance();
 		return Optional.ofNullable(this.processes.get(primary)).orElseThrow();
 	}
 
 	ModelProcess secondary() {
-		InstanceId secondary = this.stored.row().managers().orElseThrow().secondary().orElseThrow().instance();
+		InstanceId secondary = this.storedRow.row().managers().orElseThrow().secondary().orElseThrow().instance();
 		return Optional.ofNullable(this.processes.get(secondary)).orElseThrow();
 	}
 
-	ModelProcess plain() {
-		ManagerPair pair = this.stored.row().managers().orElseThrow();
+	ModelProcess nonManager() {
+		ManagerPair pair = this.storedRow.row().managers().orElseThrow();
 		return this.processes.values()
 			.stream()
 			.filter((process) -> pair.find(process.instance).isEmpty())
@@ -331,13 +333,13 @@
 			.orElseThrow();
 	}
 
-	void check() {
+	void checkInvariants() {
 		Map<Long, InstanceId> owners = new HashMap<>();
 		for (ModelProcess process : this.processes.values()) {
 			for (HeldRange held : process.serves(this.now)) {
 				InstanceId other = owners.put(held.range().low(), process.instance);
 				if (other != null) {
-					violate("%s and %s both serve %s".formatted(other, process.instance, held.range()));
+					addViolation("%s and %s both serve %s".formatted(other, process.instance, held.range()));
 				}
 				checkFence(process, held);
 			}
@@ -349,19 +351,20 @@
 		int point = (int) held.range().low();
 		long highest = this.highestFence.merge(point, held.fence().value(), Math::max);
 		if (held.fence().value() < highest) {
-			violate("%s serves %s under %s after %d".formatted(process.instance, held.range(), held.fence(), highest));
+			addViolation(
+					"%s serves %s under %s after %d".formatted(process.instance, held.range(), held.fence(), highest));
 		}
 	}
 
 	private void checkKnownRow(ModelProcess process) {
 		VersionedRow known = process.machine.view().known();
-		if (known.version() > 0 && !known.row().equals(this.written.get(known.version()))) {
-			violate("%s knows version %d, which the table never had".formatted(process.instance, known.version()));
+		if (known.version() > 0 && !known.row().equals(this.writtenRows.get(known.version()))) {
+			addViolation("%s knows version %d, which the table never had".formatted(process.instance, known.version()));
 		}
 	}
 
-	private void violate(String what) {
-		this.violations.add(this.now + " ms: " + what);
+	private void addViolation(String description) {
+		this.violations.add(this.now + " ms: " + description);
 	}
 
 	private record Event(long at, long number, Runnable action) {
@@ -378,7 +381,7 @@
 	record Setup(Timing timing, EnabledGuards guards, int ranges) {
 
 		static Setup standard(int ranges) {
-			return new Setup(Timing.STANDARD, EnabledGuards.ALL_ON, ranges);
+			return new Setup(Timing.STANDARD, EnabledGuards.ALL, ranges);
 		}
 
 	}
--- a/core/src/test/java/org/brasspier/core/ownership/ExplorationTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/ExplorationTests.java
@@ -32,13 +32,13 @@
 	/** Number of further steps, in which only consequences of the faults happen. */
 	private static final int FOLLOWING_STEPS = 20;
 
-	private static final int CHANGES = 3;
+	private static final int MAX_CHANGES = 3;
 
 	// Guards against two servers that answer for one key at the same time. No order of
 	// faults may cause this, however unlikely.
 	@Test
 	void noReachableStateHasTwoOwners() {
-		SmallCell start = SmallCell.settled(TestGuards.without());
+		SmallCell start = SmallCell.started(TestGuards.without());
 		assertThat(start.allServed()).isTrue();
 		Exploration exploration = new Exploration(start);
 		assertThat(exploration.violation()).isEmpty();
@@ -48,7 +48,7 @@
 	@ParameterizedTest
 	@EnumSource(names = { "RENEWALS_RUN_OUT", "PROMISE_OF_PEER", "OLD_AUTHORITY_ENDS" })
 	void withoutTheGuardAStateWithTwoOwnersIsReached(Guard guard) {
-		Exploration exploration = new Exploration(SmallCell.settled(new EnabledGuards(Set.of(guard))));
+		Exploration exploration = new Exploration(SmallCell.started(new EnabledGuards(Set.of(guard))));
 		assertWithMessage("violation without %s", guard).that(exploration.violation()).isPresent();
 	}
 
@@ -62,9 +62,9 @@
 		private long states;
 
 		Exploration(SmallCell start) {
-			Collection<Walk> frontier = List.of(new Walk(start, 0, List.of()));
+			Collection<FaultPath> frontier = List.of(new FaultPath(start, 0, List.of()));
 			for (int step = 0; step < FAULT_STEPS + FOLLOWING_STEPS && this.violation.isEmpty(); step++) {
-				frontier = next(frontier, step < FAULT_STEPS);
+				frontier = expand(frontier, step < FAULT_STEPS);
 				this.states += frontier.size();
 			}
 		}
@@ -77,18 +77,18 @@
 			return this.states;
 		}
 
-		private Collection<Walk> next(Collection<Walk> frontier, boolean withFaults) {
-			Map<List<Object>, Walk> reached = new LinkedHashMap<>();
-			List<Walk> walks = frontier.parallelStream()
-				.flatMap((walk) -> walk.choices(withFaults).stream())
-				.map(Walk::step)
+		private Collection<FaultPath> expand(Collection<FaultPath> frontier, boolean withFaults) {
+			Map<List<Object>, FaultPath> reached = new LinkedHashMap<>();
+			List<FaultPath> paths = frontier.parallelStream()
+				.flatMap((path) -> path.successors(withFaults).stream())
+				.map(FaultPath::step)
 				.toList();
-			for (Walk walk : walks) {
-				if (!walk.cell().hasSingleOwners()) {
-					this.violation = Optional.of(walk.history().toString());
+			for (FaultPath path : paths) {
+				if (!path.cell().hasSingleOwners()) {
+					this.violation = Optional.of(path.history().toString());
 				}
-				reached.merge(walk.cell().state(), walk,
-						(one, other) -> (one.changes() <= other.changes()) ? one : other);
+				reached.merge(path.cell().state(), path,
+						(first, second) -> (first.changes() <= second.changes()) ? first : second);
 			}
 			return reached.values();
 		}
@@ -102,30 +102,30 @@
 	 * @param changes how many faults started or ended
 	 * @param history which faults they were
 	 */
-	private record Walk(SmallCell cell, int changes, List<String> history) {
+	private record FaultPath(SmallCell cell, int changes, List<String> history) {
 
-		List<Walk> choices(boolean withFaults) {
-			List<Walk> choices = new ArrayList<>();
-			choices.add(new Walk(this.cell.copy(), this.changes, this.history));
-			if (withFaults && this.changes < CHANGES) {
-				SmallCell.Fault.ALL.forEach((fault) -> choices.add(with(fault)));
+		List<FaultPath> successors(boolean withFaults) {
+			List<FaultPath> successors = new ArrayList<>();
+			successors.add(new FaultPath(this.cell.copy(), this.changes, this.history));
+			if (withFaults && this.changes < MAX_CHANGES) {
+				SmallCell.Fault.ALL.forEach((fault) -> successors.add(withToggled(fault)));
 			}
-			return choices;
+			return successors;
 		}
 
-		private Walk with(SmallCell.Fault fault) {
+		private FaultPath withToggled(SmallCell.Fault fault) {
 			SmallCell changed = this.cell.copy();
 			changed.toggle(fault);
-			List<String> longer = new ArrayList<>(this.history);
-			longer.add(fault.toString());
-			return new Walk(changed, this.changes + 1, longer);
+			List<String> extended = new ArrayList<>(this.history);
+			extended.add(fault.toString());
+			return new FaultPath(changed, this.changes + 1, extended);
 		}
 
-		Walk step() {
+		FaultPath step() {
 			this.cell.step();
-			List<String> longer = new ArrayList<>(this.history);
-			longer.add(".");
-			return new Walk(this.cell, this.changes, longer);
+			List<String> extended = new ArrayList<>(this.history);
+			extended.add(".");
+			return new FaultPath(this.cell, this.changes, extended);
 		}
 
 	}
--- a/core/src/test/java/org/brasspier/core/ownership/FaultSchedule.java
+++ b/core/src/test/java/org/brasspier/core/ownership/FaultSchedule.java
@@ -25,7 +25,7 @@
 	void start() {
 		NAMES.forEach(this::start);
 		this.cell.run(3000);
-		this.cell.spread();
+		this.cell.spreadRanges();
 	}
 
 	private void start(String name) {
@@ -39,92 +39,92 @@
 	void run(long millis) {
 		long end = this.cell.now + millis;
 		while (this.cell.now < end && this.cell.violations.isEmpty()) {
-			fault();
+			injectFault();
 			this.cell.run(this.random.nextInt(700));
 		}
 	}
 
 	private long clockRate() {
-		int spread = (int) this.cell.setup.timing().driftPermille();
-		return 1000 - spread / 2 + this.random.nextInt(spread + 1);
+		int driftPermille = (int) this.cell.setup.timing().driftPermille();
+		return 1000 - driftPermille / 2 + this.random.nextInt(driftPermille + 1);
 	}
 
-	private long span(int most) {
-		return 50 + this.random.nextInt(most);
+	private long randomMillis(int max) {
+		return 50 + this.random.nextInt(max);
 	}
 
-	private ModelProcess any() {
+	private ModelProcess randomProcess() {
 		List<ModelProcess> all = List.copyOf(this.cell.processes.values());
 		return all.get(this.random.nextInt(all.size()));
 	}
 
-	private void fault() {
+	private void injectFault() {
 		if (this.cell.processes.size() < 2) {
 			return;
 		}
-		ModelProcess process = any();
+		ModelProcess process = randomProcess();
 		switch (this.random.nextInt(11)) {
-			case 0 -> restart(process, span(3000));
+			case 0 -> restart(process, randomMillis(3000));
 			case 1, 2 -> pause(process);
-			case 3 -> cut(process.instance + ">" + any().instance, span(2500));
+			case 3 -> breakLink(process.instance + ">" + randomProcess().instance, randomMillis(2500));
 			case 4 -> {
-				ModelProcess other = any();
-				cut(process.instance + ">" + other.instance, span(2500));
-				cut(other.instance + ">" + process.instance, span(2500));
+				ModelProcess other = randomProcess();
+				breakLink(process.instance + ">" + other.instance, randomMillis(2500));
+				breakLink(other.instance + ">" + process.instance, randomMillis(2500));
 			}
-			case 5 -> cut(process.instance + ">store", span(4000));
-			case 6 -> storeDown();
-			case 7 -> storeSlow();
+			case 5 -> breakLink(process.instance + ">store", randomMillis(4000));
+			case 6 -> takeStoreDown();
+			case 7 -> slowStoreDown();
 			case 8 -> this.cell.answersToLose = 1 + this.random.nextInt(2);
-			case 9 -> order(process);
-			default -> badNetwork();
+			case 9 -> orderMove(process);
+			default -> degradeNetwork();
 		}
 	}
 
-	private void restart(ModelProcess process, long later) {
+	private void restart(ModelProcess process, long delay) {
 		this.cell.kill(process);
-		this.cell.after(later, () -> start(process.instance.value()));
+		this.cell.after(delay, () -> start(process.instance.value()));
 	}
 
 	private void pause(ModelProcess process) {
 		process.paused = true;
-		this.cell.after(span(2500), () -> this.cell.resume(process));
+		this.cell.after(randomMillis(2500), () -> this.cell.resume(process));
 	}
 
-	private void cut(String link, long time) {
-		this.cell.cuts.add(link);
-		this.cell.after(time, () -> this.cell.cuts.remove(link));
+	private void breakLink(String link, long duration) {
+		this.cell.brokenLinks.add(link);
+		this.cell.after(duration, () -> this.cell.brokenLinks.remove(link));
 	}
 
-	private void storeDown() {
+	private void takeStoreDown() {
 		this.cell.storeDown = true;
-		this.cell.after(span(4000), () -> this.cell.storeDown = false);
+		this.cell.after(randomMillis(4000), () -> this.cell.storeDown = false);
 	}
 
-	private void storeSlow() {
+	private void slowStoreDown() {
 		this.cell.storeDelay = 2000;
-		this.cell.after(span(4000), () -> this.cell.storeDelay = 3);
+		this.cell.after(randomMillis(4000), () -> this.cell.storeDelay = 3);
 	}
 
-	private void order(ModelProcess process) {
+	private void orderMove(ModelProcess process) {
 		KeyRangeOrders.move(this.cell, this.random.nextInt(this.cell.setup.ranges()), process);
 	}
 
-	private void badNetwork() {
+	private void degradeNetwork() {
 		this.cell.messagesLostPermille = 200;
-		this.cell.messagesDoubledPermille = 300;
-		this.cell.after(span(2500), () -> {
+		this.cell.messagesDuplicatedPermille = 300;
+		this.cell.after(randomMillis(2500), () -> {
 			this.cell.messagesLostPermille = 0;
-			this.cell.messagesDoubledPermille = 0;
+			this.cell.messagesDuplicatedPermille = 0;
 		});
 	}
 
 	/**
 	 * Ends all faults and starts the missing processes.
 	 */
-	void heal() {
+	void endFaults() {
 		this.cell.run(5000);
-		this.cell.cuts.clear();
+		this.cell.brokenLinks.clear();
 		this.cell.storeDown = false;
 		this.cell.storeDelay = 3;
 		this.cell.answersToLose = 0;
--- a/core/src/test/java/org/brasspier/core/ownership/GuardTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/GuardTests.java
@@ -55,9 +55,9 @@
 	// Half a minute of faults of every kind, with the largest clock drift that is
 	// allowed.
 	private static List<String> randomFaults(EnabledGuards guards) {
-		Timing t = Timing.STANDARD;
-		Timing timing = new Timing(t.heartbeat(), t.lease(), t.memberSilence(), t.beat(), t.peerSilence(),
-				t.authority(), t.withoutTable(), t.challenge(), 100);
+		Timing standard = Timing.STANDARD;
+		Timing timing = new Timing(standard.heartbeat(), standard.lease(), standard.memberSilence(), standard.beat(),
+				standard.peerSilence(), standard.authority(), standard.withoutTable(), standard.challenge(), 100);
 		List<String> violations = new ArrayList<>();
 		for (long seed = 1; seed <= 25 && violations.isEmpty(); seed++) {
 			CellModel cell = new CellModel(new CellModel.Setup(timing, guards, 4), seed);
@@ -73,16 +73,16 @@
 		CellModel cell = new CellModel(new CellModel.Setup(Timing.STANDARD, guards, RANGES), run);
 		List.of("a", "b", "c", "d", "e", "f").forEach((name) -> cell.start(name, "domain-" + name, 1000));
 		cell.run(3000);
-		cell.spread();
+		cell.spreadRanges();
 		return cell;
 	}
 
-	private static List<ModelProcess> plain(CellModel cell) {
-		ManagerPair pair = cell.stored.row().managers().orElseThrow();
+	private static List<ModelProcess> nonManagers(CellModel cell) {
+		ManagerPair pair = cell.storedRow.row().managers().orElseThrow();
 		return cell.processes.values().stream().filter((process) -> pair.find(process.instance).isEmpty()).toList();
 	}
 
-	private static List<ModelProcess> without(CellModel cell, List<ModelProcess> group) {
+	private static List<ModelProcess> otherProcesses(CellModel cell, List<ModelProcess> group) {
 		return cell.processes.values().stream().filter((process) -> !group.contains(process)).toList();
 	}
 
@@ -93,9 +93,9 @@
 		List<String> violations = new ArrayList<>();
 		for (int run = 1; run <= 10 && violations.isEmpty(); run++) {
 			CellModel cell = sixMembers(guards, run);
-			List<ModelProcess> cutOff = List.of(cell.primary(), plain(cell).getLast());
+			List<ModelProcess> cutOff = List.of(cell.primary(), nonManagers(cell).getLast());
 			cell.run(17L * run);
-			cell.partition(cutOff, without(cell, cutOff));
+			cell.partition(cutOff, otherProcesses(cell, cutOff));
 			cell.run(5000);
 			violations.addAll(cell.violations);
 		}
@@ -106,8 +106,8 @@
 	// from an outage of the table, so they continue. The other members take over.
 	private static List<String> bothManagersAndOneMemberCutOff(EnabledGuards guards) {
 		CellModel cell = sixMembers(guards, 1);
-		List<ModelProcess> cutOff = List.of(cell.primary(), cell.secondary(), plain(cell).getLast());
-		cell.partition(cutOff, without(cell, cutOff));
+		List<ModelProcess> cutOff = List.of(cell.primary(), cell.secondary(), nonManagers(cell).getLast());
+		cell.partition(cutOff, otherProcesses(cell, cutOff));
 		cell.run(20_000);
 		return cell.violations;
 	}
@@ -121,15 +121,15 @@
 		CellModel cell = sixMembers(guards, 1);
 		ModelProcess primary = cell.primary();
 		ModelProcess secondary = cell.secondary();
-		List<ModelProcess> cutOff = List.of(primary, secondary, plain(cell).getLast());
-		String deaf = primary.instance + ">" + secondary.instance;
-		long epoch = cell.stored.row().epoch();
-		cell.cuts.add(deaf);
+		List<ModelProcess> cutOff = List.of(primary, secondary, nonManagers(cell).getLast());
+		String brokenLink = primary.instance + ">" + secondary.instance;
+		long epoch = cell.storedRow.row().epoch();
+		cell.brokenLinks.add(brokenLink);
 		cell.lostWritesTakeEffect = true;
 		cell.answersToLose = 1;
-		cell.runUntil(5000, () -> cell.stored.row().epoch() > epoch);
-		cell.cuts.remove(deaf);
-		cell.partition(cutOff, without(cell, cutOff));
+		cell.runUntil(5000, () -> cell.storedRow.row().epoch() > epoch);
+		cell.brokenLinks.remove(brokenLink);
+		cell.partition(cutOff, otherProcesses(cell, cutOff));
 		cell.run(10_000);
 		return cell.violations;
 	}
@@ -143,7 +143,7 @@
 			CellModel cell = sixMembers(guards, run);
 			List<ModelProcess> cutOff = List.of(cell.primary());
 			cell.run(11L * run);
-			cell.partition(cutOff, without(cell, cutOff));
+			cell.partition(cutOff, otherProcesses(cell, cutOff));
 			cell.run(3000);
 			violations.addAll(cell.violations);
 		}
--- a/core/src/test/java/org/brasspier/core/ownership/LeaseManagerTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/LeaseManagerTests.java
@@ -28,8 +28,8 @@
 						.toList(),
 					Set.of(), List.of(), Optional.empty()));
 
-	private static LeaseManager primary(Guard... off) {
-		LeaseManager manager = new LeaseManager(PRIMARY, Timing.STANDARD, TestGuards.without(off));
+	private static LeaseManager primary(Guard... disabled) {
+		LeaseManager manager = new LeaseManager(PRIMARY, Timing.STANDARD, TestGuards.without(disabled));
 		manager.adopt(ROW, 1000);
 		manager.onEpochSeen(1000);
 		manager.onBeatAnswer(SECONDARY, answer(1000, List.of()), 1002);
@@ -54,10 +54,10 @@
 	@Test
 	void aMemberBeingRevokedIsNotRenewed() {
 		LeaseManager manager = primary();
-		long silent = 1010 + Timing.STANDARD.memberSilence() + 1;
-		assertThat(manager.revokeSilent(ROW.row(), silent - 1)).isEmpty();
-		assertThat(manager.revokeSilent(ROW.row(), silent)).containsExactly(MEMBER);
-		assertThat(manager.renew(MEMBER, heartbeat(), ROW.row(), true, silent + 10)).isEqualTo(0);
+		long silentAt = 1010 + Timing.STANDARD.memberSilence() + 1;
+		assertThat(manager.revokeSilent(ROW.row(), silentAt - 1)).isEmpty();
+		assertThat(manager.revokeSilent(ROW.row(), silentAt)).containsExactly(MEMBER);
+		assertThat(manager.renew(MEMBER, heartbeat(), ROW.row(), true, silentAt + 10)).isEqualTo(0);
 	}
 
 	// Guards against counting a promise from before the revocation. The secondary
@@ -66,14 +66,14 @@
 	// renewals.
 	@Test
 	void aPromiseFromBeforeTheRevocationIsIgnored() {
-		ControlMessage.BeatAnswer late = answer(1900, List.of(new ControlMessage.Promised(MEMBER, 0)));
+		ControlMessage.BeatAnswer latePromise = answer(1900, List.of(new ControlMessage.Promised(MEMBER, 0)));
 		LeaseManager manager = primary();
 		manager.revokeSilent(ROW.row(), 2000);
-		manager.onBeatAnswer(SECONDARY, late, 2010);
+		manager.onBeatAnswer(SECONDARY, latePromise, 2010);
 		assertThat(manager.lostMembers(ROW.row(), 5000)).isEmpty();
 		LeaseManager unguarded = primary(Guard.PROMISE_IS_FRESH);
 		unguarded.revokeSilent(ROW.row(), 2000);
-		unguarded.onBeatAnswer(SECONDARY, late, 2010);
+		unguarded.onBeatAnswer(SECONDARY, latePromise, 2010);
 		assertThat(unguarded.lostMembers(ROW.row(), 5000)).containsExactly(MEMBER);
 	}
 
--- a/core/src/test/java/org/brasspier/core/ownership/MemberLeaseTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/MemberLeaseTests.java
@@ -28,8 +28,8 @@
 				List.of(range), Optional.empty()));
 	}
 
-	private static MemberLease lease(Guard... off) {
-		MemberLease lease = new MemberLease(SELF, TestGuards.without(off));
+	private static MemberLease lease(Guard... disabled) {
+		MemberLease lease = new MemberLease(SELF, TestGuards.without(disabled));
 		lease.adopt(row(5, 2, 1));
 		lease.renew(renewal(100, 2, 5, 600), 110);
 		return lease;
@@ -53,7 +53,7 @@
 		lease.renew(renewal(100, 2, 5, 600), 600);
 		assertThat(lease.leaseEnd()).isEqualTo(700);
 		lease.renew(renewal(100, 2, 5, 600), 800);
-		assertThat(lease.valid(800)).isFalse();
+		assertThat(lease.isValid(800)).isFalse();
 	}
 
 	// Guards against serving ranges from an outdated row. A member was disconnected until
@@ -63,10 +63,10 @@
 	void afterTheLeaseHasExpiredAnOlderRowAssignsNothing() {
 		MemberLease lease = lease();
 		lease.renew(renewal(900, 2, 6, 600), 910);
-		assertThat(lease.valid(910)).isFalse();
+		assertThat(lease.isValid(910)).isFalse();
 		MemberLease unguarded = lease(Guard.LAPSE_DROPS_ALL);
 		unguarded.renew(renewal(900, 2, 6, 600), 910);
-		assertThat(unguarded.valid(910)).isTrue();
+		assertThat(unguarded.isValid(910)).isTrue();
 	}
 
 	// Guards against renewals by a manager that was replaced and continues for the rest
@@ -99,8 +99,8 @@
 	void aReleasedRangeIsNotHeldAgainUnderTheSameFence() {
 		MemberLease lease = lease();
 		HeldRange held = new HeldRange(SERVICE, KeyRange.ALL, new Fence(1));
-		assertThat(lease.drain(List.of(held))).containsExactly(held);
-		lease.drained(held, List.of());
+		assertThat(lease.startDraining(List.of(held))).containsExactly(held);
+		lease.onDrained(held, List.of());
 		lease.adopt(row(7, 2, 1));
 		assertThat(lease.held()).isEmpty();
 		assertThat(lease.released()).hasSize(1);
--- a/core/src/test/java/org/brasspier/core/ownership/ModelProcess.java
+++ b/core/src/test/java/org/brasspier/core/ownership/ModelProcess.java
@@ -61,22 +61,22 @@
 
 	/**
 	 * Converts real time to the process's own clock.
-	 * @param real the real time, milliseconds
+	 * @param realTime the real time, milliseconds
 	 * @return milliseconds since its start on its own clock
 	 */
-	long clock(long real) {
-		return (real - this.startedAt) * this.ratePermille / 1000;
+	long clock(long realTime) {
+		return (realTime - this.startedAt) * this.ratePermille / 1000;
 	}
 
 	/**
 	 * Returns what this process would serve now by its own checks, also while it is
 	 * paused and only its clock continues.
-	 * @param real the real time, milliseconds
+	 * @param realTime the real time, milliseconds
 	 * @return the ranges, empty once its lease has expired
 	 */
-	List<HeldRange> serves(long real) {
+	List<HeldRange> serves(long realTime) {
 		OwnershipState state = this.machine.view();
-		if (clock(real) >= state.leaseEnd()) {
+		if (clock(realTime) >= state.leaseEnd()) {
 			return List.of();
 		}
 		List<HeldRange> ranges = new ArrayList<>(state.held().stream().map(RangeState::held).toList());
--- a/core/src/test/java/org/brasspier/core/ownership/OwnershipMachineTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/OwnershipMachineTests.java
@@ -21,7 +21,7 @@
 	private static final int RANGES = 8;
 
 	/** Longer than the silence after which a manager suspects the other one. */
-	private static final long MISSED_MILLIS = 400;
+	private static final long PARTITION_MILLIS = 400;
 
 	private static final long ONE_SECOND = 1000;
 
@@ -30,21 +30,21 @@
 	@BeforeEach
 	void fourMembers() {
 		List.of("a", "b", "c", "d").forEach((name) -> this.cell.start(name, "domain-" + name, 1000));
-		this.cell.runUntil(10_000, () -> this.cell.allServed() && this.cell.stored.row().members().size() == 4
-				&& this.cell.stored.row().managers().flatMap(ManagerPair::secondary).isPresent());
+		this.cell.runUntil(10_000, () -> this.cell.allServed() && this.cell.storedRow.row().members().size() == 4
+				&& this.cell.storedRow.row().managers().flatMap(ManagerPair::secondary).isPresent());
 		this.cell.run(ONE_SECOND);
-		this.cell.spread();
+		this.cell.spreadRanges();
 	}
 
-	private void assertSound() {
+	private void assertConsistentAndServed() {
 		assertThat(this.cell.violations).isEmpty();
 		assertThat(this.cell.allServed()).isTrue();
 	}
 
 	@Test
 	void afterTheStartEachRangeIsServedAndThereAreTwoManagers() {
-		assertSound();
-		assertThat(this.cell.stored.row().managers().orElseThrow().secondary()).isPresent();
+		assertConsistentAndServed();
+		assertThat(this.cell.storedRow.row().managers().orElseThrow().secondary()).isPresent();
 	}
 
 	// Guards against requests that fail for more than a second after a daemon and its
@@ -52,10 +52,10 @@
 	// wait for its lease to expire and reassign its ranges.
 	@Test
 	void theRangesOfALostMemberAreServedAgainWithinASecond() {
-		this.cell.kill(this.cell.plain());
+		this.cell.kill(this.cell.nonManager());
 		this.cell.run(1);
 		assertThat(this.cell.runUntil(10_000, this.cell::allServed)).isLessThan(ONE_SECOND);
-		assertSound();
+		assertConsistentAndServed();
 	}
 
 	// Guards against a restarted instance that gets no ranges for the rest of the epoch:
@@ -63,16 +63,16 @@
 	// member gets no ranges. Here the daemon is restarted one minute after its loss.
 	@Test
 	void aMemberThatIsRestartedAfterALossGetsRangesAgain() {
-		ModelProcess lost = this.cell.plain();
+		ModelProcess lost = this.cell.nonManager();
 		this.cell.kill(lost);
 		this.cell.run(60 * ONE_SECOND);
-		assertSound();
-		ModelProcess back = this.cell.start(lost.instance.value(), "domain-" + lost.instance, 1000);
+		assertConsistentAndServed();
+		ModelProcess restarted = this.cell.start(lost.instance.value(), "domain-" + lost.instance, 1000);
 		this.cell.run(5 * ONE_SECOND);
-		this.cell.spread();
+		this.cell.spreadRanges();
 		this.cell.run(5 * ONE_SECOND);
-		assertThat(back.serves(this.cell.now)).isNotEmpty();
-		assertSound();
+		assertThat(restarted.serves(this.cell.now)).isNotEmpty();
+		assertConsistentAndServed();
 	}
 
 	// Guards against a needless epoch after a daemon was lost and restarted at once.
@@ -81,18 +81,18 @@
 	// replaced two healthy ones.
 	@Test
 	void aDaemonThatWaitedForItsPreviousIncarnationToLeaveTheRowDoesNotReplaceTheManagers() {
-		this.cell.kill(this.cell.plain());
+		this.cell.kill(this.cell.nonManager());
 		this.cell.run(3 * ONE_SECOND);
-		long epoch = this.cell.stored.row().epoch();
+		long epoch = this.cell.storedRow.row().epoch();
 		for (int i = 0; i < 6; i++) {
-			this.cell.run(CellModel.TICK);
-			ModelProcess lost = this.cell.plain();
+			this.cell.run(CellModel.TICK_MILLIS);
+			ModelProcess lost = this.cell.nonManager();
 			this.cell.kill(lost);
-			ModelProcess back = this.cell.start(lost.instance.value(), "domain-" + lost.instance, 1000);
+			ModelProcess restarted = this.cell.start(lost.instance.value(), "domain-" + lost.instance, 1000);
 			this.cell.run(3 * ONE_SECOND);
-			assertSound();
-			assertThat(this.cell.stored.row().has(back.machine.view().me().key())).isTrue();
-			assertThat(this.cell.stored.row().epoch()).isEqualTo(epoch);
+			assertConsistentAndServed();
+			assertThat(this.cell.storedRow.row().has(restarted.machine.view().me().key())).isTrue();
+			assertThat(this.cell.storedRow.row().epoch()).isEqualTo(epoch);
 		}
 	}
 
@@ -102,7 +102,7 @@
 		this.cell.kill(this.cell.primary());
 		this.cell.run(1);
 		assertThat(this.cell.runUntil(10_000, this.cell::allServed)).isLessThan(ONE_SECOND);
-		assertSound();
+		assertConsistentAndServed();
 	}
 
 	@Test
@@ -110,7 +110,7 @@
 		this.cell.kill(this.cell.secondary());
 		this.cell.run(1);
 		assertThat(this.cell.runUntil(10_000, this.cell::allServed)).isLessThan(ONE_SECOND);
-		assertSound();
+		assertConsistentAndServed();
 	}
 
 	// Guards against a member that loses its ranges in a short pause because it reaches
@@ -119,18 +119,20 @@
 	// heartbeat is followed by one to the other manager.
 	@Test
 	void aHeartbeatThatIsNotAnsweredIsFollowedByOneToTheOtherManager() {
-		ModelProcess member = this.cell.plain();
-		long begin = member.clock(this.cell.now);
+		ModelProcess member = this.cell.nonManager();
+		long startedAt = member.clock(this.cell.now);
 		Timing timing = Timing.STANDARD;
-		List<InstanceId> asked = LongStream.iterate(begin, (now) -> now < begin + timing.lease(), (now) -> now + 25)
+		List<InstanceId> receivers = LongStream
+			.iterate(startedAt, (now) -> now < startedAt + timing.lease(), (now) -> now + 25)
 			.boxed()
 			.flatMap((now) -> member.machine.tick(now).stream())
 			.flatMap((action) -> (action instanceof OwnershipAction.Send send
 					&& send.message() instanceof ControlMessage.Heartbeat) ? Stream.of(send.to()) : Stream.empty())
 			.toList();
-		assertThat(asked.size()).isAtLeast((int) (2 * timing.lease() / timing.heartbeat()) - 1);
-		assertThat(asked).containsAtLeast(this.cell.primary().instance, this.cell.secondary().instance);
-		assertThat(IntStream.range(1, asked.size()).noneMatch((i) -> asked.get(i).equals(asked.get(i - 1)))).isTrue();
+		assertThat(receivers.size()).isAtLeast((int) (2 * timing.lease() / timing.heartbeat()) - 1);
+		assertThat(receivers).containsAtLeast(this.cell.primary().instance, this.cell.secondary().instance);
+		assertThat(IntStream.range(1, receivers.size()).noneMatch((i) -> receivers.get(i).equals(receivers.get(i - 1))))
+			.isTrue();
 	}
 
 	// Guards against a member that routes callers to a former owner because its
@@ -138,7 +140,7 @@
 	// does not apply to its row, so it must request the whole row.
 	@Test
 	void aMemberThatMissedADifferenceRequestsTheWholeRow() {
-		ModelProcess member = this.cell.plain();
+		ModelProcess member = this.cell.nonManager();
 		VersionedRow known = member.machine.view().known();
 		VersionedRow missed = new VersionedRow(known.version() + 1, known.row());
 		VersionedRow next = new VersionedRow(known.version() + 2, known.row().withDrained(Set.of(member.instance)));
@@ -162,7 +164,7 @@
 		}
 		this.cell.storeDown = false;
 		this.cell.run(5 * ONE_SECOND);
-		assertSound();
+		assertConsistentAndServed();
 	}
 
 	// Guards against rejecting all callers for the rest of a table outage because the two
@@ -175,10 +177,10 @@
 		ModelProcess secondary = this.cell.secondary();
 		this.cell.storeDown = true;
 		this.cell.run(ONE_SECOND);
-		this.cell.cuts.add(primary.instance + ">" + secondary.instance);
-		this.cell.cuts.add(secondary.instance + ">" + primary.instance);
-		this.cell.run(MISSED_MILLIS);
-		this.cell.cuts.clear();
+		this.cell.brokenLinks.add(primary.instance + ">" + secondary.instance);
+		this.cell.brokenLinks.add(secondary.instance + ">" + primary.instance);
+		this.cell.run(PARTITION_MILLIS);
+		this.cell.brokenLinks.clear();
 		this.cell.run(ONE_SECOND);
 		for (int i = 0; i < 60; i++) {
 			this.cell.run(ONE_SECOND);
@@ -186,7 +188,7 @@
 		}
 		this.cell.storeDown = false;
 		this.cell.run(5 * ONE_SECOND);
-		assertSound();
+		assertConsistentAndServed();
 	}
 
 	// Guards against ranges without an owner for a whole table outage after a server was
@@ -194,17 +196,17 @@
 	// them. They are now released only once the table answers.
 	@Test
 	void theRangesOfALostServerAreReleasedOnlyOnceTheTableAnswers() {
-		ModelProcess plain = this.cell.plain();
+		ModelProcess member = this.cell.nonManager();
 		this.cell.storeDown = true;
-		this.cell.run(plain,
-				plain.machine.onBackendChanged(MemberPhase.DRAINING, Optional.empty(), plain.clock(this.cell.now)));
-		this.cell.run(plain, plain.machine.onBackendLost(plain.clock(this.cell.now)));
+		this.cell.run(member,
+				member.machine.onBackendChanged(MemberPhase.DRAINING, Optional.empty(), member.clock(this.cell.now)));
+		this.cell.run(member, member.machine.onBackendLost(member.clock(this.cell.now)));
 		this.cell.run(5 * ONE_SECOND);
-		assertSound();
+		assertConsistentAndServed();
 		this.cell.storeDown = false;
 		this.cell.run(2 * ONE_SECOND);
-		assertThat(plain.serves(this.cell.now)).isEmpty();
-		assertSound();
+		assertThat(member.serves(this.cell.now)).isEmpty();
+		assertConsistentAndServed();
 	}
 
 	// Both managers are lost. The remaining members take over; the ranges of the two
@@ -217,13 +219,13 @@
 		this.cell.kill(primary);
 		this.cell.kill(secondary);
 		this.cell.run(3 * ONE_SECOND);
-		assertThat(this.cell.stored.row().unclosed()).hasSize(1);
+		assertThat(this.cell.storedRow.row().unclosed()).hasSize(1);
 		this.cell.processes.values().forEach((process) -> assertThat(process.serves(this.cell.now)).isNotEmpty());
 		assertThat(this.cell.allServed()).isFalse();
 		this.cell.start(primary.instance.value(), "domain-a", 1000);
 		this.cell.runUntil(10 * ONE_SECOND, this.cell::allServed);
-		assertSound();
-		assertThat(this.cell.stored.row().unclosed()).isEmpty();
+		assertConsistentAndServed();
+		assertThat(this.cell.storedRow.row().unclosed()).isEmpty();
 	}
 
 	// A planned stop: the primary hands over its role, then its ranges, and only then
@@ -237,7 +239,7 @@
 		assertThat(this.cell.primary()).isNotEqualTo(primary);
 		this.cell.kill(primary);
 		this.cell.run(1);
-		assertSound();
+		assertConsistentAndServed();
 	}
 
 	// Guards against waiting for processes that have left: all instances stop one after
@@ -252,7 +254,7 @@
 		}
 		this.cell.start("e", "domain-e", 1000);
 		assertThat(this.cell.runUntil(20 * ONE_SECOND, this.cell::allServed)).isLessThan(3 * ONE_SECOND);
-		assertSound();
+		assertConsistentAndServed();
 	}
 
 	// Guards against a service without an owner in a rolling replacement, when the last
@@ -268,25 +270,25 @@
 		});
 		this.cell.run(last, last.machine.leave(last.clock(this.cell.now)));
 		this.cell.run(2 * ONE_SECOND);
-		assertSound();
+		assertConsistentAndServed();
 		ModelProcess next = this.cell.start("e", "domain-e", 1000);
 		this.cell.runUntil(20 * ONE_SECOND, () -> last.left);
 		this.cell.run(ONE_SECOND);
 		assertThat(next.serves(this.cell.now)).isNotEmpty();
-		assertSound();
+		assertConsistentAndServed();
 	}
 
 	// Guards against a holder that is paused until its lease has expired and continues to
 	// serve when it resumes.
 	@Test
 	void aFrozenHolderServesNothingAfterItWakes() {
-		ModelProcess frozen = this.cell.plain();
+		ModelProcess frozen = this.cell.nonManager();
 		frozen.paused = true;
 		this.cell.run(5 * ONE_SECOND);
-		assertSound();
+		assertConsistentAndServed();
 		this.cell.resume(frozen);
 		this.cell.run(5 * ONE_SECOND);
-		assertSound();
+		assertConsistentAndServed();
 	}
 
 	// All processes of the cell end at once, and the same instances are restarted.
@@ -297,7 +299,7 @@
 		this.cell.run(5 * ONE_SECOND);
 		all.forEach((process) -> this.cell.start(process.instance.value(), "domain-" + process.instance, 1000));
 		this.cell.runUntil(20 * ONE_SECOND, this.cell::allServed);
-		assertSound();
+		assertConsistentAndServed();
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/ownership/RandomFaultsTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/RandomFaultsTests.java
@@ -25,12 +25,12 @@
 		FaultSchedule faults = new FaultSchedule(cell, seed);
 		faults.start();
 		faults.run(60_000);
-		faults.heal();
+		faults.endFaults();
 		assertThat(cell.violations).isEmpty();
 		cell.runUntil(60_000, cell::allServed);
 		cell.run(3000);
 		assertThat(cell.violations).isEmpty();
-		assertWithMessage("served at %s: %s", cell.now, cell.stored).that(cell.allServed()).isTrue();
+		assertWithMessage("served at %s: %s", cell.now, cell.storedRow).that(cell.allServed()).isTrue();
 	}
 
 }
--- a/core/src/test/java/org/brasspier/core/ownership/SmallCell.java
+++ b/core/src/test/java/org/brasspier/core/ownership/SmallCell.java
@@ -14,24 +14,24 @@
  */
 final class SmallCell {
 
-	static final long STEP = 50;
+	static final long STEP_MILLIS = 50;
 
 	/** Time limits of a few steps each, so that all of them expire within one path. */
 	static final Timing TIMING = new Timing(100, 500, 150, 50, 150, 500, 1_000_000, 100_000, 0);
 
 	final List<ModelProcess> processes = new ArrayList<>();
 
-	private List<Sent> sent = new ArrayList<>();
+	private List<SentMessage> sentMessages = new ArrayList<>();
 
-	private List<Call> calls = new ArrayList<>();
+	private List<PendingCall> pendingCalls = new ArrayList<>();
 
 	private final Set<Fault> faults = new TreeSet<>();
 
-	private VersionedRow stored = VersionedRow.NONE;
+	private VersionedRow storedRow = VersionedRow.NONE;
 
 	private long now;
 
-	static SmallCell settled(EnabledGuards guards) {
+	static SmallCell started(EnabledGuards guards) {
 		SmallCell cell = new SmallCell();
 		CellModel.Setup setup = new CellModel.Setup(TIMING, guards, 3);
 		for (String name : List.of("a", "b", "c")) {
@@ -45,17 +45,17 @@
 	SmallCell copy() {
 		SmallCell copy = new SmallCell();
 		this.processes.forEach((process) -> copy.processes.add(process.copy()));
-		copy.sent = new ArrayList<>(this.sent);
-		copy.calls = new ArrayList<>(this.calls);
+		copy.sentMessages = new ArrayList<>(this.sentMessages);
+		copy.pendingCalls = new ArrayList<>(this.pendingCalls);
 		copy.faults.addAll(this.faults);
-		copy.stored = this.stored;
+		copy.storedRow = this.storedRow;
 		copy.now = this.now;
 		return copy;
 	}
 
 	List<Object> state() {
-		return List.of(this.processes.stream().map((process) -> process.machine.state()).toList(), this.sent,
-				this.calls, Set.copyOf(this.faults), this.stored, this.now);
+		return List.of(this.processes.stream().map((process) -> process.machine.state()).toList(), this.sentMessages,
+				this.pendingCalls, Set.copyOf(this.faults), this.storedRow, this.now);
 	}
 
 	void toggle(Fault fault) {
@@ -75,27 +75,27 @@
 	 * work.
 	 */
 	void step() {
-		this.now += STEP;
-		List<Sent> arriving = this.sent;
-		List<Call> answered = this.calls;
-		this.sent = new ArrayList<>();
-		this.calls = new ArrayList<>();
-		answered.forEach(this::answer);
-		arriving.forEach(this::deliver);
+		this.now += STEP_MILLIS;
+		List<SentMessage> arrivingMessages = this.sentMessages;
+		List<PendingCall> answeredCalls = this.pendingCalls;
+		this.sentMessages = new ArrayList<>();
+		this.pendingCalls = new ArrayList<>();
+		answeredCalls.forEach(this::answer);
+		arrivingMessages.forEach(this::deliver);
 		this.processes.stream()
-			.filter((process) -> !paused(process))
+			.filter((process) -> !isPaused(process))
 			.forEach((process) -> run(process, process.machine.tick(process.clock(this.now))));
 	}
 
-	private boolean paused(ModelProcess process) {
+	private boolean isPaused(ModelProcess process) {
 		return this.faults.contains(new Fault("pause", process.instance.value()));
 	}
 
-	private boolean cut(String from, String to) {
+	private boolean isCut(String from, String to) {
 		return this.faults.contains(new Fault("cut", from + to)) || this.faults.contains(new Fault("cut", to + from));
 	}
 
-	private boolean storeDown(ModelProcess process) {
+	private boolean isStoreDown(ModelProcess process) {
 		return this.faults.contains(new Fault("store", process.instance.value()));
 	}
 
@@ -103,40 +103,41 @@
 		return this.processes.stream().filter((process) -> process.instance.equals(instance)).findFirst().orElseThrow();
 	}
 
-	private void deliver(Sent message) {
+	private void deliver(SentMessage message) {
 		ModelProcess to = process(message.to());
-		if (cut(message.from().value(), message.to().value())) {
+		if (isCut(message.from().value(), message.to().value())) {
 			return;
 		}
-		if (paused(to)) {
-			this.sent.add(message);
+		if (isPaused(to)) {
+			this.sentMessages.add(message);
 			return;
 		}
 		run(to, to.machine.onMessage(message.from(), message.message(), to.clock(this.now)));
 	}
 
-	private void answer(Call call) {
+	private void answer(PendingCall call) {
 		ModelProcess process = process(call.from());
-		if (paused(process)) {
-			this.calls.add(call);
+		if (isPaused(process)) {
+			this.pendingCalls.add(call);
 			return;
 		}
-		long at = process.clock(this.now);
-		boolean lost = storeDown(process);
+		long processTime = process.clock(this.now);
+		boolean lost = isStoreDown(process);
 		switch (call.action()) {
-			case OwnershipAction.ReadRow read ->
-				run(process, (lost) ? process.machine.onReadFailed(at) : process.machine.onRowRead(call.row(), at));
-			case OwnershipAction.WriteRow write -> run(process, written(process, call, lost, at));
+			case OwnershipAction.ReadRow read -> run(process, (lost) ? process.machine.onReadFailed(processTime)
+					: process.machine.onRowRead(call.row(), processTime));
+			case OwnershipAction.WriteRow write -> run(process, reportWriteOutcome(process, call, lost, processTime));
 			default -> throw new IllegalStateException("no call: " + call);
 		}
 	}
 
-	private static List<OwnershipAction> written(ModelProcess process, Call call, boolean lost, long at) {
+	private static List<OwnershipAction> reportWriteOutcome(ModelProcess process, PendingCall call, boolean lost,
+			long processTime) {
 		if (lost) {
-			return process.machine.onWriteUnknown(at);
+			return process.machine.onWriteUnknown(processTime);
 		}
-		return (call.effect()) ? process.machine.onWritten(call.row().version(), at)
-				: process.machine.onWriteConflict(at);
+		return (call.tookEffect()) ? process.machine.onWritten(call.row().version(), processTime)
+				: process.machine.onWriteConflict(processTime);
 	}
 
 	// A call reaches the table at once and its answer arrives in the next step, so a
@@ -146,12 +147,12 @@
 			switch (action) {
 				case OwnershipAction.Send(InstanceId to, ControlMessage message) -> {
 					if (this.processes.stream().anyMatch((other) -> other.instance.equals(to))) {
-						this.sent.add(new Sent(process.instance, to, message));
+						this.sentMessages.add(new SentMessage(process.instance, to, message));
 					}
 				}
 				case OwnershipAction.ReadRow read ->
-					this.calls.add(new Call(process.instance, read, this.stored, false));
-				case OwnershipAction.WriteRow write -> this.calls.add(write(process, write));
+					this.pendingCalls.add(new PendingCall(process.instance, read, this.storedRow, false));
+				case OwnershipAction.WriteRow write -> this.pendingCalls.add(applyWrite(process, write));
 				case OwnershipAction.Drain(HeldRange held) ->
 					run(process, process.machine.onDrained(held, List.of(), process.clock(this.now)));
 				default -> {
@@ -160,12 +161,12 @@
 		}
 	}
 
-	private Call write(ModelProcess process, OwnershipAction.WriteRow write) {
-		boolean effect = !storeDown(process) && this.stored.version() == write.expectedVersion();
-		if (effect) {
-			this.stored = new VersionedRow(write.expectedVersion() + 1, write.row());
+	private PendingCall applyWrite(ModelProcess process, OwnershipAction.WriteRow write) {
+		boolean takesEffect = !isStoreDown(process) && this.storedRow.version() == write.expectedVersion();
+		if (takesEffect) {
+			this.storedRow = new VersionedRow(write.expectedVersion() + 1, write.row());
 		}
-		return new Call(process.instance, write, this.stored, effect);
+		return new PendingCall(process.instance, write, this.storedRow, takesEffect);
 	}
 
 	/**
@@ -183,11 +184,11 @@
 		return this.processes.stream().mapToInt((process) -> process.serves(this.now).size()).sum() == 3;
 	}
 
-	private record Sent(InstanceId from, InstanceId to, ControlMessage message) {
+	private record SentMessage(InstanceId from, InstanceId to, ControlMessage message) {
 
 	}
 
-	private record Call(InstanceId from, OwnershipAction action, VersionedRow row, boolean effect) {
+	private record PendingCall(InstanceId from, OwnershipAction action, VersionedRow row, boolean tookEffect) {
 
 	}
 
@@ -195,9 +196,9 @@
 	 * A fault that lasts until it is toggled again.
 	 *
 	 * @param kind pause, cut or store
-	 * @param where the process, or the two processes
+	 * @param target the process, or the two processes
 	 */
-	record Fault(String kind, String where) implements Comparable<Fault> {
+	record Fault(String kind, String target) implements Comparable<Fault> {
 
 		static final List<Fault> ALL = List.of(new Fault("pause", "a"), new Fault("pause", "b"),
 				new Fault("pause", "c"), new Fault("cut", "ab"), new Fault("cut", "ac"), new Fault("cut", "bc"),
@@ -205,7 +206,7 @@
 
 		@Override
 		public int compareTo(Fault other) {
-			return (this.kind + this.where).compareTo(other.kind + other.where);
+			return (this.kind + this.target).compareTo(other.kind + other.target);
 		}
 
 	}
--- a/core/src/test/java/org/brasspier/core/ownership/TestGuards.java
+++ b/core/src/test/java/org/brasspier/core/ownership/TestGuards.java
@@ -14,13 +14,13 @@
 	private TestGuards() {
 	}
 
-	static EnabledGuards without(Guard... off) {
-		Set<Guard> all = new TreeSet<>(List.of(off));
+	static EnabledGuards without(Guard... disabled) {
+		Set<Guard> allDisabled = new TreeSet<>(List.of(disabled));
 		String named = System.getProperty("guard.off", "");
 		if (!named.isEmpty()) {
-			all.add(Guard.valueOf(named));
+			allDisabled.add(Guard.valueOf(named));
 		}
-		return new EnabledGuards(all);
+		return new EnabledGuards(allDisabled);
 	}
 
 }
