--- a/bench/src/main/java/org/brasspier/bench/capacity/CellSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/CellSlopes.java
@@ -119,7 +119,7 @@
 
 	private static CellRow withRanges(CellRow row, int count) {
 		RangeState example = row.ranges().getFirst();
-		return row.withRanges(KeyRange.split(count).stream().map(example::over).toList());
+		return row.withRanges(KeyRange.split(count).stream().map(example::withRange).toList());
 	}
 
 }
--- a/core/src/main/java/org/brasspier/core/ownership/CellRow.java
+++ b/core/src/main/java/org/brasspier/core/ownership/CellRow.java
@@ -190,7 +190,7 @@
 	 * @param key the challenger, empty to answer a challenge
 	 * @return the row
 	 */
-	public CellRow challengedBy(Optional<MemberKey> key) {
+	public CellRow withChallenger(Optional<MemberKey> key) {
 		return new CellRow(this.epoch, this.managers, this.unclosed, this.members, this.drained, this.ranges, key);
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/ControlMessage.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ControlMessage.java
@@ -213,9 +213,9 @@
 		 * Drains an instance, so that it loses all its ranges, or reverses that.
 		 *
 		 * @param instance the instance
-		 * @param out whether the instance is drained
+		 * @param drained whether the instance is drained
 		 */
-		record Drain(InstanceId instance, boolean out) implements Order {
+		record Drain(InstanceId instance, boolean drained) implements Order {
 
 		}
 
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerRole.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerRole.java
@@ -53,7 +53,7 @@
 			doPrimaryWork(row, now);
 		}
 		else if (row.challenger().isPresent() && this.parts.rowAccess.isIdle(now)) {
-			this.rowHandler.propose(row.challengedBy(Optional.empty()), now);
+			this.rowHandler.propose(row.withChallenger(Optional.empty()), now);
 		}
 	}
 
@@ -155,7 +155,7 @@
 		VersionedRow known = this.parts.lease.known();
 		PlanFacts facts = this.parts.primaryState.facts(known, this.parts.manager, this.parts.placement, balance, now);
 		RowPlanner.Plan plan = new RowPlanner(facts).plan();
-		this.parts.primaryState.moves(plan.moves());
+		this.parts.primaryState.setMoves(plan.moves());
 		if (!plan.row().equals(known.row())) {
 			facts.lost()
 				.forEach((key) -> this.parts.outbox.recordEvent(EventKind.MEMBER_LOST, key.instance(),
--- a/core/src/main/java/org/brasspier/core/ownership/MemberInfo.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberInfo.java
@@ -49,7 +49,7 @@
 	 * @param other the phase
 	 * @return the member
 	 */
-	public MemberInfo in(MemberPhase other) {
+	public MemberInfo withPhase(MemberPhase other) {
 		return new MemberInfo(this.key, this.domain, this.address, other, this.backend);
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/MemberRole.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberRole.java
@@ -62,9 +62,9 @@
 
 	// A manager sends its heartbeat together with a beat, a little early, and on its own
 	// only if no beat was due.
-	void heartbeatIfDue(CellRow row, long early, long now) {
+	void heartbeatIfDue(CellRow row, long earlyMillis, long now) {
 		if (row.has(this.parts.me.key())
-				&& this.parts.timers.heartbeatDue(now, this.parts.timing.heartbeat() - early)) {
+				&& this.parts.timers.heartbeatDue(now, this.parts.timing.heartbeat() - earlyMillis)) {
 			sendHeartbeat(row, now);
 		}
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/OperatorOrders.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OperatorOrders.java
@@ -36,13 +36,13 @@
 
 	private Answer drain(ControlMessage.Order.Drain order) {
 		Set<InstanceId> drained = new HashSet<>(this.primaryState.drained(this.known.row()));
-		if (order.out() && this.known.row().member(order.instance()).isEmpty()) {
+		if (order.drained() && this.known.row().member(order.instance()).isEmpty()) {
 			return refused("%s is no member of this cell".formatted(order.instance()));
 		}
-		boolean changed = (order.out()) ? drained.add(order.instance()) : drained.remove(order.instance());
+		boolean changed = (order.drained()) ? drained.add(order.instance()) : drained.remove(order.instance());
 		this.primaryState.setDrained(drained);
 		return accepted(
-				(changed) ? "%s is being %s".formatted(order.instance(), (order.out()) ? "drained" : "undrained")
+				(changed) ? "%s is being %s".formatted(order.instance(), (order.drained()) ? "drained" : "undrained")
 						: "%s already was".formatted(order.instance()));
 	}
 
@@ -68,7 +68,7 @@
 		List<PlannedMove> moves = new ArrayList<>(this.primaryState.moves());
 		moves.removeIf((move) -> move.held().equals(held));
 		moves.add(new PlannedMove(held, Optional.of(order.to()), MoveCause.ORDER));
-		this.primaryState.moves(List.copyOf(moves));
+		this.primaryState.setMoves(List.copyOf(moves));
 		return accepted("%s %s is moving to %s".formatted(order.service(), order.range(), order.to()));
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/OwnershipMachine.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OwnershipMachine.java
@@ -283,7 +283,7 @@
 	 */
 	public List<OwnershipAction> leave(long now) {
 		this.parts.leaving = true;
-		this.parts.me = this.parts.me.in(MemberPhase.LEAVING);
+		this.parts.me = this.parts.me.withPhase(MemberPhase.LEAVING);
 		if (!this.parts.lease.known().row().has(this.parts.me.key()) && !this.parts.manager.isActive()) {
 			this.parts.left = true;
 			this.parts.outbox.add(new OwnershipAction.Left());
--- a/core/src/main/java/org/brasspier/core/ownership/PrimaryState.java
+++ b/core/src/main/java/org/brasspier/core/ownership/PrimaryState.java
@@ -144,7 +144,7 @@
 		return this.moves;
 	}
 
-	void moves(List<PlannedMove> planned) {
+	void setMoves(List<PlannedMove> planned) {
 		this.moves = planned;
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/RangeState.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RangeState.java
@@ -40,7 +40,7 @@
 	 * @param nextMarks the marks for the next owner
 	 * @return the range; the fence stays until it has a new owner
 	 */
-	public RangeState unowned(List<CrashMark> nextMarks) {
+	public RangeState withoutOwner(List<CrashMark> nextMarks) {
 		return new RangeState(this.service, this.range, Optional.empty(), this.fence, nextMarks);
 	}
 
@@ -59,7 +59,7 @@
 	 * @param part the points
 	 * @return the range
 	 */
-	public RangeState over(KeyRange part) {
+	public RangeState withRange(KeyRange part) {
 		return new RangeState(this.service, part, this.owner, this.fence, this.marks);
 	}
 
--- a/core/src/main/java/org/brasspier/core/ownership/RowPlanner.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowPlanner.java
@@ -64,14 +64,14 @@
 	private void removeClosedPairs() {
 		List<ManagerPair> unclosed = new ArrayList<>(this.row.unclosed());
 		unclosed.removeAll(this.facts.closed());
-		this.row = this.row.withUnclosed(unclosed).challengedBy(Optional.empty()).withDrained(this.facts.drained());
+		this.row = this.row.withUnclosed(unclosed).withChallenger(Optional.empty()).withDrained(this.facts.drained());
 	}
 
 	private void removeLostMembers() {
 		for (MemberKey key : this.facts.lost()) {
 			this.row = this.row.withoutMember(key.instance())
 				.mapRanges((range) -> (range.owner().filter(key.instance()::equals).isPresent())
-						? range.unowned(range.marks()) : range);
+						? range.withoutOwner(range.marks()) : range);
 		}
 	}
 
@@ -117,8 +117,8 @@
 		this.row = this.row.mapRanges((range) -> {
 			List<CrashMark> marks = this.facts.released().get(range.held());
 			return (range.owner().isPresent() && marks != null)
-					? moveTarget(range.held()).map((to) -> range.unowned(marks).ownedBy(to, this.version))
-						.orElse(range.unowned(marks))
+					? moveTarget(range.held()).map((to) -> range.withoutOwner(marks).ownedBy(to, this.version))
+						.orElse(range.withoutOwner(marks))
 					: range;
 		});
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/ServicePlan.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ServicePlan.java
@@ -124,8 +124,8 @@
 		this.ranges.remove(range);
 		KeyRange first = new KeyRange(range.low(), splitPoint);
 		KeyRange second = new KeyRange(splitPoint, range.high());
-		this.ranges.put(first, state.over(first));
-		this.ranges.put(second, state.over(second));
+		this.ranges.put(first, state.withRange(first));
+		this.ranges.put(second, state.withRange(second));
 	}
 
 	private boolean isMovingOrAssigned(KeyRange range) {
@@ -150,7 +150,7 @@
 		this.ranges.remove(first);
 		this.ranges.remove(second);
 		KeyRange merged = new KeyRange(first.low(), second.high());
-		this.ranges.put(merged, firstState.over(merged));
+		this.ranges.put(merged, firstState.withRange(merged));
 	}
 
 	private void releaseAndRegrant(RangeState state) {
--- a/core/src/main/java/org/brasspier/core/ownership/Takeover.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Takeover.java
@@ -141,7 +141,7 @@
 		if (row.challenger().isEmpty()) {
 			// Managers that answered a challenge reach the table, so there is no urgency.
 			return (now - this.challengeAnsweredAt > this.timing.challenge())
-					? Optional.of(row.challengedBy(Optional.of(this.self))) : Optional.empty();
+					? Optional.of(row.withChallenger(Optional.of(this.self))) : Optional.empty();
 		}
 		boolean ownChallenge = row.challenger().filter(this.self::equals).isPresent();
 		// The challenge of a process that has ended since must not delay other members
--- a/core/src/test/java/org/brasspier/core/ownership/CellModel.java
+++ b/core/src/test/java/org/brasspier/core/ownership/CellModel.java
@@ -197,9 +197,9 @@
 	private void send(ModelProcess from, OwnershipAction.Send send) {
 		int copies = (this.random.nextInt(1000) < this.messagesDuplicatedPermille) ? 2 : 1;
 		for (int i = 0; i < copies; i++) {
-			boolean lost = this.random.nextInt(1000) < this.messagesLostPermille;
+			boolean isLost = this.random.nextInt(1000) < this.messagesLostPermille;
 			long delay = (i == 0) ? 1 + this.random.nextInt(4) : this.random.nextInt(1500);
-			if (!lost && !this.brokenLinks.contains(from.instance + ">" + send.to())) {
+			if (!isLost && !this.brokenLinks.contains(from.instance + ">" + send.to())) {
 				ModelProcess to = this.processes.get(send.to());
 				after(delay, () -> deliver(from.instance, to, send));
 			}
@@ -223,9 +223,9 @@
 	private void read(ModelProcess process) {
 		this.reads++;
 		after(randomStoreDelay(), () -> {
-			boolean answered = reachesStore(process);
+			boolean isAnswered = reachesStore(process);
 			VersionedRow row = this.storedRow;
-			after(1, () -> step(process, (p) -> run(p, (answered) ? p.machine.onRowRead(row, p.clock(this.now))
+			after(1, () -> step(process, (p) -> run(p, (isAnswered) ? p.machine.onRowRead(row, p.clock(this.now))
 					: p.machine.onReadFailed(p.clock(this.now)))));
 		});
 	}
@@ -241,20 +241,20 @@
 
 	private void applyWrite(ModelProcess process, OwnershipAction.WriteRow write) {
 		boolean lost = this.answersToLose > 0 || !reachesStore(process);
-		boolean matches = this.storedRow.version() == write.expectedVersion();
-		boolean takesEffect = matches && !(lost && !this.lostWritesTakeEffect && this.random.nextBoolean());
+		boolean versionMatches = this.storedRow.version() == write.expectedVersion();
+		boolean takesEffect = versionMatches && !(lost && !this.lostWritesTakeEffect && this.random.nextBoolean());
 		this.answersToLose = Math.max(0, this.answersToLose - 1);
 		if (takesEffect) {
 			this.storedRow = new VersionedRow(write.expectedVersion() + 1, write.row());
 			this.writtenRows.put(this.storedRow.version(), write.row());
 		}
-		else if (matches) {
+		else if (versionMatches) {
 			// The write reaches the table much later, when other processes may have made
 			// other plans.
 			after(this.random.nextInt(2000), () -> applyDelayedWrite(write));
 		}
 		long version = this.storedRow.version();
-		after(1, () -> step(process, (p) -> run(p, reportWriteOutcome(p, lost, matches, version))));
+		after(1, () -> step(process, (p) -> run(p, reportWriteOutcome(p, lost, versionMatches, version))));
 	}
 
 	private List<OwnershipAction> reportWriteOutcome(ModelProcess process, boolean lost, boolean matches,
@@ -315,13 +315,13 @@
 	}
 
 	ModelProcess primary() {
-		InstanceId primary = this.storedRow.row().managers().orElseThrow().primary().instance();
-		return Optional.ofNullable(this.processes.get(primary)).orElseThrow();
+		InstanceId instance = this.storedRow.row().managers().orElseThrow().primary().instance();
+		return Optional.ofNullable(this.processes.get(instance)).orElseThrow();
 	}
 
 	ModelProcess secondary() {
-		InstanceId secondary = this.storedRow.row().managers().orElseThrow().secondary().orElseThrow().instance();
-		return Optional.ofNullable(this.processes.get(secondary)).orElseThrow();
+		InstanceId instance = this.storedRow.row().managers().orElseThrow().secondary().orElseThrow().instance();
+		return Optional.ofNullable(this.processes.get(instance)).orElseThrow();
 	}
 
 	ModelProcess nonManager() {
@@ -337,9 +337,9 @@
 		Map<Long, InstanceId> owners = new HashMap<>();
 		for (ModelProcess process : this.processes.values()) {
 			for (HeldRange held : process.serves(this.now)) {
-				InstanceId other = owners.put(held.range().low(), process.instance);
-				if (other != null) {
-					addViolation("%s and %s both serve %s".formatted(other, process.instance, held.range()));
+				InstanceId otherOwner = owners.put(held.range().low(), process.instance);
+				if (otherOwner != null) {
+					addViolation("%s and %s both serve %s".formatted(otherOwner, process.instance, held.range()));
 				}
 				checkFence(process, held);
 			}
--- a/core/src/test/java/org/brasspier/core/ownership/GuardTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/GuardTests.java
@@ -69,8 +69,8 @@
 		return violations;
 	}
 
-	private static CellModel sixMembers(EnabledGuards guards, int run) {
-		CellModel cell = new CellModel(new CellModel.Setup(Timing.STANDARD, guards, RANGES), run);
+	private static CellModel sixMembers(EnabledGuards guards, int seed) {
+		CellModel cell = new CellModel(new CellModel.Setup(Timing.STANDARD, guards, RANGES), seed);
 		List.of("a", "b", "c", "d", "e", "f").forEach((name) -> cell.start(name, "domain-" + name, 1000));
 		cell.run(3000);
 		cell.spreadRanges();
--- a/core/src/test/java/org/brasspier/core/ownership/ModelProcess.java
+++ b/core/src/test/java/org/brasspier/core/ownership/ModelProcess.java
@@ -75,12 +75,12 @@
 	 * @return the ranges, empty once its lease has expired
 	 */
 	List<HeldRange> serves(long realTime) {
-		OwnershipState state = this.machine.view();
-		if (clock(realTime) >= state.leaseEnd()) {
+		OwnershipState view = this.machine.view();
+		if (clock(realTime) >= view.leaseEnd()) {
 			return List.of();
 		}
-		List<HeldRange> ranges = new ArrayList<>(state.held().stream().map(RangeState::held).toList());
-		ranges.addAll(state.draining());
+		List<HeldRange> ranges = new ArrayList<>(view.held().stream().map(RangeState::held).toList());
+		ranges.addAll(view.draining());
 		return ranges;
 	}
 
--- a/wire/src/test/java/org/brasspier/wire/RowDeltaTests.java
+++ b/wire/src/test/java/org/brasspier/wire/RowDeltaTests.java
@@ -108,7 +108,7 @@
 			case 1 -> row.withoutMember(instance(random.nextInt(INSTANCES)));
 			case 2 -> row.nextEpoch(key(random), Optional.of(key(random)), row.managers().stream().toList());
 			case 3 -> row.withDrained(Set.of(instance(random.nextInt(INSTANCES))));
-			case 4 -> row.challengedBy(Optional.of(key(random)).filter((key) -> random.nextBoolean()));
+			case 4 -> row.withChallenger(Optional.of(key(random)).filter((key) -> random.nextBoolean()));
 			case 5 -> row.withRanges(KeyRange.split(1 + random.nextInt(40))
 				.stream()
 				.map((range) -> owned(range, random.nextInt(INSTANCES), from.version()))
@@ -120,7 +120,7 @@
 	private static RangeState moved(RangeState range, long version, Random random) {
 		return switch (random.nextInt(10)) {
 			case 0 -> range.ownedBy(instance(random.nextInt(INSTANCES)), version);
-			case 1 -> range.unowned(IntStream.range(0, random.nextInt(3))
+			case 1 -> range.withoutOwner(IntStream.range(0, random.nextInt(3))
 				.mapToObj((i) -> new CrashMark(random.nextLong(), 1 + i))
 				.toList());
 			default -> range;
