--- a/core/src/main/java/org/brasspier/core/ownership/OperatorOrders.java
+++ b/core/src/main/java/org/brasspier/core/ownership/OperatorOrders.java
@@ -24,7 +24,7 @@
 		if (!this.manager.isPrimary()) {
 			return refused("this instance is not the primary lease manager; try again");
 		}
-		if (!this.access.reachable()) {
+		if (!this.access.isReachable()) {
 			return refused("the table can't be reached, so nothing can be moved now");
 		}
 		return switch (order) {
@@ -36,13 +36,13 @@
 
 	private Answer drain(ControlMessage.Order.Drain order) {
 		Set<InstanceId> drained = new HashSet<>(this.primaryState.drained(this.known.row()));
-		if (order.out() && this.known.row().member(order.instance()).isEmpty()) {
+		if (order.drained() && this.known.row().member(order.instance()).isEmpty()) {
 			return refused("%s is no member of this cell".formatted(order.instance()));
 		}
-		boolean changed = (order.out()) ? drained.add(order.instance()) : drained.remove(order.instance());
+		boolean changed = (order.drained()) ? drained.add(order.instance()) : drained.remove(order.instance());
 		this.primaryState.setDrained(drained);
 		return accepted(
-				(changed) ? "%s is being %s".formatted(order.instance(), (order.out()) ? "drained" : "undrained")
+				(changed) ? "%s is being %s".formatted(order.instance(), (order.drained()) ? "drained" : "undrained")
 						: "%s already was".formatted(order.instance()));
 	}
 
@@ -55,26 +55,26 @@
 		if (range.isEmpty() || range.get().owner().isEmpty()) {
 			return refused("%s has no owned range %s".formatted(order.service(), order.range()));
 		}
-		boolean placeable = this.known.row()
+		boolean eligible = this.known.row()
 			.member(order.to())
 			.filter((member) -> member.phase() == MemberPhase.ACTIVE)
 			.flatMap(MemberInfo::backend)
 			.filter((backend) -> backend.service().equals(order.service()))
 			.isPresent();
-		if (!placeable || this.known.row().drained().contains(order.to())) {
+		if (!eligible || this.known.row().drained().contains(order.to())) {
 			return refused("%s can't own ranges of %s now".formatted(order.to(), order.service()));
 		}
 		HeldRange held = range.get().held();
 		List<PlannedMove> moves = new ArrayList<>(this.primaryState.moves());
 		moves.removeIf((move) -> move.held().equals(held));
 		moves.add(new PlannedMove(held, Optional.of(order.to()), MoveCause.ORDER));
-		this.primaryState.moves(List.copyOf(moves));
+		this.primaryState.setMoves(List.copyOf(moves));
 		return accepted("%s %s is moving to %s".formatted(order.service(), order.range(), order.to()));
 	}
 
 	private Answer declareLost(InstanceId instance, long now) {
 		Optional<MemberInfo> member = this.known.row().member(instance);
-		if (member.filter((known) -> !this.manager.isSilent(known.key(), now)).isPresent()) {
+		if (member.filter((present) -> !this.manager.isSilent(present.key(), now)).isPresent()) {
 			return refused("%s is heard, so it can't be declared lost".formatted(instance));
 		}
 		List<ManagerPair> pairs = this.known.row()
