--- a/bench/src/main/java/org/brasspier/bench/demo/Demo.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Demo.java
@@ -11,8 +11,8 @@
 import org.brasspier.standins.CallerRecord;
 import org.brasspier.standins.Deployment;
 import org.brasspier.standins.DeploymentShape;
-import org.brasspier.standins.Loss;
-import org.brasspier.standins.Measures;
+import org.brasspier.standins.HistoryMetrics;
+import org.brasspier.standins.InstanceLoss;
 import org.brasspier.standins.OwnedRange;
 import org.brasspier.standins.RecoveryProbe;
 import org.brasspier.standins.StandInInstance;
@@ -64,28 +64,28 @@
 	private boolean run() {
 		say("starting %s: %d instances in %s", this.shape.name(),
 				this.shape.services().stream().mapToInt((service) -> service.servers()).sum(), this.shape.domains());
-		try (Deployment deployment = Deployment.start(this.shape); CallerFleet callers = deployment.callers()) {
+		try (Deployment deployment = Deployment.start(this.shape); CallerFleet callers = deployment.newCallers()) {
 			deployment.awaitServed();
 			say("each service answers");
 			DocumentSubmission.submit(deployment).forEach((line) -> say("%s", line));
 			long since = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
-			callers.send(Traffic.of(this.shape));
+			callers.setTraffic(Traffic.of(this.shape));
 			watch(callers, this.seconds / 2);
-			Loss loss = lose(deployment, callers);
+			InstanceLoss loss = lose(deployment, callers);
 			watch(callers, this.seconds - this.seconds / 2);
 			callers.finish();
 			return close(Summary.of(deployment, callers.records(), loss, since));
 		}
 	}
 
-	private Loss lose(Deployment deployment, CallerFleet callers) {
+	private InstanceLoss lose(Deployment deployment, CallerFleet callers) {
 		StandInInstance lost = deployment.instances().getFirst();
 		List<OwnedRange> ranges = deployment.ownedBy(lost);
 		String now = Instant.now().toString();
-		Loss loss = Loss.now(lost.name());
+		InstanceLoss loss = InstanceLoss.now(lost.name());
 		lost.kill();
 		say("lost %s in %s without warning; it owned %d ranges", lost.name(), lost.domain(), ranges.size());
-		try (RecoveryProbe probe = new RecoveryProbe(callers, ranges, deployment.keyedServices())) {
+		try (RecoveryProbe probe = new RecoveryProbe(callers, ranges, deployment.shardedServices())) {
 			probe.await();
 		}
 		TimeLine.read(deployment, now).stream().limit(MAX_EVENTS_SHOWN).forEach((line) -> say("  %s", line));
@@ -97,7 +97,8 @@
 		for (int i = 0; i < seconds; i++) {
 			LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(1));
 			List<CallerRecord> records = callers.records();
-			say("%d requests ended in this second; in all %s", records.size() - before, Measures.outcomes(records));
+			say("%d requests ended in this second; in all %s", records.size() - before,
+					HistoryMetrics.outcomes(records));
 			before = records.size();
 		}
 	}
--- a/bench/src/main/java/org/brasspier/bench/demo/DocumentSubmission.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/DocumentSubmission.java
@@ -42,7 +42,7 @@
 	private void submit() {
 		boolean kliring = this.deployment.shape().name().equals(KLIRING);
 		for (ServiceShape service : this.deployment.shape().services()) {
-			run("form", "service", service.name(), "--divided-by-key", (service.keyed()) ? "yes" : "no");
+			run("form", "service", service.name(), "--divided-by-key", (service.sharded()) ? "yes" : "no");
 		}
 		run("form", "domains", "--regions", regions((kliring) ? "jateng" : "great-lakes"));
 		run("form", "targets", "--imbalance-ratio", "1.3", "--churn-percent-a-day", "20", "--unavailable-seconds-a-day",
--- a/bench/src/main/java/org/brasspier/bench/demo/FaultInjector.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/FaultInjector.java
@@ -55,7 +55,7 @@
 		this.deployment.proxy().heal();
 		this.deployment.platform().faults(PlatformFaults.NONE);
 		this.deployment.instances().forEach((instance) -> {
-			processes(instance, Part.WHOLE).filter(ProgramProcess::alive).forEach(ProgramProcess::resume);
+			processes(instance, Part.WHOLE).filter(ProgramProcess::isAlive).forEach(ProgramProcess::resume);
 			restart(instance, Part.WHOLE);
 		});
 	}
@@ -63,18 +63,20 @@
 	private void begin(Fault fault) {
 		switch (fault) {
 			case Fault.Lost(int instance, Part part) ->
-				processes(at(instance), part).filter(ProgramProcess::alive).forEach(ProgramProcess::kill);
+				processes(at(instance), part).filter(ProgramProcess::isAlive).forEach(ProgramProcess::kill);
 			case Fault.Paused(int instance, Part part) ->
-				processes(at(instance), part).filter(ProgramProcess::alive).forEach(ProgramProcess::pause);
+				processes(at(instance), part).filter(ProgramProcess::isAlive).forEach(ProgramProcess::pause);
 			case Fault.Stopped(int instance) ->
-				processes(at(instance), Part.SERVER).filter(ProgramProcess::alive).forEach(ProgramProcess::terminate);
-			case Fault.Isolated(int instance, LinkState state) -> this.deployment.isolate(at(instance), state);
-			case Fault.Apart(int one, int other, LinkState state) -> this.deployment.between(at(one), at(other), state);
+				processes(at(instance), Part.SERVER).filter(ProgramProcess::isAlive).forEach(ProgramProcess::terminate);
+			case Fault.Isolated(int instance, LinkState state) -> this.deployment.setPeerLinks(at(instance), state);
+			case Fault.Apart(int one, int other, LinkState state) ->
+				this.deployment.setLinksBetween(at(one), at(other), state);
 			case Fault.DomainCut(int domain, boolean fromStore) -> cut(domain, fromStore, LinkState.HELD);
-			case Fault.StoreCut(int instance, LinkState state) -> this.deployment.toStore(at(instance), state);
+			case Fault.StoreCut(int instance, LinkState state) -> this.deployment.setStoreLink(at(instance), state);
 			case Fault.StoreDown() -> this.deployment.platform().faults(PlatformFaults.OUTAGE);
 			case Fault.StoreSlow(int millis) -> this.deployment.platform().faults(PlatformFaults.slow(millis));
-			case Fault.StoreLoses(int writes) -> this.deployment.platform().faults(PlatformFaults.losing(writes));
+			case Fault.StoreLoses(int writes) ->
+				this.deployment.platform().faults(PlatformFaults.losingAnswers(writes));
 			case Fault.Silenced(int instance) -> silence(at(instance));
 		}
 	}
@@ -83,15 +85,15 @@
 		switch (fault) {
 			case Fault.Lost(int instance, Part part) -> restart(at(instance), part);
 			case Fault.Paused(int instance, Part part) ->
-				processes(at(instance), part).filter(ProgramProcess::alive).forEach(ProgramProcess::resume);
+				processes(at(instance), part).filter(ProgramProcess::isAlive).forEach(ProgramProcess::resume);
 			case Fault.Stopped(int instance) -> restart(at(instance), Part.WHOLE);
 			case Fault.Isolated(int instance, LinkState state) ->
-				this.deployment.isolate(at(instance), LinkState.WHOLE);
+				this.deployment.setPeerLinks(at(instance), LinkState.HEALTHY);
 			case Fault.Apart(int one, int other, LinkState state) ->
-				this.deployment.between(at(one), at(other), LinkState.WHOLE);
-			case Fault.DomainCut(int domain, boolean fromStore) -> cut(domain, fromStore, LinkState.WHOLE);
+				this.deployment.setLinksBetween(at(one), at(other), LinkState.HEALTHY);
+			case Fault.DomainCut(int domain, boolean fromStore) -> cut(domain, fromStore, LinkState.HEALTHY);
 			case Fault.StoreCut(int instance, LinkState state) ->
-				this.deployment.toStore(at(instance), LinkState.WHOLE);
+				this.deployment.setStoreLink(at(instance), LinkState.HEALTHY);
 			case Fault.StoreDown() -> this.deployment.platform().faults(PlatformFaults.NONE);
 			case Fault.StoreSlow(int millis) -> this.deployment.platform().faults(PlatformFaults.NONE);
 			case Fault.StoreLoses(int writes) -> this.deployment.platform().faults(PlatformFaults.NONE);
@@ -113,7 +115,7 @@
 	}
 
 	private static void restart(StandInInstance instance, Part part) {
-		processes(instance, part).filter((process) -> !process.alive()).forEach(ProgramProcess::start);
+		processes(instance, part).filter((process) -> !process.isAlive()).forEach(ProgramProcess::start);
 	}
 
 	private void silence(StandInInstance instance) {
@@ -132,9 +134,9 @@
 			this.deployment.instances()
 				.stream()
 				.filter((other) -> !other.domain().equals(domain))
-				.forEach((other) -> this.deployment.between(instance, other, state));
+				.forEach((other) -> this.deployment.setLinksBetween(instance, other, state));
 			if (fromStore) {
-				this.deployment.toStore(instance, state);
+				this.deployment.setStoreLink(instance, state);
 			}
 		});
 	}
--- a/bench/src/main/java/org/brasspier/bench/demo/FaultTrial.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/FaultTrial.java
@@ -7,7 +7,7 @@
 import org.brasspier.standins.DeploymentShape;
 import org.brasspier.standins.HistoryChecker;
 import org.brasspier.standins.ServiceShape;
-import org.brasspier.standins.TrafficMix;
+import org.brasspier.standins.TrafficStream;
 import org.brasspier.standins.Violation;
 
 /**
@@ -24,7 +24,7 @@
 
 	private FaultTrial(Deployment deployment) {
 		this.deployment = deployment;
-		this.callers = deployment.callers();
+		this.callers = deployment.newCallers();
 		this.injector = new FaultInjector(deployment);
 	}
 
@@ -49,16 +49,16 @@
 	 */
 	public List<Violation> run(long seed) {
 		DeploymentShape shape = this.deployment.shape();
-		List<TrafficMix> traffic = shape.services()
+		List<TrafficStream> traffic = shape.services()
 			.stream()
 			.flatMap((service) -> Traffic.light(service).stream())
 			.toList();
-		this.callers.send(traffic);
+		this.callers.setTraffic(traffic);
 		this.injector.run(FaultSchedule.of(seed, this.deployment.instances().size(), shape.domains().size()));
 		this.deployment.awaitServed();
 		this.callers.finish();
 		List<Violation> violations = HistoryChecker.check(this.deployment.serverRecords(), this.callers.records(),
-				this.deployment.keyedServices());
+				this.deployment.shardedServices());
 		if (!violations.isEmpty()) {
 			System.err.println("histories and logs are kept in " + this.deployment.keepFiles());
 		}
--- a/bench/src/main/java/org/brasspier/bench/demo/Managers.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Managers.java
@@ -35,7 +35,7 @@
 			.flatMap(CellRow::managers)
 			.filter((pair) -> pair.secondary().isPresent())
 			.map((pair) -> of(deployment, pair))
-			.filter((managers) -> managers.primary().daemon().alive() && managers.secondary().daemon().alive());
+			.filter((managers) -> managers.primary().daemon().isAlive() && managers.secondary().daemon().isAlive());
 	}
 
 	private static Managers of(Deployment deployment, ManagerPair pair) {
--- a/bench/src/main/java/org/brasspier/bench/demo/OutageBench.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/OutageBench.java
@@ -17,7 +17,7 @@
 import org.brasspier.standins.Deployment;
 import org.brasspier.standins.DeploymentShape;
 import org.brasspier.standins.HistoryChecker;
-import org.brasspier.standins.Measures;
+import org.brasspier.standins.HistoryMetrics;
 import org.brasspier.standins.PlatformFaults;
 import org.brasspier.standins.ServiceShape;
 import org.brasspier.standins.Violation;
@@ -53,9 +53,9 @@
 	private boolean run() {
 		DeploymentShape shape = DeploymentShape.small(new ServiceShape("hullbook", true, 4, 8, 60, true),
 				new ServiceShape("jobdesk", false, 2, 8, 60, false));
-		try (Deployment running = Deployment.start(shape); CallerFleet callers = running.callers()) {
+		try (Deployment running = Deployment.start(shape); CallerFleet callers = running.newCallers()) {
 			running.awaitServed();
-			callers.send(Traffic.of(shape));
+			callers.setTraffic(Traffic.of(shape));
 			List<Figures> figures = new ArrayList<>();
 			figures.add(phase(running, callers, "well", PlatformFaults.NONE, this.seconds / 20));
 			figures.add(phase(running, callers, "down", PlatformFaults.OUTAGE, this.seconds));
@@ -63,7 +63,7 @@
 			figures.add(phase(running, callers, "well again", PlatformFaults.NONE, this.seconds / 20));
 			callers.finish();
 			List<Violation> violations = HistoryChecker.check(running.serverRecords(), callers.records(),
-					running.keyedServices());
+					running.shardedServices());
 			violations.forEach((violation) -> System.out.println("BROKEN " + violation));
 			System.out.println(new Gson().toJson(new Result(figures, violations.size())));
 			return violations.isEmpty();
@@ -95,7 +95,7 @@
 	private record Figures(String store, int seconds, long answered, long refused, long failed, long longestGapMs) {
 
 		static Figures of(String store, int seconds, List<CallerRecord> records) {
-			Map<Outcome, Long> outcomes = Measures.outcomes(records);
+			Map<Outcome, Long> outcomes = HistoryMetrics.outcomes(records);
 			long gap = records.stream()
 				.filter((done) -> done.outcome() == Outcome.ANSWERED)
 				.collect(Collectors.groupingBy((done) -> done.request().service()))
@@ -110,7 +110,7 @@
 
 		private static long longestGap(List<CallerRecord> answered) {
 			List<Long> ends = answered.stream()
-				.map((done) -> done.last().endMicros())
+				.map((done) -> done.lastAttempt().endMicros())
 				.sorted(Comparator.naturalOrder())
 				.toList();
 			long longest = 0;
--- a/bench/src/main/java/org/brasspier/bench/demo/RecoveryBench.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/RecoveryBench.java
@@ -18,8 +18,8 @@
 import org.brasspier.standins.Deployment;
 import org.brasspier.standins.DeploymentShape;
 import org.brasspier.standins.HistoryChecker;
-import org.brasspier.standins.Loss;
-import org.brasspier.standins.Measures;
+import org.brasspier.standins.HistoryMetrics;
+import org.brasspier.standins.InstanceLoss;
 import org.brasspier.standins.OwnedRange;
 import org.brasspier.standins.RecoveryProbe;
 import org.brasspier.standins.StandInInstance;
@@ -62,15 +62,15 @@
 	private boolean run() {
 		DeploymentShape shape = (this.deployment.equals("kliring")) ? DeploymentShape.kliring()
 				: DeploymentShape.lakeshore();
-		try (Deployment running = Deployment.start(shape); CallerFleet callers = running.callers()) {
+		try (Deployment running = Deployment.start(shape); CallerFleet callers = running.newCallers()) {
 			running.awaitServed();
-			callers.send(Traffic.of(shape));
+			callers.setTraffic(Traffic.of(shape));
 			for (int i = 0; i < this.losses; i++) {
 				lose(running, callers, Role.values()[i % Role.values().length], i / Role.values().length);
 			}
 			callers.finish();
 			List<Violation> violations = HistoryChecker.check(running.serverRecords(), callers.records(),
-					running.keyedServices());
+					running.shardedServices());
 			violations.forEach((violation) -> System.out.println("BROKEN " + violation));
 			System.out
 				.println(new Gson().toJson(new Result(shape.name(), figures(), this.unanswered, violations.size())));
@@ -82,12 +82,12 @@
 		StandInInstance lost = choose(running, role, turn);
 		List<OwnedRange> ranges = running.ownedBy(lost);
 		Instant at = Instant.now();
-		Loss loss = Loss.now(lost.name());
+		InstanceLoss loss = InstanceLoss.now(lost.name());
 		lost.kill();
-		try (RecoveryProbe probe = new RecoveryProbe(callers, ranges, running.keyedServices())) {
+		try (RecoveryProbe probe = new RecoveryProbe(callers, ranges, running.shardedServices())) {
 			probe.await();
 		}
-		Collection<OptionalLong> measured = Measures.recovery(running.serverRecords(), callers.records(), loss)
+		Collection<OptionalLong> measured = HistoryMetrics.recovery(running.serverRecords(), callers.records(), loss)
 			.values();
 		List<Long> times = measured.stream().flatMapToLong(OptionalLong::stream).boxed().toList();
 		RecoveryStages stage = RecoveryStages.of(TimeLine.read(running, at.toString()), lost.name(), at);
@@ -157,8 +157,9 @@
 
 		static Figures of(String role, List<RecoveryStages> stages, List<Long> times) {
 			long[] sorted = times.stream().mapToLong(Long::longValue).sorted().toArray();
-			return new Figures(role, stages.size(), sorted.length, (sorted.length > 0) ? Measures.median(sorted) : -1,
-					LongStream.of(sorted).max().orElse(-1), RecoveryStages.medians(stages));
+			return new Figures(role, stages.size(), sorted.length,
+					(sorted.length > 0) ? HistoryMetrics.median(sorted) : -1, LongStream.of(sorted).max().orElse(-1),
+					RecoveryStages.medians(stages));
 		}
 
 	}
--- a/bench/src/main/java/org/brasspier/bench/demo/RecoveryStages.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/RecoveryStages.java
@@ -8,7 +8,7 @@
 import java.util.stream.LongStream;
 
 import org.brasspier.core.event.EventKind;
-import org.brasspier.standins.Measures;
+import org.brasspier.standins.HistoryMetrics;
 
 /**
  * Where the time of a recovery goes, by the daemons' time lines: milliseconds from the
@@ -66,7 +66,7 @@
 
 	private static long median(List<RecoveryStages> all, ToLongFunction<RecoveryStages> stage) {
 		long[] times = all.stream().mapToLong(stage).filter((time) -> time >= 0).toArray();
-		return (times.length > 0) ? Measures.median(times) : -1;
+		return (times.length > 0) ? HistoryMetrics.median(times) : -1;
 	}
 
 }
--- a/bench/src/main/java/org/brasspier/bench/demo/Summary.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Summary.java
@@ -13,12 +13,12 @@
 import org.brasspier.standins.CallerRecord.Outcome;
 import org.brasspier.standins.Deployment;
 import org.brasspier.standins.HistoryChecker;
-import org.brasspier.standins.Loss;
-import org.brasspier.standins.Measures;
+import org.brasspier.standins.HistoryMetrics;
+import org.brasspier.standins.InstanceLoss;
 import org.brasspier.standins.OwnedRange;
 import org.brasspier.standins.ServerRecord;
 import org.brasspier.standins.Violation;
-import org.brasspier.standins.Violation.Promise;
+import org.brasspier.standins.Violation.Invariant;
 
 /**
  * The closing line of the demonstration. Immutable and thread-safe.
@@ -44,31 +44,32 @@
 		.setFieldNamingPolicy(FieldNamingPolicy.LOWER_CASE_WITH_UNDERSCORES)
 		.create();
 
-	static Summary of(Deployment deployment, List<CallerRecord> callers, Loss loss, long sinceMicros) {
-		return of(new Histories(deployment.serverRecords(), callers), deployment.keyedServices(),
+	static Summary of(Deployment deployment, List<CallerRecord> callers, InstanceLoss loss, long sinceMicros) {
+		return of(new Histories(deployment.serverRecords(), callers), deployment.shardedServices(),
 				deployment.shape().services().size(), loss, sinceMicros);
 	}
 
-	static Summary of(Histories histories, Set<String> keyedServices, int services, Loss loss, long sinceMicros) {
+	static Summary of(Histories histories, Set<String> keyedServices, int services, InstanceLoss loss,
+			long sinceMicros) {
 		List<ServerRecord> servers = histories.servers();
 		List<CallerRecord> callers = histories.callers();
-		Map<Outcome, Long> outcomes = Measures.outcomes(callers);
+		Map<Outcome, Long> outcomes = HistoryMetrics.outcomes(callers);
 		List<Violation> violations = HistoryChecker.check(servers, callers, keyedServices);
 		violations.forEach((violation) -> System.out.println("BROKEN " + violation));
-		long wrongOwner = count(violations, Promise.ONE_OWNER) + count(violations, Promise.NO_DEAD_FENCE);
-		long twice = count(violations, Promise.RUNS_ONCE);
-		long foreign = count(violations, Promise.OWN_ANSWER);
+		long wrongOwner = count(violations, Invariant.ONE_OWNER) + count(violations, Invariant.NO_STALE_FENCE);
+		long twice = count(violations, Invariant.RUNS_ONCE);
+		long foreign = count(violations, Invariant.OWN_ANSWER);
 		return new Summary(callers.size(), outcomes.getOrDefault(Outcome.ANSWERED, 0L),
 				outcomes.getOrDefault(Outcome.REFUSED, 0L), outcomes.getOrDefault(Outcome.FAILED, 0L), wrongOwner,
 				twice, foreign, violations.size() - wrongOwner - twice - foreign,
-				Recovery.of(Measures.recovery(servers, callers, loss)),
-				rounded(Measures.imbalance(servers, List.of(loss), sinceMicros)),
-				rounded(Measures.churnPercent(servers, services, sinceMicros)),
-				rounded(Measures.unavailableMillis(callers)));
+				Recovery.of(HistoryMetrics.recovery(servers, callers, loss)),
+				rounded(HistoryMetrics.imbalance(servers, List.of(loss), sinceMicros)),
+				rounded(HistoryMetrics.churnPercent(servers, services, sinceMicros)),
+				rounded(HistoryMetrics.unavailableMillis(callers)));
 	}
 
-	private static long count(List<Violation> violations, Promise promise) {
-		return violations.stream().filter((violation) -> violation.promise() == promise).count();
+	private static long count(List<Violation> violations, Invariant promise) {
+		return violations.stream().filter((violation) -> violation.invariant() == promise).count();
 	}
 
 	private static double rounded(double value) {
@@ -106,7 +107,7 @@
 
 		static Recovery of(Map<OwnedRange, OptionalLong> byRange) {
 			long[] millis = byRange.values().stream().flatMapToLong((time) -> time.stream()).sorted().toArray();
-			return new Recovery(byRange.size(), (millis.length > 0) ? Measures.median(millis) : -1,
+			return new Recovery(byRange.size(), (millis.length > 0) ? HistoryMetrics.median(millis) : -1,
 					LongStream.of(millis).max().orElse(-1), byRange.size() - millis.length);
 		}
 
--- a/bench/src/main/java/org/brasspier/bench/demo/Traffic.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Traffic.java
@@ -4,7 +4,7 @@
 
 import org.brasspier.standins.DeploymentShape;
 import org.brasspier.standins.ServiceShape;
-import org.brasspier.standins.TrafficMix;
+import org.brasspier.standins.TrafficStream;
 
 /**
  * The mixed traffic of each deployment. Stateless and thread-safe.
@@ -24,7 +24,7 @@
 	 * @param shape the deployment's shape
 	 * @return the streams, some 500 requests a second in all
 	 */
-	static List<TrafficMix> of(DeploymentShape shape) {
+	static List<TrafficStream> of(DeploymentShape shape) {
 		return switch (shape.name()) {
 			case "lakeshore" -> List.of(stream("hullbook", true, "lookup", 250, "/record"),
 					stream("hullbook", true, "posting", 50, "/book"),
@@ -43,14 +43,14 @@
 	 * @param service the service
 	 * @return lookups and postings
 	 */
-	static List<TrafficMix> light(ServiceShape service) {
-		return List.of(stream(service.name(), service.keyed(), "lookup", 100, "/look"),
-				stream(service.name(), service.keyed(), "posting", 50, "/post"));
+	static List<TrafficStream> light(ServiceShape service) {
+		return List.of(stream(service.name(), service.sharded(), "lookup", 100, "/look"),
+				stream(service.name(), service.sharded(), "posting", 50, "/post"));
 	}
 
-	private static TrafficMix stream(String service, boolean keyed, String requestClass, double perSecond,
+	private static TrafficStream stream(String service, boolean keyed, String requestClass, double perSecond,
 			String path) {
-		return new TrafficMix(service, keyed, requestClass, perSecond, KEYS, HOT_SHARE, path, 0);
+		return new TrafficStream(service, keyed, requestClass, perSecond, KEYS, HOT_SHARE, path, 0);
 	}
 
 }
--- a/bench/src/main/java/org/brasspier/bench/document/DocumentBench.java
+++ b/bench/src/main/java/org/brasspier/bench/document/DocumentBench.java
@@ -110,17 +110,17 @@
 		switch (fault) {
 			case NONE -> {
 			}
-			case ANSWER_LOST -> this.deployment.platform().faults(PlatformFaults.losing(2));
+			case ANSWER_LOST -> this.deployment.platform().faults(PlatformFaults.losingAnswers(2));
 			case STORE_SLOW -> this.deployment.platform().faults(PlatformFaults.slow(500));
-			case PEERS_CUT -> this.deployment.isolate(afflicted, LinkState.HELD);
-			case STORE_CUT -> this.deployment.toStore(afflicted, LinkState.HELD);
+			case PEERS_CUT -> this.deployment.setPeerLinks(afflicted, LinkState.HELD);
+			case STORE_CUT -> this.deployment.setStoreLink(afflicted, LinkState.HELD);
 		}
 	}
 
 	private void end(Fault fault, StandInInstance afflicted) {
 		this.deployment.platform().faults(PlatformFaults.NONE);
-		this.deployment.isolate(afflicted, LinkState.WHOLE);
-		this.deployment.toStore(afflicted, LinkState.WHOLE);
+		this.deployment.setPeerLinks(afflicted, LinkState.HEALTHY);
+		this.deployment.setStoreLink(afflicted, LinkState.HEALTHY);
 	}
 
 	private long submit(int number) {
@@ -137,7 +137,7 @@
 		this.deployment.shape()
 			.services()
 			.forEach((service) -> fields.put("service/" + service.name() + "/divided-by-key",
-					(service.keyed()) ? "yes" : "no"));
+					(service.sharded()) ? "yes" : "no"));
 		fields.put("domains/regions",
 				this.deployment.shape()
 					.domains()
--- a/bench/src/main/java/org/brasspier/bench/policy/ProcessCheck.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/ProcessCheck.java
@@ -8,13 +8,13 @@
 import org.HdrHistogram.Histogram;
 import org.brasspier.standins.Attempt;
 import org.brasspier.standins.CallerFleet;
-import org.brasspier.standins.CallerPatience;
 import org.brasspier.standins.CallerRecord;
+import org.brasspier.standins.CallerRetryPolicy;
 import org.brasspier.standins.Deployment;
 import org.brasspier.standins.DeploymentShape;
-import org.brasspier.standins.Measures;
+import org.brasspier.standins.HistoryMetrics;
 import org.brasspier.standins.ServiceShape;
-import org.brasspier.standins.TrafficMix;
+import org.brasspier.standins.TrafficStream;
 
 /**
  * A few of the loads with real processes, to see whether the figures of the pure policy
@@ -68,8 +68,9 @@
 	private static void run(Deployment deployment, String name, double level, double hotShare, int seconds)
 			throws InterruptedException {
 		double perSecond = level * SERVICE.servers() * SERVICE.slots() * 1000 / MEAN_MILLIS;
-		try (CallerFleet fleet = new CallerFleet(deployment.callerAddresses(), 0, CallerPatience.AS_TOLD)) {
-			fleet.send(List.of(mix("lookup", 0.75 * perSecond, hotShare, LOOKUP_MILLIS),
+		try (CallerFleet fleet = new CallerFleet(deployment.callerAddresses(), 0,
+				CallerRetryPolicy.HONOR_RETRY_AFTER)) {
+			fleet.setTraffic(List.of(mix("lookup", 0.75 * perSecond, hotShare, LOOKUP_MILLIS),
 					mix("internal", 0.20 * perSecond, hotShare, INTERNAL_MILLIS),
 					mix("audit", 0.05 * perSecond, hotShare, AUDIT_MILLIS)));
 			TimeUnit.SECONDS.sleep(SETTLE_SECONDS);
@@ -81,8 +82,9 @@
 		}
 	}
 
-	private static TrafficMix mix(String requestClass, double perSecond, double hotShare, int millis) {
-		return new TrafficMix(SERVICE.name(), true, requestClass, perSecond, 500, hotShare, "/work?work=" + millis, 0);
+	private static TrafficStream mix(String requestClass, double perSecond, double hotShare, int millis) {
+		return new TrafficStream(SERVICE.name(), true, requestClass, perSecond, 500, hotShare, "/work?work=" + millis,
+				0);
 	}
 
 	private static long nowMicros() {
@@ -95,7 +97,8 @@
 		List<CallerRecord> measured = records.stream().filter((record) -> within(first(record), from, until)).toList();
 		double offered = work(measured.stream());
 		double answered = work(records.stream()
-			.filter((record) -> record.last().answered() && within(record.last().endMicros(), from, until)));
+			.filter((record) -> record.lastAttempt().answered()
+					&& within(record.lastAttempt().endMicros(), from, until)));
 		Histogram lookups = times(measured.stream()
 			.filter((record) -> record.request().requestClass().equals("lookup"))
 			.flatMap((record) -> record.attempts().stream())
@@ -105,13 +108,13 @@
 		System.out.printf(Locale.ROOT,
 				"%s: goodput %.3f, %d requests %s, lookup p50 / p99 ms %.1f / %.1f, refusals %d, p99 ms %.1f, slots busy %.3f, imbalance %.3f (by seconds %.3f), churn %% %.3f%n",
 				name, answered / ((level < 1) ? Math.min(capacity, offered) : capacity), measured.size(),
-				Measures.outcomes(measured), lookups.getValueAtPercentile(50) / 1000.0,
+				HistoryMetrics.outcomes(measured), lookups.getValueAtPercentile(50) / 1000.0,
 				lookups.getValueAtPercentile(99) / 1000.0, refusals.getTotalCount(),
 				refusals.getValueAtPercentile(99) / 1000.0,
-				Measures.busyMicros(deployment.serverRecords(), from, until).getSum() / 1000.0 / capacity,
-				Measures.imbalance(deployment.serverRecords(), from, until),
-				Measures.imbalance(deployment.serverRecords(), List.of(), from),
-				Measures.churnPercent(deployment.serverRecords(), 1, from));
+				HistoryMetrics.busyMicros(deployment.serverRecords(), from, until).getSum() / 1000.0 / capacity,
+				HistoryMetrics.imbalance(deployment.serverRecords(), from, until),
+				HistoryMetrics.imbalance(deployment.serverRecords(), List.of(), from),
+				HistoryMetrics.churnPercent(deployment.serverRecords(), 1, from));
 	}
 
 	private static double work(Stream<CallerRecord> records) {
--- a/bench/src/test/java/org/brasspier/bench/demo/SummaryTests.java
+++ b/bench/src/test/java/org/brasspier/bench/demo/SummaryTests.java
@@ -9,7 +9,7 @@
 import com.google.gson.JsonParser;
 import org.brasspier.standins.Attempt;
 import org.brasspier.standins.CallerRecord;
-import org.brasspier.standins.Loss;
+import org.brasspier.standins.InstanceLoss;
 import org.brasspier.standins.ServerRecord;
 import org.brasspier.standins.ServerRecord.Kind;
 import org.brasspier.standins.StandInRequest;
@@ -22,7 +22,7 @@
  */
 class SummaryTests {
 
-	private static final Loss LOSS = new Loss("a", 100);
+	private static final InstanceLoss LOSS = new InstanceLoss("a", 100);
 
 	private final List<ServerRecord> servers = new ArrayList<>(
 			List.of(record(Kind.GRANTED, 1, "a", "", 5), record(Kind.BEGAN, 2, "a", "id-1", 5),
--- a/daemon/src/test/java/org/brasspier/daemon/internal/request/DelayedOrderTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/request/DelayedOrderTests.java
@@ -64,7 +64,7 @@
 		this.link.state(LinkState.HELD);
 		CompletableFuture<HttpResponse<String>> lookup = lookup("held-1");
 		PathFixture.await(() -> System.nanoTime() - leaseEnd > 0);
-		this.link.state(LinkState.WHOLE);
+		this.link.state(LinkState.HEALTHY);
 		PathFixture.await(() -> refused("held-1"));
 		lookup.get(20, TimeUnit.SECONDS);
 		assertThat(this.runner.server.orders.stream().map(FakeServer.ReceivedOrder::id)).doesNotContain("held-1");
--- a/integration/src/test/java/org/brasspier/integration/AtMostOnceTests.java
+++ b/integration/src/test/java/org/brasspier/integration/AtMostOnceTests.java
@@ -46,7 +46,8 @@
 	void aPostingSentToAllDaemonsAtOnceRunsOnce(String service) {
 		String key = (service.equals(Scene.KEYED)) ? "a" : "";
 		List<CompletableFuture<CallerRecord>> sent = IntStream.range(0, 6)
-			.mapToObj((i) -> this.scene.begin(StandInRequest.posting(service, key, "once-" + service).waiting(8000)))
+			.mapToObj((i) -> this.scene
+				.begin(StandInRequest.posting(service, key, "once-" + service).withWaitMillis(8000)))
 			.toList();
 		sent.forEach(CompletableFuture::join);
 		assertThat(sent.stream().map((done) -> done.join().outcome()).toList()).contains(CallerRecord.Outcome.ANSWERED);
@@ -65,12 +66,14 @@
 		List<OwnedRange> ranges = this.scene.deployment().ownedBy(owner);
 		try (CallerFleet cutOff = new CallerFleet(this.scene.deployment().callerAddresses())) {
 			CompletableFuture<CallerRecord> booking = cutOff
-				.ask(StandInRequest.posting(service, key, "lost-" + service).at("/post?work=300").waiting(15_000));
+				.call(StandInRequest.posting(service, key, "lost-" + service)
+					.withPath("/post?work=300")
+					.withWaitMillis(15_000));
 			Await.until("the booking runs", () -> begun("lost-" + service));
-			this.scene.deployment().links((name) -> name.startsWith("callers>"), LinkState.HELD_BACK);
+			this.scene.deployment().setLinks((name) -> name.startsWith("callers>"), LinkState.HELD_BACK);
 			Await.until("the booking has taken effect", () -> effects("lost-" + service) == 1);
 			owner.kill();
-			this.scene.deployment().links((name) -> name.startsWith("callers>"), LinkState.WHOLE);
+			this.scene.deployment().setLinks((name) -> name.startsWith("callers>"), LinkState.HEALTHY);
 			this.scene.awaitRecovered(ranges);
 			booking.join();
 		}
@@ -82,8 +85,9 @@
 	@Test
 	void aPostingThatWasShedRunsOnALaterSending() {
 		List<CompletableFuture<CallerRecord>> flood = IntStream.range(0, 80)
-			.mapToObj((i) -> this.scene
-				.begin(StandInRequest.posting(Scene.KEYED, "a", "flood-" + i).at("/post?work=60").waiting(20_000)))
+			.mapToObj((i) -> this.scene.begin(StandInRequest.posting(Scene.KEYED, "a", "flood-" + i)
+				.withPath("/post?work=60")
+				.withWaitMillis(20_000)))
 			.toList();
 		assertThat(flood.stream().map((done) -> done.join().outcome()).distinct().toList())
 			.containsExactly(CallerRecord.Outcome.ANSWERED);
--- a/integration/src/test/java/org/brasspier/integration/CrashingRequestTests.java
+++ b/integration/src/test/java/org/brasspier/integration/CrashingRequestTests.java
@@ -36,7 +36,7 @@
 	@Test
 	void aLookupThatCrashesServersIsKeptAwayAfterTwo() {
 		CallerRecord done = ask(StandInRequest.lookup(Scene.KEYED, "a", "poison-lookup"));
-		assertThat(done.last().error()).isEqualTo("CRASHED_BACKENDS");
+		assertThat(done.lastAttempt().error()).isEqualTo("CRASHED_BACKENDS");
 		assertThat(begun("poison-lookup")).isAtMost(2);
 	}
 
@@ -49,7 +49,7 @@
 	}
 
 	private CallerRecord ask(StandInRequest request) {
-		CompletableFuture<CallerRecord> done = this.scene.begin(request.at("/crash").waiting(15_000));
+		CompletableFuture<CallerRecord> done = this.scene.begin(request.withPath("/crash").withWaitMillis(15_000));
 		Await.until("the request is given up", Duration.ofSeconds(40), done::isDone);
 		return done.join();
 	}
--- a/integration/src/test/java/org/brasspier/integration/ManagerLossTests.java
+++ b/integration/src/test/java/org/brasspier/integration/ManagerLossTests.java
@@ -89,7 +89,7 @@
 	@Test
 	void aMemberThatTheSecondaryHearsIsNotRevoked() {
 		StandInInstance member = scene.otherThan(managers.primary(), managers.secondary());
-		scene.deployment().between(member, managers.primary(), LinkState.HELD_FORTH);
+		scene.deployment().setLinksBetween(member, managers.primary(), LinkState.HELD_FORTH);
 		scene.awaitAnswers();
 		scene.awaitAnswers();
 	}
--- a/integration/src/test/java/org/brasspier/integration/PartitionTests.java
+++ b/integration/src/test/java/org/brasspier/integration/PartitionTests.java
@@ -20,7 +20,7 @@
 	void aMemberCutOffFromOneManagerKeepsItsRanges(LinkState state) {
 		StandInInstance member = scene.otherThan(managers.primary(), managers.secondary());
 		List<OwnedRange> ranges = scene.deployment().ownedBy(member);
-		scene.deployment().between(member, managers.primary(), state);
+		scene.deployment().setLinksBetween(member, managers.primary(), state);
 		scene.awaitAnswers();
 		scene.awaitAnswers();
 		assertThat(scene.deployment().ownedBy(member)).containsAtLeastElementsIn(ranges);
@@ -33,8 +33,8 @@
 	void aMemberCutOffFromBothManagersStopsBeforeOthersBegin(LinkState state) {
 		StandInInstance member = scene.otherThan(managers.primary(), managers.secondary());
 		List<OwnedRange> ranges = scene.deployment().ownedBy(member);
-		scene.deployment().between(member, managers.primary(), state);
-		scene.deployment().between(member, managers.secondary(), state);
+		scene.deployment().setLinksBetween(member, managers.primary(), state);
+		scene.deployment().setLinksBetween(member, managers.secondary(), state);
 		scene.awaitRecovered(ranges);
 	}
 
@@ -44,8 +44,8 @@
 	@EnumSource(names = { "RESET", "HELD" })
 	void aPrimaryCutOffFromAllIsReplaced(LinkState state) {
 		List<OwnedRange> ranges = scene.deployment().ownedBy(managers.primary());
-		scene.deployment().isolate(managers.primary(), state);
-		scene.deployment().toStore(managers.primary(), state);
+		scene.deployment().setPeerLinks(managers.primary(), state);
+		scene.deployment().setStoreLink(managers.primary(), state);
 		scene.awaitRecovered(ranges);
 	}
 
@@ -53,7 +53,7 @@
 	// the other by a write; until then neither may move anything on its own word.
 	@Test
 	void managersCutOffFromEachOtherDoNotBothGoOn() {
-		scene.deployment().between(managers.primary(), managers.secondary(), LinkState.HELD);
+		scene.deployment().setLinksBetween(managers.primary(), managers.secondary(), LinkState.HELD);
 		scene.awaitAnswers();
 		scene.awaitAnswers();
 	}
@@ -64,8 +64,8 @@
 	void aFailureDomainCutOffFromTheRestIsServedByTheRest() {
 		StandInInstance alone = scene.owner("a");
 		List<OwnedRange> ranges = scene.deployment().ownedBy(alone);
-		scene.deployment().isolate(alone, LinkState.HELD);
-		scene.deployment().toStore(alone, LinkState.HELD);
+		scene.deployment().setPeerLinks(alone, LinkState.HELD);
+		scene.deployment().setStoreLink(alone, LinkState.HELD);
 		scene.awaitRecovered(ranges);
 	}
 
@@ -75,7 +75,7 @@
 	void aMemberCutOffFromTheStoreKeepsItsRanges() {
 		StandInInstance member = scene.otherThan(managers.primary(), managers.secondary());
 		List<OwnedRange> ranges = scene.deployment().ownedBy(member);
-		scene.deployment().toStore(member, LinkState.HELD);
+		scene.deployment().setStoreLink(member, LinkState.HELD);
 		scene.awaitAnswers();
 		scene.awaitAnswers();
 		assertThat(scene.deployment().ownedBy(member)).containsAtLeastElementsIn(ranges);
--- a/integration/src/test/java/org/brasspier/integration/PausedHolderTests.java
+++ b/integration/src/test/java/org/brasspier/integration/PausedHolderTests.java
@@ -56,7 +56,7 @@
 		StandInInstance holder = holder(checksFences);
 		List<OwnedRange> ranges = this.scene.deployment().ownedBy(holder);
 		CompletableFuture<CallerRecord> half = this.scene
-			.begin(StandInRequest.posting(Scene.KEYED, "a", "half-" + checksFences).at("/post?work=400"));
+			.begin(StandInRequest.posting(Scene.KEYED, "a", "half-" + checksFences).withPath("/post?work=400"));
 		this.scene.awaitAnswers();
 		holder.pause();
 		this.scene.awaitRecovered(ranges);
@@ -75,7 +75,7 @@
 		StandInInstance holder = holder(checksFences);
 		List<OwnedRange> ranges = this.scene.deployment().ownedBy(holder);
 		CompletableFuture<CallerRecord> half = this.scene
-			.begin(StandInRequest.posting(Scene.KEYED, "a", "frozen-" + checksFences).at("/post?work=400"));
+			.begin(StandInRequest.posting(Scene.KEYED, "a", "frozen-" + checksFences).withPath("/post?work=400"));
 		this.scene.awaitAnswers();
 		holder.server().pause();
 		this.scene.awaitRecovered(ranges);
--- a/integration/src/test/java/org/brasspier/integration/RequestPathFaultTests.java
+++ b/integration/src/test/java/org/brasspier/integration/RequestPathFaultTests.java
@@ -79,15 +79,15 @@
 		try (CallerFleet fleet = new CallerFleet(deployment.callerAddresses())) {
 			List<CompletableFuture<CallerRecord>> asked = new ArrayList<>(ask(fleet, "late", 100));
 			StandInInstance slow = deployment.instances().getLast();
-			deployment.isolate(slow, LinkState.HELD_BACK);
+			deployment.setPeerLinks(slow, LinkState.HELD_BACK);
 			asked.addAll(ask(fleet, "held", 200));
 			Await.until("some gave up", () -> asked.stream().filter(CompletableFuture::isDone).count() > 100);
-			deployment.isolate(slow, LinkState.WHOLE);
+			deployment.setPeerLinks(slow, LinkState.HEALTHY);
 			asked.addAll(ask(fleet, "after", 200));
 			List<CallerRecord> done = asked.stream().map(CompletableFuture::join).toList();
 			assertThat(done.stream()
 				.flatMap((record) -> record.attempts().stream())
-				.filter((attempt) -> attempt.answered() && !attempt.own())
+				.filter((attempt) -> attempt.answered() && !attempt.matchesRequest())
 				.toList()).isEmpty();
 		}
 		deployment.awaitServed();
@@ -96,7 +96,7 @@
 	private static List<CompletableFuture<CallerRecord>> ask(CallerFleet fleet, String key, int count) {
 		List<CompletableFuture<CallerRecord>> asked = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
-			asked.add(fleet.ask(StandInRequest.lookup(SERVICE, key + i, fleet.newId()).waiting(1500)));
+			asked.add(fleet.call(StandInRequest.lookup(SERVICE, key + i, fleet.newId()).withWaitMillis(1500)));
 		}
 		return asked;
 	}
@@ -122,7 +122,7 @@
 		assertThat(began).isAtMost(2);
 		deployment.instances()
 			.stream()
-			.filter((instance) -> !instance.server().alive())
+			.filter((instance) -> !instance.server().isAlive())
 			.forEach((instance) -> instance.server().start());
 		deployment.awaitServed();
 		assertThat(caller.get(daemons.getFirst(), "/x", "hull-c", "other", 3000).statusCode()).isEqualTo(200);
--- a/integration/src/test/java/org/brasspier/integration/Scene.java
+++ b/integration/src/test/java/org/brasspier/integration/Scene.java
@@ -15,7 +15,7 @@
 import org.brasspier.standins.ServiceShape;
 import org.brasspier.standins.StandInInstance;
 import org.brasspier.standins.StandInRequest;
-import org.brasspier.standins.TrafficMix;
+import org.brasspier.standins.TrafficStream;
 import org.brasspier.standins.Violation;
 
 import static com.google.common.truth.Truth.assertWithMessage;
@@ -35,7 +35,7 @@
 
 	private Scene(Deployment deployment) {
 		this.deployment = deployment;
-		this.callers = deployment.callers();
+		this.callers = deployment.newCallers();
 	}
 
 	static Scene start(ServiceShape... services) {
@@ -62,12 +62,12 @@
 
 	/** Lookups and postings for each service, until the test ends. */
 	void traffic() {
-		this.callers.send(this.deployment.shape()
+		this.callers.setTraffic(this.deployment.shape()
 			.services()
 			.stream()
 			.flatMap((service) -> List
-				.of(TrafficMix.steady(service.name(), service.keyed(), "lookup", 100),
-						TrafficMix.steady(service.name(), service.keyed(), "posting", 50))
+				.of(TrafficStream.steady(service.name(), service.sharded(), "lookup", 100),
+						TrafficStream.steady(service.name(), service.sharded(), "posting", 50))
 				.stream())
 			.toList());
 	}
@@ -109,17 +109,17 @@
 	}
 
 	CallerRecord ask(StandInRequest request) {
-		return this.callers.ask(request).join();
+		return this.callers.call(request).join();
 	}
 
 	CompletableFuture<CallerRecord> begin(StandInRequest request) {
-		return this.callers.ask(request);
+		return this.callers.call(request);
 	}
 
 	/** Waits until callers get answers for each range that an instance owned. */
 	void awaitRecovered(List<OwnedRange> ranges) {
 		assertWithMessage("ranges of the lost owner").that(ranges).isNotEmpty();
-		try (RecoveryProbe probe = new RecoveryProbe(this.callers, ranges, this.deployment.keyedServices())) {
+		try (RecoveryProbe probe = new RecoveryProbe(this.callers, ranges, this.deployment.shardedServices())) {
 			probe.await();
 		}
 	}
@@ -130,7 +130,7 @@
 		this.deployment.awaitServed();
 		this.callers.finish();
 		List<Violation> violations = HistoryChecker.check(this.deployment.serverRecords(), this.callers.records(),
-				this.deployment.keyedServices());
+				this.deployment.shardedServices());
 		if (!violations.isEmpty()) {
 			System.err.println("histories and logs are kept in " + this.deployment.keepFiles());
 		}
--- a/integration/src/test/java/org/brasspier/integration/SilentConnectionTests.java
+++ b/integration/src/test/java/org/brasspier/integration/SilentConnectionTests.java
@@ -6,7 +6,7 @@
 import org.brasspier.standins.FaultLink;
 import org.brasspier.standins.LinkState;
 import org.brasspier.standins.StandInRequest;
-import org.brasspier.standins.TrafficMix;
+import org.brasspier.standins.TrafficStream;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
@@ -49,12 +49,12 @@
 	@Test
 	void lateAnswersReachNobodyElse() {
 		scene.callers()
-			.send(List.of(new TrafficMix(Scene.KEYED, true, "lookup", 150, 50, 0, "/look", PADDING),
-					TrafficMix.steady(Scene.KEYED, true, "posting", 50)));
+			.setTraffic(List.of(new TrafficStream(Scene.KEYED, true, "lookup", 150, 50, 0, "/look", PADDING),
+					TrafficStream.steady(Scene.KEYED, true, "posting", 50)));
 		for (int i = 0; i < 3; i++) {
-			scene.deployment().links((name) -> name.endsWith(":forward"), LinkState.HELD_BACK);
+			scene.deployment().setLinks((name) -> name.endsWith(":forward"), LinkState.HELD_BACK);
 			scene.awaitAnswers();
-			scene.deployment().links((name) -> name.endsWith(":forward"), LinkState.WHOLE);
+			scene.deployment().setLinks((name) -> name.endsWith(":forward"), LinkState.HEALTHY);
 			scene.awaitAnswers();
 		}
 	}
@@ -69,7 +69,7 @@
 	private static void assertEachKeyIsAnsweredThroughEachDaemon() {
 		for (int i = 0; i < 30; i++) {
 			CallerRecord done = scene
-				.ask(StandInRequest.lookup(Scene.KEYED, "key-" + i, scene.callers().newId()).waiting(10_000));
+				.ask(StandInRequest.lookup(Scene.KEYED, "key-" + i, scene.callers().newId()).withWaitMillis(10_000));
 			assertThat(done.outcome()).isEqualTo(CallerRecord.Outcome.ANSWERED);
 		}
 	}
--- a/integration/src/test/java/org/brasspier/integration/StoreFaultTests.java
+++ b/integration/src/test/java/org/brasspier/integration/StoreFaultTests.java
@@ -48,7 +48,7 @@
 	void aMoveWhoseAnswerIsLostIsSettledBeforeItIsTold() {
 		StandInInstance lost = scene.owner("a");
 		List<OwnedRange> ranges = scene.deployment().ownedBy(lost);
-		scene.deployment().platform().faults(PlatformFaults.losing(2));
+		scene.deployment().platform().faults(PlatformFaults.losingAnswers(2));
 		lost.kill();
 		scene.awaitRecovered(ranges);
 	}
@@ -115,7 +115,7 @@
 		StandInInstance second = scene.otherThan(managers.primary(), managers.secondary(), first);
 		List<OwnedRange> ranges = scene.deployment().ownedBy(first);
 		List<OwnedRange> more = scene.deployment().ownedBy(second);
-		scene.deployment().platform().faults(PlatformFaults.losing(1));
+		scene.deployment().platform().faults(PlatformFaults.losingAnswers(1));
 		first.kill();
 		Await.until("the answer is lost", () -> scene.deployment().platform().faults().lostAnswers() == 0);
 		second.kill();
--- a/integration/src/test/java/org/brasspier/integration/StoredStateTests.java
+++ b/integration/src/test/java/org/brasspier/integration/StoredStateTests.java
@@ -44,14 +44,14 @@
 		Managers managers = Managers.await(this.scene.deployment());
 		byte[] good = this.scene.deployment().platform().row(ROW).orElseThrow();
 		byte[] bad = (newer) ? newer(good) : damaged(good);
-		this.scene.deployment().platform().damage(ROW, bad);
+		this.scene.deployment().platform().corruptRow(ROW, bad);
 		StandInInstance lost = this.scene.otherThan(managers.primary(), managers.secondary());
 		List<OwnedRange> ranges = this.scene.deployment().ownedBy(lost);
 		this.scene.awaitAnswers();
 		lost.kill();
 		this.scene.awaitAnswers();
 		assertThat(this.scene.deployment().platform().row(ROW).orElseThrow()).isEqualTo(bad);
-		this.scene.deployment().platform().damage(ROW, good);
+		this.scene.deployment().platform().corruptRow(ROW, good);
 		this.scene.awaitRecovered(ranges);
 	}
 
--- a/integration/src/test/java/org/brasspier/integration/TwoVersionsTests.java
+++ b/integration/src/test/java/org/brasspier/integration/TwoVersionsTests.java
@@ -15,7 +15,7 @@
 
 	@BeforeEach
 	void start() {
-		this.scene = Scene.of(DeploymentShape.small(4).inTwoVersions());
+		this.scene = Scene.of(DeploymentShape.small(4).withTwoPeerVersions());
 		this.scene.traffic();
 		this.scene.awaitAnswers();
 		this.scene.awaitAllOwn();
--- a/integration/src/test/java/org/brasspier/integration/document/DocumentDistributionTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/DocumentDistributionTests.java
@@ -148,7 +148,7 @@
 	@Test
 	void aSubmissionWhoseAnswerWasLostIsSettledBeforeTheOperatorIsTold() {
 		fillIn(this.lena);
-		this.deployment.platform().faults(PlatformFaults.losing(10_000));
+		this.deployment.platform().faults(PlatformFaults.losingAnswers(10_000));
 		OperatorTool.Result result = this.lena.run("draft", "submit");
 		assertWithMessage(result.err()).that(result.exit()).isEqualTo(0);
 		assertThat(this.lena.run("timeline", "--kind", "DOCUMENT_UNSETTLED").out()).contains("403");
--- a/integration/src/test/java/org/brasspier/integration/document/OperatorsViewTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/OperatorsViewTests.java
@@ -17,7 +17,7 @@
 import org.brasspier.standins.ServerRecord;
 import org.brasspier.standins.StandInInstance;
 import org.brasspier.standins.StandInRequest;
-import org.brasspier.standins.TrafficMix;
+import org.brasspier.standins.TrafficStream;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -60,7 +60,7 @@
 		StandInInstance entry = this.deployment.instances().getFirst();
 		try (CallerFleet callers = new CallerFleet(List.of(entry.callers()))) {
 			List<CallerRecord> records = IntStream.range(0, 20)
-				.mapToObj((i) -> callers.ask(StandInRequest.lookup("hullbook", "hull-" + i, "followed-" + i)).join())
+				.mapToObj((i) -> callers.call(StandInRequest.lookup("hullbook", "hull-" + i, "followed-" + i)).join())
 				.toList();
 			CallerRecord forwarded = records.stream()
 				.filter((done) -> !ranAt(done.request().id()).equals(entry.name()))
@@ -91,9 +91,9 @@
 	// instance. Each filter shows what is about it and nothing else.
 	@Test
 	void theTimeLineIsFilteredByKeyRangeKindAndInstance() {
-		try (CallerFleet callers = this.deployment.callers()) {
-			callers.ask(StandInRequest.lookup("hullbook", "hull-1", "asked-1")).join();
-			callers.ask(StandInRequest.lookup("hullbook", "hull-2", "asked-2")).join();
+		try (CallerFleet callers = this.deployment.newCallers()) {
+			callers.call(StandInRequest.lookup("hullbook", "hull-1", "asked-1")).join();
+			callers.call(StandInRequest.lookup("hullbook", "hull-2", "asked-2")).join();
 		}
 		String byKey = timeline("--key", "hull-1", "--kind", "REQUEST_ANSWERED");
 		assertThat(byKey).contains("asked-1");
@@ -126,8 +126,8 @@
 	// wait, how many of which class, and that its slots are taken.
 	@Test
 	void theStatusShowsWhatRunsAndWaitsAtEachInstance() {
-		try (CallerFleet callers = this.deployment.callers()) {
-			callers.send(List.of(new TrafficMix("hullbook", true, "lookup", 60, 1, 0, "/slow?work=400", 0)));
+		try (CallerFleet callers = this.deployment.newCallers()) {
+			callers.setTraffic(List.of(new TrafficStream("hullbook", true, "lookup", 60, 1, 0, "/slow?work=400", 0)));
 			Await.until("a lookup runs and another waits", () -> this.tool.run("status")
 				.out()
 				.lines()
--- a/integration/src/test/java/org/brasspier/integration/document/SecretsRotationTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/SecretsRotationTests.java
@@ -16,7 +16,7 @@
 import org.brasspier.standins.InstanceSecrets;
 import org.brasspier.standins.Ports;
 import org.brasspier.standins.StandInInstance;
-import org.brasspier.standins.TrafficMix;
+import org.brasspier.standins.TrafficStream;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -63,8 +63,8 @@
 	// since a posting also ends unknown where a starved machine breaks its connection.
 	@Test
 	void thePeersKeyIsReplacedUnderTrafficAndNoRequestFails() {
-		try (CallerFleet callers = this.deployment.callers()) {
-			callers.send(List.of(TrafficMix.steady("hullbook", true, "lookup", 100)));
+		try (CallerFleet callers = this.deployment.newCallers()) {
+			callers.setTraffic(List.of(TrafficStream.steady("hullbook", true, "lookup", 100)));
 			rotate("peers", (secrets, lines) -> secrets.sharedKeys(lines), this.oldKey, NEW_KEY);
 			long answered = answered(callers);
 			Await.until("callers are answered after the rotation", () -> answered(callers) > answered + 300);
@@ -90,7 +90,7 @@
 	@Test
 	void thePlatformsTokenIsReplacedWithoutAStop() {
 		rotate("platform", (secrets, lines) -> secrets.platform(lines), this.oldToken, NEW_TOKEN);
-		this.deployment.platform().accept(NEW_TOKEN);
+		this.deployment.platform().acceptTokens(NEW_TOKEN);
 		OperatorTool tool = tool();
 		tool.run("form", "service", "hullbook", "--divided-by-key", "yes");
 		tool.run("form", "domains", "--regions", "domain-0=lakes,domain-1=lakes,domain-2=lakes");
@@ -140,7 +140,7 @@
 	/** Adds the new one everywhere, then takes the old one out, daemon by daemon. */
 	private void rotate(String whose, BiConsumer<InstanceSecrets, String[]> write, String old, String fresh) {
 		if (whose.equals("platform")) {
-			this.deployment.platform().accept(old, fresh);
+			this.deployment.platform().acceptTokens(old, fresh);
 		}
 		for (String[] lines : List.of(new String[] { old, fresh }, new String[] { fresh })) {
 			for (StandInInstance instance : this.deployment.instances()) {
--- a/standins/src/main/java/org/brasspier/standins/Attempt.java
+++ b/standins/src/main/java/org/brasspier/standins/Attempt.java
@@ -14,13 +14,13 @@
  * @param ran {@code ran}, {@code not_run} or {@code unknown}; {@code unknown} as well if
  * no answer came, {@code not_run} if no connection could be opened
  * @param error the kind of error, empty if none was told
- * @param own whether a 2xx answer was the whole answer to this very request
+ * @param matchesRequest whether a 2xx answer was the whole answer to this very request
  * @param ticket the ticket that the answer carried, empty if none
  * @param retryAfterMillis when the answer says that a resend makes sense, 0 if it doesn't
  * say
  */
 public record Attempt(String id, InetSocketAddress daemon, long sentMicros, long endMicros, int status, String ran,
-		String error, boolean own, String ticket, int retryAfterMillis) {
+		String error, boolean matchesRequest, String ticket, int retryAfterMillis) {
 
 	/** Value of {@link #ran()}: it ran. */
 	public static final String RAN = "ran";
--- a/standins/src/main/java/org/brasspier/standins/BackendFlags.java
+++ b/standins/src/main/java/org/brasspier/standins/BackendFlags.java
@@ -20,16 +20,16 @@
 	String advertise = "";
 
 	@Parameter(names = "--daemon", required = true, description = "IP:PORT of the daemon's backend port")
-	String daemon = "";
+	String backendPort = "";
 
 	@Parameter(names = "--callers", description = "IP:PORT of the daemon's caller port, for internal calls")
-	String callers = "";
+	String callerPort = "";
 
 	@Parameter(names = "--slots")
 	int slots = 17;
 
 	@Parameter(names = "--waiting", description = "orders that may wait for a slot before more are shed")
-	int waiting = 17;
+	int maxWaiting = 17;
 
 	@Parameter(names = "--connections")
 	int connections = 120;
@@ -56,6 +56,6 @@
 	double spread = 0.5;
 
 	@Parameter(names = "--lying", description = "health always says ready and idle")
-	boolean lying;
+	boolean reportsIdle;
 
 }
--- a/standins/src/main/java/org/brasspier/standins/BackendStandIn.java
+++ b/standins/src/main/java/org/brasspier/standins/BackendStandIn.java
@@ -29,10 +29,10 @@
  */
 public final class BackendStandIn {
 
-	private static final long ANNOUNCE_EVERY_MILLIS = 1000;
+	private static final long ANNOUNCE_PERIOD_MILLIS = 1000;
 
 	/** A draining server wants to know at once when it may end. */
-	private static final long DRAINING_EVERY_MILLIS = 50;
+	private static final long DRAINING_ANNOUNCE_PERIOD_MILLIS = 50;
 
 	private static final long MAX_DRAIN_SECONDS = 30;
 
@@ -67,7 +67,7 @@
 		this.flags = flags;
 		this.history = new ServerHistory(System.out, flags.name, flags.service);
 		this.grants = new GrantTable(this.history, flags.service);
-		this.orders = new OrderRunner(flags, this.history, this.grants, new InternalCalls(this.http, flags.callers));
+		this.orders = new OrderRunner(flags, this.history, this.grants, new InternalCalls(this.http, flags.callerPort));
 	}
 
 	/**
@@ -90,7 +90,7 @@
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
 		}
-		this.history.started();
+		this.history.recordStart();
 		Runtime.getRuntime().addShutdownHook(new Thread(this::drain, "drain"));
 		announce();
 		this.loop.keepAlive(true);
@@ -123,8 +123,8 @@
 	}
 
 	private Promise<HttpResponse> health() {
-		int running = (this.flags.lying) ? 0 : this.orders.running();
-		Health health = new Health((this.flags.lying) ? "ready" : state(), running,
+		int running = (this.flags.reportsIdle) ? 0 : this.orders.usedSlots();
+		Health health = new Health((this.flags.reportsIdle) ? "ready" : state(), running,
 				running / (double) this.flags.slots);
 		return HttpResponse.ok200().withJson(GSON.toJson(health)).toPromise();
 	}
@@ -137,14 +137,14 @@
 		String address = (this.flags.advertise.isEmpty()) ? this.flags.listen : this.flags.advertise;
 		String body = GSON.toJson(new Announcement(this.flags.service, address, state(), this.flags.slots,
 				this.flags.connections, this.flags.checksFences, this.flags.coldStartMillis));
-		this.http.request(HttpRequest.post("http://" + this.flags.daemon + "/v1/announce").withBody(body).build())
+		this.http.request(HttpRequest.post("http://" + this.flags.backendPort + "/v1/announce").withBody(body).build())
 			.then((response) -> response.loadBody())
-			.whenResult((answer) -> heard(answer.getString(StandardCharsets.UTF_8)))
-			.whenComplete(() -> this.loop.delay((this.draining) ? DRAINING_EVERY_MILLIS : ANNOUNCE_EVERY_MILLIS,
-					this::announce));
+			.whenResult((answer) -> onAnnounceAnswer(answer.getString(StandardCharsets.UTF_8)))
+			.whenComplete(() -> this.loop
+				.delay((this.draining) ? DRAINING_ANNOUNCE_PERIOD_MILLIS : ANNOUNCE_PERIOD_MILLIS, this::announce));
 	}
 
-	private void heard(String answer) {
+	private void onAnnounceAnswer(String answer) {
 		if (this.draining && answer.replace(" ", "").contains("\"drained\":true")) {
 			this.drained.countDown();
 		}
--- a/standins/src/main/java/org/brasspier/standins/CallerClient.java
+++ b/standins/src/main/java/org/brasspier/standins/CallerClient.java
@@ -37,7 +37,7 @@
 	/** A connection that is silent for this much longer than any attempt is given up. */
 	private static final Duration IDLE_GRACE = Duration.ofMillis(500);
 
-	private static final Duration CONNECT = Duration.ofSeconds(1);
+	private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
 	private final HttpClient http;
 
@@ -54,7 +54,7 @@
 		this.delayMillis = delayMillis;
 		this.http = HttpClient.builder(reactor, DnsClient.create(reactor, new InetSocketAddress("127.0.0.1", 53)))
 			.withKeepAliveTimeout(KEEP_ALIVE)
-			.withConnectTimeout(CONNECT)
+			.withConnectTimeout(CONNECT_TIMEOUT)
 			.withReadWriteTimeout(IDLE_GRACE.plusMillis(attemptMillis))
 			.build();
 	}
@@ -63,34 +63,35 @@
 	 * Sends a request.
 	 * @param request the request
 	 * @param daemon where to
-	 * @param sending the particulars of this sending
+	 * @param options the particulars of this sending
 	 * @return what came of it, never an exception
 	 */
-	Promise<Attempt> send(StandInRequest request, InetSocketAddress daemon, Sending sending) {
-		int deadlineMillis = sending.deadlineMillis();
-		long sent = ServerHistory.nowMicros();
-		Promise<Heard> heard = Promises.delay(this.delayMillis)
-			.then(() -> this.http.request(build(request, daemon, sending)))
-			.then((response) -> response.loadBody().map((body) -> heard(request, response, body)))
+	Promise<Attempt> send(StandInRequest request, InetSocketAddress daemon, AttemptOptions options) {
+		int deadlineMillis = options.deadlineMillis();
+		long sentMicros = ServerHistory.nowMicros();
+		Promise<Reply> reply = Promises.delay(this.delayMillis)
+			.then(() -> this.http.request(build(request, daemon, options)))
+			.then((response) -> response.loadBody().map((body) -> toReply(request, response, body)))
 			.then((answer) -> Promises.delay(this.delayMillis, answer));
-		return Promises.timeout((long) deadlineMillis + GRACE_MILLIS, heard)
-			.then((answer, ex) -> Promise.of(attempt(request, daemon, sent, (ex != null) ? silence(ex) : answer)));
+		return Promises.timeout((long) deadlineMillis + GRACE_MILLIS, reply)
+			.then((answer, ex) -> Promise
+				.of(toAttempt(request, daemon, sentMicros, (ex != null) ? failedReply(ex) : answer)));
 	}
 
-	private static HttpRequest build(StandInRequest request, InetSocketAddress daemon, Sending sending) {
+	private static HttpRequest build(StandInRequest request, InetSocketAddress daemon, AttemptOptions options) {
 		HttpMethod method = (request.posting()) ? HttpMethod.POST : HttpMethod.GET;
 		HttpRequest.Builder builder = HttpRequest
 			.builder(method, "http://" + Ports.text(daemon) + "/v1/" + request.service() + request.path())
 			.withHeader(HttpHeaders.of("Brasspier-Request-Id"), request.id())
 			.withHeader(HttpHeaders.of("Brasspier-Class"), request.requestClass())
 			.withHeader(HttpHeaders.of("Brasspier-Caller"), request.caller())
-			.withHeader(HttpHeaders.of("Brasspier-Deadline-Millis"), Integer.toString(sending.deadlineMillis()))
-			.withHeader(HttpHeaders.of("Brasspier-Attempt"), sending.mayHaveRun() ? "2" : "1");
+			.withHeader(HttpHeaders.of("Brasspier-Deadline-Millis"), Integer.toString(options.deadlineMillis()))
+			.withHeader(HttpHeaders.of("Brasspier-Attempt"), options.mayHaveRun() ? "2" : "1");
 		if (!request.key().isEmpty()) {
 			builder.withHeader(HttpHeaders.of("Brasspier-Key"), request.key());
 		}
-		if (!sending.ticket().isEmpty()) {
-			builder.withHeader(HttpHeaders.of("Brasspier-Ticket"), sending.ticket());
+		if (!options.ticket().isEmpty()) {
+			builder.withHeader(HttpHeaders.of("Brasspier-Ticket"), options.ticket());
 		}
 		if (request.posting()) {
 			builder.withBody("{\"posting\": \"%s\"}".formatted(request.id()));
@@ -98,33 +99,33 @@
 		return builder.build();
 	}
 
-	private static Heard heard(StandInRequest request, HttpResponse response, ByteBuf body) {
-		String ran = field(response, "Brasspier-Ran").toLowerCase(Locale.ROOT);
-		String pause = field(response, "Brasspier-Retry-After-Millis");
-		boolean own = EchoedAnswer.answers(body.getString(StandardCharsets.UTF_8), request.id(), request.key(),
-				request.padding());
-		return new Heard(response.getCode(), (ran.isEmpty()) ? Attempt.UNKNOWN : ran,
-				field(response, "Brasspier-Error"), own, field(response, "Brasspier-Ticket"),
-				(pause.matches("[0-9]{1,6}")) ? Integer.parseInt(pause) : 0);
+	private static Reply toReply(StandInRequest request, HttpResponse response, ByteBuf body) {
+		String ran = header(response, "Brasspier-Ran").toLowerCase(Locale.ROOT);
+		String retryAfter = header(response, "Brasspier-Retry-After-Millis");
+		boolean matchesRequest = EchoedAnswer.isCompleteAnswer(body.getString(StandardCharsets.UTF_8), request.id(),
+				request.key(), request.padding());
+		return new Reply(response.getCode(), (ran.isEmpty()) ? Attempt.UNKNOWN : ran,
+				header(response, "Brasspier-Error"), matchesRequest, header(response, "Brasspier-Ticket"),
+				(retryAfter.matches("[0-9]{1,6}")) ? Integer.parseInt(retryAfter) : 0);
 	}
 
-	private static String field(HttpResponse response, String name) {
+	private static String header(HttpResponse response, String name) {
 		return Optional.ofNullable(response.getHeader(HttpHeaders.of(name))).orElse("");
 	}
 
-	private static Heard silence(Exception ex) {
+	private static Reply failedReply(Exception ex) {
 		boolean refused = hasCause(ex, ConnectException.class);
-		String what = (ex instanceof AsyncTimeoutException) ? "no answer in time" : String.valueOf(ex);
-		return new Heard(0, (refused) ? Attempt.NOT_RUN : Attempt.UNKNOWN, what, false, "", 0);
+		String error = (ex instanceof AsyncTimeoutException) ? "no answer in time" : String.valueOf(ex);
+		return new Reply(0, (refused) ? Attempt.NOT_RUN : Attempt.UNKNOWN, error, false, "", 0);
 	}
 
 	private static boolean hasCause(@Nullable Throwable ex, Class<? extends Throwable> type) {
 		return ex != null && (type.isInstance(ex) || hasCause(ex.getCause(), type));
 	}
 
-	private static Attempt attempt(StandInRequest request, InetSocketAddress daemon, long sent, Heard heard) {
-		return new Attempt(request.id(), daemon, sent, ServerHistory.nowMicros(), heard.status, heard.ran, heard.error,
-				heard.own, heard.ticket, heard.retryAfterMillis);
+	private static Attempt toAttempt(StandInRequest request, InetSocketAddress daemon, long sentMicros, Reply reply) {
+		return new Attempt(request.id(), daemon, sentMicros, ServerHistory.nowMicros(), reply.status, reply.ran,
+				reply.error, reply.matchesRequest, reply.ticket, reply.retryAfterMillis);
 	}
 
 	/**
@@ -134,7 +135,7 @@
 	 * @param mayHaveRun whether an earlier sending may have run
 	 * @param deadlineMillis how long the answer may take, in milliseconds
 	 */
-	record Sending(String ticket, boolean mayHaveRun, int deadlineMillis) {
+	record AttemptOptions(String ticket, boolean mayHaveRun, int deadlineMillis) {
 
 	}
 
@@ -144,11 +145,12 @@
 	 * @param status see {@link Attempt}
 	 * @param ran see {@link Attempt}
 	 * @param error see {@link Attempt}
-	 * @param own see {@link Attempt}
+	 * @param matchesRequest see {@link Attempt}
 	 * @param ticket see {@link Attempt}
 	 * @param retryAfterMillis see {@link Attempt}
 	 */
-	private record Heard(int status, String ran, String error, boolean own, String ticket, int retryAfterMillis) {
+	private record Reply(int status, String ran, String error, boolean matchesRequest, String ticket,
+			int retryAfterMillis) {
 
 	}
 
--- a/standins/src/main/java/org/brasspier/standins/CallerFleet.java
+++ b/standins/src/main/java/org/brasspier/standins/CallerFleet.java
@@ -25,17 +25,17 @@
 
 	private final StandInLoop loop = new StandInLoop("callers");
 
-	private final PersistentCaller caller;
+	private final RetryingCaller caller;
 
 	private final List<CallerRecord> records = new ArrayList<>();
 
-	private final AtomicLong numbers = new AtomicLong();
+	private final AtomicLong lastNumber = new AtomicLong();
 
 	private final AtomicLong inFlight = new AtomicLong();
 
-	private final String run = UUID.randomUUID().toString().substring(0, 8);
+	private final String idPrefix = UUID.randomUUID().toString().substring(0, 8);
 
-	private volatile List<TrafficMix> traffic = List.of();
+	private volatile List<TrafficStream> streams = List.of();
 
 	/**
 	 * Creates callers that send nothing yet.
@@ -51,7 +51,7 @@
 	 * @param delayMillis one way between callers and daemons, in milliseconds
 	 */
 	public CallerFleet(List<InetSocketAddress> daemons, double delayMillis) {
-		this(daemons, delayMillis, CallerPatience.USUAL);
+		this(daemons, delayMillis, CallerRetryPolicy.UNLIMITED);
 	}
 
 	/**
@@ -60,45 +60,45 @@
 	 * @param delayMillis one way between callers and daemons, in milliseconds
 	 * @param patience how they wait and send again
 	 */
-	public CallerFleet(List<InetSocketAddress> daemons, double delayMillis, CallerPatience patience) {
-		this.caller = this.loop.call(() -> new PersistentCaller(
-				new CallerClient(this.loop.reactor(), Math.round(delayMillis), patience.sendingMillis()), daemons,
-				patience));
+	public CallerFleet(List<InetSocketAddress> daemons, double delayMillis, CallerRetryPolicy retryPolicy) {
+		this.caller = this.loop.call(() -> new RetryingCaller(
+				new CallerClient(this.loop.reactor(), Math.round(delayMillis), retryPolicy.attemptTimeoutMillis()),
+				daemons, retryPolicy));
 	}
 
 	/**
 	 * Begins to send steady traffic, in place of what was sent before.
-	 * @param mixes the streams
+	 * @param streams the streams
 	 */
-	public void send(List<TrafficMix> mixes) {
-		boolean idle = this.traffic.isEmpty();
-		this.traffic = List.copyOf(mixes);
-		if (idle && !mixes.isEmpty()) {
-			this.loop.execute(() -> tick(new double[mixes.size()], mixes, System.nanoTime()));
+	public void setTraffic(List<TrafficStream> streams) {
+		boolean idle = this.streams.isEmpty();
+		this.streams = List.copyOf(streams);
+		if (idle && !streams.isEmpty()) {
+			this.loop.execute(() -> sendDue(new double[streams.size()], streams, System.nanoTime()));
 		}
 	}
 
 	// Counts the time that has passed and not ticks: on a busy machine ticks come late,
 	// and the callers would send less than they say.
-	private void tick(double[] owed, List<TrafficMix> mixes, long lastNanos) {
-		long now = System.nanoTime();
-		if (this.traffic != mixes && !this.traffic.equals(mixes)) {
-			List<TrafficMix> next = this.traffic;
-			if (!next.isEmpty()) {
-				tick(new double[next.size()], next, now);
+	private void sendDue(double[] requestsDue, List<TrafficStream> streams, long lastNanos) {
+		long nowNanos = System.nanoTime();
+		if (this.streams != streams && !this.streams.equals(streams)) {
+			List<TrafficStream> newStreams = this.streams;
+			if (!newStreams.isEmpty()) {
+				sendDue(new double[newStreams.size()], newStreams, nowNanos);
 			}
 			return;
 		}
-		double seconds = Math.min(MAX_TICK_SECONDS, (now - lastNanos) / NANOS_PER_SECOND);
-		for (int i = 0; i < owed.length; i++) {
-			owed[i] += mixes.get(i).perSecond() * seconds;
-			for (; owed[i] >= 1; owed[i]--) {
+		double seconds = Math.min(MAX_TICK_SECONDS, (nowNanos - lastNanos) / NANOS_PER_SECOND);
+		for (int i = 0; i < requestsDue.length; i++) {
+			requestsDue[i] += streams.get(i).perSecond() * seconds;
+			for (; requestsDue[i] >= 1; requestsDue[i]--) {
 				if (this.inFlight.get() < MAX_IN_FLIGHT) {
-					start(mixes.get(i).next(newId()));
+					startRequest(streams.get(i).next(newId()));
 				}
 			}
 		}
-		this.loop.reactor().delay(TICK_MILLIS, () -> tick(owed, mixes, now));
+		this.loop.reactor().delay(TICK_MILLIS, () -> sendDue(requestsDue, streams, nowNanos));
 	}
 
 	/**
@@ -106,12 +106,12 @@
 	 * @return the id
 	 */
 	public String newId() {
-		return this.run + "-" + this.numbers.incrementAndGet();
+		return this.idPrefix + "-" + this.lastNumber.incrementAndGet();
 	}
 
-	private Promise<CallerRecord> start(StandInRequest request) {
+	private Promise<CallerRecord> startRequest(StandInRequest request) {
 		this.inFlight.incrementAndGet();
-		return this.caller.ask(request).whenResult((done) -> {
+		return this.caller.call(request).whenResult((done) -> {
 			this.inFlight.decrementAndGet();
 			synchronized (this.records) {
 				this.records.add(done);
@@ -124,9 +124,9 @@
 	 * @param request the request
 	 * @return all that became of it
 	 */
-	public CompletableFuture<CallerRecord> ask(StandInRequest request) {
+	public CompletableFuture<CallerRecord> call(StandInRequest request) {
 		CompletableFuture<CallerRecord> result = new CompletableFuture<>();
-		this.loop.execute(() -> start(request).whenResult(result::complete));
+		this.loop.execute(() -> startRequest(request).whenResult(result::complete));
 		return result;
 	}
 
@@ -135,7 +135,7 @@
 	 * do by their own time limits.
 	 */
 	public void finish() {
-		this.traffic = List.of();
+		this.streams = List.of();
 		Await.until("all callers have ended", () -> this.inFlight.get() == 0);
 	}
 
@@ -151,7 +151,7 @@
 
 	@Override
 	public void close() {
-		this.traffic = List.of();
+		this.streams = List.of();
 		this.loop.close();
 	}
 
--- a/standins/src/main/java/org/brasspier/standins/CallerRecord.java
+++ b/standins/src/main/java/org/brasspier/standins/CallerRecord.java
@@ -25,7 +25,7 @@
 		if (this.attempts.isEmpty()) {
 			return Outcome.REFUSED;
 		}
-		if (last().answered()) {
+		if (lastAttempt().answered()) {
 			return Outcome.ANSWERED;
 		}
 		return (this.attempts.stream().allMatch(Attempt::notRun)) ? Outcome.REFUSED : Outcome.FAILED;
@@ -35,7 +35,7 @@
 	 * The last sending.
 	 * @return what came of it
 	 */
-	public Attempt last() {
+	public Attempt lastAttempt() {
 		return this.attempts.getLast();
 	}
 
--- a/standins/src/main/java/org/brasspier/standins/DatagramLink.java
+++ b/standins/src/main/java/org/brasspier/standins/DatagramLink.java
@@ -25,9 +25,9 @@
 
 	private final double delayMillis;
 
-	private final Map<InetSocketAddress, IUdpSocket> senders = new HashMap<>();
+	private final Map<InetSocketAddress, IUdpSocket> socketsBySender = new HashMap<>();
 
-	private volatile LinkState state = LinkState.WHOLE;
+	private volatile LinkState state = LinkState.HEALTHY;
 
 	DatagramLink(StandInLoop loop, DatagramChannel channel, InetSocketAddress target, double delayMillis)
 			throws IOException {
@@ -36,7 +36,8 @@
 		this.target = target;
 		this.delayMillis = delayMillis;
 		channel.configureBlocking(false);
-		loop.execute(() -> UdpSocket.connect(loop.reactor(), channel).whenResult((near) -> receive(near)));
+		loop.execute(
+				() -> UdpSocket.connect(loop.reactor(), channel).whenResult((clientSocket) -> receive(clientSocket)));
 	}
 
 	/**
@@ -55,52 +56,53 @@
 		this.state = next;
 	}
 
-	private void receive(IUdpSocket near) {
-		near.receive().whenResult((packet) -> {
-			forth(near, packet);
-			receive(near);
+	private void receive(IUdpSocket clientSocket) {
+		clientSocket.receive().whenResult((packet) -> {
+			sendToTarget(clientSocket, packet);
+			receive(clientSocket);
 		});
 	}
 
-	private void forth(IUdpSocket near, UdpPacket packet) {
-		if (lost(this.state.holdsForth())) {
+	private void sendToTarget(IUdpSocket clientSocket, UdpPacket packet) {
+		if (isDropped(this.state.holdsRequests())) {
 			packet.recycle();
 			return;
 		}
-		IUdpSocket far = this.senders.computeIfAbsent(packet.getSocketAddress(), (sender) -> open(near, sender));
-		later(() -> far.send(UdpPacket.of(packet.getBuf(), this.target)));
+		IUdpSocket targetSocket = this.socketsBySender.computeIfAbsent(packet.getSocketAddress(),
+				(sender) -> openTargetSocket(clientSocket, sender));
+		sendDelayed(() -> targetSocket.send(UdpPacket.of(packet.getBuf(), this.target)));
 	}
 
-	private IUdpSocket open(IUdpSocket near, InetSocketAddress sender) {
+	private IUdpSocket openTargetSocket(IUdpSocket clientSocket, InetSocketAddress sender) {
 		try {
 			DatagramChannel channel = DatagramChannel.open().bind(Ports.free());
 			channel.configureBlocking(false);
-			IUdpSocket far = UdpSocket.connect(this.loop.reactor(), channel).getResult();
-			back(near, far, sender);
-			return far;
+			IUdpSocket targetSocket = UdpSocket.connect(this.loop.reactor(), channel).getResult();
+			receiveFromTarget(clientSocket, targetSocket, sender);
+			return targetSocket;
 		}
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
 		}
 	}
 
-	private void back(IUdpSocket near, IUdpSocket far, InetSocketAddress sender) {
-		far.receive().whenResult((packet) -> {
-			if (lost(this.state.holdsBack())) {
+	private void receiveFromTarget(IUdpSocket clientSocket, IUdpSocket targetSocket, InetSocketAddress sender) {
+		targetSocket.receive().whenResult((packet) -> {
+			if (isDropped(this.state.holdsAnswers())) {
 				packet.recycle();
 			}
 			else {
-				later(() -> near.send(UdpPacket.of(packet.getBuf(), sender)));
+				sendDelayed(() -> clientSocket.send(UdpPacket.of(packet.getBuf(), sender)));
 			}
-			back(near, far, sender);
+			receiveFromTarget(clientSocket, targetSocket, sender);
 		});
 	}
 
-	private boolean lost(boolean held) {
+	private boolean isDropped(boolean held) {
 		return held || this.state == LinkState.RESET;
 	}
 
-	private void later(Runnable send) {
+	private void sendDelayed(Runnable send) {
 		this.loop.reactor().delay(Math.round(this.delayMillis), send);
 	}
 
--- a/standins/src/main/java/org/brasspier/standins/Deployment.java
+++ b/standins/src/main/java/org/brasspier/standins/Deployment.java
@@ -144,7 +144,7 @@
 	 * Callers of all daemons, at the deployment's distance and past the proxy.
 	 * @return callers that send nothing yet, to be closed
 	 */
-	public CallerFleet callers() {
+	public CallerFleet newCallers() {
 		return new CallerFleet(this.instances.stream().map((instance) -> instance.ports().callers()).toList(),
 				this.shape.callerDelayMillis());
 	}
@@ -163,11 +163,12 @@
 	 * @param other another
 	 * @param state what their links do from now on
 	 */
-	public void between(StandInInstance one, StandInInstance other, LinkState state) {
-		links((name) -> connects(name, one.name(), other.name()) || connects(name, other.name(), one.name()), state);
+	public void setLinksBetween(StandInInstance one, StandInInstance other, LinkState state) {
+		setLinks((name) -> isLinkBetween(name, one.name(), other.name())
+				|| isLinkBetween(name, other.name(), one.name()), state);
 	}
 
-	private static boolean connects(String link, String from, String to) {
+	private static boolean isLinkBetween(String link, String from, String to) {
 		return link.startsWith(from + ">" + to + ":");
 	}
 
@@ -176,8 +177,8 @@
 	 * @param instance the daemon's instance
 	 * @param state what the link does from now on
 	 */
-	public void toStore(StandInInstance instance, LinkState state) {
-		links((name) -> name.equals(instance.name() + ">store"), state);
+	public void setStoreLink(StandInInstance instance, LinkState state) {
+		setLinks((name) -> name.equals(instance.name() + ">store"), state);
 	}
 
 	/**
@@ -185,19 +186,19 @@
 	 * @param instance the daemon's instance
 	 * @param state what the links do from now on
 	 */
-	public void isolate(StandInInstance instance, LinkState state) {
+	public void setPeerLinks(StandInInstance instance, LinkState state) {
 		this.instances.stream()
 			.filter((other) -> !other.equals(instance))
-			.forEach((other) -> between(instance, other, state));
+			.forEach((other) -> setLinksBetween(instance, other, state));
 	}
 
 	/**
 	 * Changes all links whose name is wanted.
-	 * @param names which ones
+	 * @param filter which ones
 	 * @param state what they do from now on
 	 */
-	public void links(Predicate<String> names, LinkState state) {
-		this.proxy.links(names).forEach((link) -> link.state(state));
+	public void setLinks(Predicate<String> filter, LinkState state) {
+		this.proxy.links(filter).forEach((link) -> link.state(state));
 	}
 
 	/**
@@ -205,14 +206,14 @@
 	 * daemon.
 	 */
 	public void awaitServed() {
-		this.instances.stream().filter((instance) -> instance.daemon().alive()).forEach(this::awaitServedThrough);
+		this.instances.stream().filter((instance) -> instance.daemon().isAlive()).forEach(this::awaitServedThrough);
 	}
 
 	// Callers that know one daemon only: others would answer in place of one that does
 	// not listen yet.
 	private void awaitServedThrough(StandInInstance entry) {
 		try (CallerFleet probe = new CallerFleet(List.of(entry.ports().callers()))) {
-			this.shape.services().forEach((service) -> Probe.served(probe, service));
+			this.shape.services().forEach((service) -> ServiceProbe.awaitServed(probe, service));
 		}
 	}
 
@@ -249,10 +250,10 @@
 	 * The services that are divided by key.
 	 * @return their names
 	 */
-	public Set<String> keyedServices() {
+	public Set<String> shardedServices() {
 		return this.shape.services()
 			.stream()
-			.filter(ServiceShape::keyed)
+			.filter(ServiceShape::sharded)
 			.map(ServiceShape::name)
 			.collect(Collectors.toUnmodifiableSet());
 	}
@@ -270,16 +271,16 @@
 	public void close() {
 		this.instances.stream()
 			.flatMap((instance) -> Stream.of(instance.daemon(), instance.server()))
-			.filter(ProgramProcess::alive)
+			.filter(ProgramProcess::isAlive)
 			.forEach(ProgramProcess::kill);
 		this.proxy.close();
 		this.platform.close();
 		if (!this.keepFiles) {
-			delete();
+			deleteFolder();
 		}
 	}
 
-	private void delete() {
+	private void deleteFolder() {
 		try (Stream<Path> files = Files.list(this.folder)) {
 			for (Path file : files.toList()) {
 				Files.delete(file);
--- a/standins/src/main/java/org/brasspier/standins/DeploymentShape.java
+++ b/standins/src/main/java/org/brasspier/standins/DeploymentShape.java
@@ -12,10 +12,11 @@
  * @param services its services
  * @param peerDelayMillis one way between failure domains, in milliseconds
  * @param callerDelayMillis one way between callers and daemons, in milliseconds
- * @param twoVersions whether every second daemon speaks the earliest peer protocol only
+ * @param twoPeerVersions whether every second daemon speaks the earliest peer protocol
+ * only
  */
 public record DeploymentShape(String name, List<String> domains, List<ServiceShape> services, double peerDelayMillis,
-		double callerDelayMillis, boolean twoVersions) {
+		double callerDelayMillis, boolean twoPeerVersions) {
 
 	/**
 	 * Copies the lists.
@@ -78,8 +79,8 @@
 	 * @return the shape
 	 */
 	public static DeploymentShape small(ServiceShape... services) {
-		int most = List.of(services).stream().mapToInt(ServiceShape::servers).max().orElse(1);
-		List<String> domains = IntStream.range(0, most).mapToObj((i) -> "domain-" + i).toList();
+		int maxServers = List.of(services).stream().mapToInt(ServiceShape::servers).max().orElse(1);
+		List<String> domains = IntStream.range(0, maxServers).mapToObj((i) -> "domain-" + i).toList();
 		return new DeploymentShape("small", domains, List.of(services), 1, 1);
 	}
 
@@ -87,7 +88,7 @@
 	 * The same, as in the midst of a rolling replacement.
 	 * @return the shape with daemons of two versions side by side
 	 */
-	public DeploymentShape inTwoVersions() {
+	public DeploymentShape withTwoPeerVersions() {
 		return new DeploymentShape(this.name, this.domains, this.services, this.peerDelayMillis, this.callerDelayMillis,
 				true);
 	}
--- a/standins/src/main/java/org/brasspier/standins/DocumentReading.java
+++ b/standins/src/main/java/org/brasspier/standins/DocumentVersionReport.java
@@ -8,6 +8,6 @@
  * @param daemon the daemon's instance
  * @param version the version, 0 if it knew none yet
  */
-public record DocumentReading(long atMicros, String daemon, long version) {
+public record DocumentVersionReport(long atMicros, String daemon, long version) {
 
 }
--- a/standins/src/main/java/org/brasspier/standins/EchoedAnswer.java
+++ b/standins/src/main/java/org/brasspier/standins/EchoedAnswer.java
@@ -29,7 +29,7 @@
 	 * @param padding how many characters the caller asked for
 	 * @return true if it is
 	 */
-	static boolean answers(String body, String id, String key, int padding) {
+	static boolean isCompleteAnswer(String body, String id, String key, int padding) {
 		try {
 			EchoedAnswer answer = GSON.fromJson(body, EchoedAnswer.class);
 			return answer != null && id.equals(answer.id) && key.equals(answer.key) && END.equals(answer.end)
--- a/standins/src/main/java/org/brasspier/standins/FaultLink.java
+++ b/standins/src/main/java/org/brasspier/standins/FaultLink.java
@@ -16,7 +16,7 @@
  */
 public final class FaultLink {
 
-	private static final int PROBE_MILLIS = 20;
+	private static final int RETRY_MILLIS = 20;
 
 	private final StandInLoop loop;
 
@@ -28,13 +28,13 @@
 
 	private final double delayMillis;
 
-	private final Set<Pair> pairs = new HashSet<>();
+	private final Set<Connection> connections = new HashSet<>();
 
 	private final boolean followsTarget;
 
 	private SimpleServer server;
 
-	private LinkState state = LinkState.WHOLE;
+	private LinkState state = LinkState.HEALTHY;
 
 	FaultLink(StandInLoop loop, String name, InetSocketAddress target, double delayMillis, boolean followsTarget) {
 		this.loop = loop;
@@ -45,7 +45,7 @@
 		this.followsTarget = followsTarget;
 		this.server = SimpleServer.builder(loop.reactor(), this::accept).withListenAddress(this.listen).build();
 		loop.call(() -> {
-			open();
+			openListener();
 			return true;
 		});
 	}
@@ -74,10 +74,10 @@
 		this.loop.call(() -> {
 			this.state = next;
 			if (next == LinkState.RESET) {
-				Set.copyOf(this.pairs).forEach(Pair::end);
+				Set.copyOf(this.connections).forEach(Connection::close);
 			}
 			// What was held may end a pair as it's passed on.
-			Set.copyOf(this.pairs).forEach((pair) -> pair.obey(next));
+			Set.copyOf(this.connections).forEach((connection) -> connection.apply(next));
 			return true;
 		});
 	}
@@ -88,7 +88,7 @@
 	 */
 	public void silenceOpenConnections() {
 		this.loop.call(() -> {
-			Set.copyOf(this.pairs).forEach(Pair::silence);
+			Set.copyOf(this.connections).forEach(Connection::silence);
 			return true;
 		});
 	}
@@ -98,13 +98,13 @@
 	 * @return the number
 	 */
 	public int openConnections() {
-		return this.loop.call(this.pairs::size);
+		return this.loop.call(this.connections::size);
 	}
 
 	void close() {
 		this.loop.execute(() -> {
 			this.server.close();
-			Set.copyOf(this.pairs).forEach(Pair::end);
+			Set.copyOf(this.connections).forEach(Connection::close);
 		});
 	}
 
@@ -113,35 +113,35 @@
 	 * connections until the target listens again, as the target's own port would; else
 	 * whoever connects could not tell a refused connection from one that broke.
 	 */
-	void targetEnded() {
+	void onTargetExit() {
 		if (this.followsTarget) {
 			this.loop.execute(() -> {
 				this.server.close();
-				Set.copyOf(this.pairs).forEach(Pair::end);
-				openOnceTargetListens();
+				Set.copyOf(this.connections).forEach(Connection::close);
+				reopenWhenTargetListens();
 			});
 		}
 	}
 
-	private void open() throws IOException {
+	private void openListener() throws IOException {
 		if (this.followsTarget) {
-			openOnceTargetListens();
+			reopenWhenTargetListens();
 		}
 		else {
 			this.server.listen();
 		}
 	}
 
-	private void openOnceTargetListens() {
+	private void reopenWhenTargetListens() {
 		TcpSocket.connect(this.loop.reactor(), this.target)
-			.whenException((ex) -> this.loop.reactor().delay(PROBE_MILLIS, this::openOnceTargetListens))
+			.whenException((ex) -> this.loop.reactor().delay(RETRY_MILLIS, this::reopenWhenTargetListens))
 			.whenResult((socket) -> {
 				socket.close();
-				listenAnew();
+				reopenListener();
 			});
 	}
 
-	private void listenAnew() {
+	private void reopenListener() {
 		try {
 			this.server = SimpleServer.builder(this.loop.reactor(), this::accept)
 				.withListenAddress(this.listen)
@@ -149,79 +149,79 @@
 			this.server.listen();
 		}
 		catch (IOException ex) {
-			this.loop.reactor().delay(PROBE_MILLIS, this::listenAnew);
+			this.loop.reactor().delay(RETRY_MILLIS, this::reopenListener);
 		}
 	}
 
-	private void accept(ITcpSocket near) {
+	private void accept(ITcpSocket clientSocket) {
 		if (this.state == LinkState.RESET) {
-			near.close();
+			clientSocket.close();
 			return;
 		}
 		TcpSocket.connect(this.loop.reactor(), this.target)
-			.whenException((ex) -> near.close())
-			.whenResult((far) -> join(near, far));
+			.whenException((ex) -> clientSocket.close())
+			.whenResult((targetSocket) -> connect(clientSocket, targetSocket));
 	}
 
-	private void join(ITcpSocket near, ITcpSocket far) {
-		Pair pair = new Pair(this.loop.reactor(), near, far);
-		this.pairs.add(pair);
-		pair.obey(this.state);
-		pair.start();
+	private void connect(ITcpSocket clientSocket, ITcpSocket targetSocket) {
+		Connection connection = new Connection(this.loop.reactor(), clientSocket, targetSocket);
+		this.connections.add(connection);
+		connection.apply(this.state);
+		connection.start();
 	}
 
 	/**
 	 * The two ends of one connection.
 	 */
-	private final class Pair {
+	private final class Connection {
 
-		private final ITcpSocket near;
+		private final ITcpSocket clientSocket;
 
-		private final ITcpSocket far;
+		private final ITcpSocket targetSocket;
 
-		private final FaultPipe forth;
+		private final FaultPipe toTarget;
 
-		private final FaultPipe back;
+		private final FaultPipe toClient;
 
 		private boolean silent;
 
-		Pair(NioReactor reactor, ITcpSocket near, ITcpSocket far) {
-			this.near = near;
-			this.far = far;
-			this.forth = new FaultPipe(reactor, near, far, this::ended);
-			this.back = new FaultPipe(reactor, far, near, this::ended);
-			this.forth.delay(FaultLink.this.delayMillis);
-			this.back.delay(FaultLink.this.delayMillis);
+		Connection(NioReactor reactor, ITcpSocket clientSocket, ITcpSocket targetSocket) {
+			this.clientSocket = clientSocket;
+			this.targetSocket = targetSocket;
+			this.toTarget = new FaultPipe(reactor, clientSocket, targetSocket, this::onPipeEnd);
+			this.toClient = new FaultPipe(reactor, targetSocket, clientSocket, this::onPipeEnd);
+			this.toTarget.delay(FaultLink.this.delayMillis);
+			this.toClient.delay(FaultLink.this.delayMillis);
 		}
 
 		void start() {
-			this.forth.start();
-			this.back.start();
+			this.toTarget.readNext();
+			this.toClient.readNext();
 		}
 
-		void obey(LinkState next) {
-			this.forth.hold(next.holdsForth());
-			this.back.hold(next.holdsBack());
+		void apply(LinkState next) {
+			this.toTarget.hold(next.holdsRequests());
+			this.toClient.hold(next.holdsAnswers());
 		}
 
 		void silence() {
 			this.silent = true;
-			this.forth.silence();
-			this.back.silence();
+			this.toTarget.silence();
+			this.toClient.silence();
 		}
 
 		// The end of one side is a message too: over a silent connection the other side
 		// never hears of it.
-		private void ended() {
+		private void onPipeEnd() {
 			if (!this.silent) {
-				end();
+				close();
 			}
 		}
 
-		private void end() {
-			this.near.close();
-			this.far.close();
-			FaultLink.this.pairs.remove(this);
+		private void close() {
+			this.clientSocket.close();
+			this.targetSocket.close();
+			FaultLink.this.connections.remove(this);
 		}
 
 	}
--- a/standins/src/main/java/org/brasspier/standins/FaultPipe.java
+++ b/standins/src/main/java/org/brasspier/standins/FaultPipe.java
@@ -42,48 +42,48 @@
 		this.onEnd = onEnd;
 	}
 
-	void start() {
+	void readNext() {
 		this.from.read().whenComplete((buf, ex) -> {
 			if (ex != null) {
 				this.onEnd.run();
 				return;
 			}
-			take(buf);
+			onRead(buf);
 		});
 	}
 
-	private void take(@Nullable ByteBuf buf) {
+	private void onRead(@Nullable ByteBuf buf) {
 		if (this.silent) {
 			if (buf != null) {
 				buf.recycle();
-				start();
+				readNext();
 			}
 			return;
 		}
 		this.chunks.add(new Chunk(buf, System.nanoTime() + delayNanos()));
-		write();
+		writeNext();
 		if (buf != null) {
-			start();
+			readNext();
 		}
 	}
 
 	private long delayNanos() {
-		long whole = (long) this.delayMillis;
-		double rest = this.delayMillis - whole;
+		long wholeMillis = (long) this.delayMillis;
+		double fractionMillis = this.delayMillis - wholeMillis;
 		// Timers count milliseconds: 1.5 ms is one or two, each half of the time.
-		return TimeUnit.MILLISECONDS
-			.toNanos(whole + ((rest > 0 && ThreadLocalRandom.current().nextDouble() < rest) ? 1 : 0));
+		return TimeUnit.MILLISECONDS.toNanos(wholeMillis
+				+ ((fractionMillis > 0 && ThreadLocalRandom.current().nextDouble() < fractionMillis) ? 1 : 0));
 	}
 
-	private void write() {
+	private void writeNext() {
 		Chunk next = this.chunks.peek();
 		if (next == null || this.writing || this.held) {
 			return;
 		}
-		long wait = next.dueNanos() - System.nanoTime();
+		long waitNanos = next.dueNanos() - System.nanoTime();
 		this.writing = true;
-		if (wait > 0) {
-			this.reactor.delay(Math.max(1, TimeUnit.NANOSECONDS.toMillis(wait)), this::deliver);
+		if (waitNanos > 0) {
+			this.reactor.delay(Math.max(1, TimeUnit.NANOSECONDS.toMillis(waitNanos)), this::deliver);
 		}
 		else {
 			deliver();
@@ -104,7 +104,7 @@
 				this.onEnd.run();
 				return;
 			}
-			write();
+			writeNext();
 		});
 	}
 
@@ -114,7 +114,7 @@
 
 	void hold(boolean hold) {
 		this.held = hold;
-		write();
+		writeNext();
 	}
 
 	void silence() {
--- a/standins/src/main/java/org/brasspier/standins/FaultProxy.java
+++ b/standins/src/main/java/org/brasspier/standins/FaultProxy.java
@@ -35,7 +35,7 @@
 	 * @param target where it leads
 	 * @return the link, without delay
 	 */
-	FaultLink followingLink(String name, InetSocketAddress target) {
+	FaultLink targetFollowingLink(String name, InetSocketAddress target) {
 		return this.links.computeIfAbsent(name, (unused) -> new FaultLink(this.loop, name, target, 0, true));
 	}
 
@@ -53,18 +53,18 @@
 
 	/**
 	 * The links that were opened so far.
-	 * @param names which ones, by their name
+	 * @param filter which ones, by their name
 	 * @return the links
 	 */
-	public List<FaultLink> links(Predicate<String> names) {
-		return this.links.values().stream().filter((link) -> names.test(link.name())).toList();
+	public List<FaultLink> links(Predicate<String> filter) {
+		return this.links.values().stream().filter((link) -> filter.test(link.name())).toList();
 	}
 
 	/**
 	 * Makes every link whole again.
 	 */
 	public void heal() {
-		this.links.values().forEach((link) -> link.state(LinkState.WHOLE));
+		this.links.values().forEach((link) -> link.state(LinkState.HEALTHY));
 	}
 
 	@Override
--- a/standins/src/main/java/org/brasspier/standins/GrantTable.java
+++ b/standins/src/main/java/org/brasspier/standins/GrantTable.java
@@ -20,9 +20,9 @@
 
 	private Set<Grant> grants = Set.of();
 
-	private long untilNanos = System.nanoTime();
+	private long validUntilNanos = System.nanoTime();
 
-	private long untilMillis;
+	private long validUntilMillis;
 
 	GrantTable(ServerHistory history, String service) {
 		this.history = history;
@@ -30,21 +30,21 @@
 	}
 
 	void replace(Message message) {
-		this.untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(message.validMillis);
-		this.untilMillis = message.validUntil;
-		Set<Grant> next = (this.untilMillis < System.currentTimeMillis()) ? Set.of()
+		this.validUntilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(message.validMillis);
+		this.validUntilMillis = message.validUntil;
+		Set<Grant> next = (this.validUntilMillis < System.currentTimeMillis()) ? Set.of()
 				: message.grants.stream()
 					.filter((grant) -> grant.service().equals(this.service))
 					.collect(Collectors.toUnmodifiableSet());
-		tell(ServerRecord.Kind.WITHDRAWN, this.grants, next);
-		tell(ServerRecord.Kind.GRANTED, next, this.grants);
+		recordDifference(ServerRecord.Kind.WITHDRAWN, this.grants, next);
+		recordDifference(ServerRecord.Kind.GRANTED, next, this.grants);
 		this.grants = next;
 	}
 
-	private void tell(ServerRecord.Kind kind, Set<Grant> present, Set<Grant> absent) {
+	private void recordDifference(ServerRecord.Kind kind, Set<Grant> present, Set<Grant> absent) {
 		present.stream()
 			.filter((grant) -> !absent.contains(grant))
-			.forEach((grant) -> this.history.grant(kind, grant.fence(), grant.range().toString()));
+			.forEach((grant) -> this.history.recordGrant(kind, grant.fence(), grant.range().toString()));
 	}
 
 	/**
@@ -54,8 +54,9 @@
 	 * @return true if a grant that is still valid covers its point with the same fence
 	 */
 	boolean covers(Order order, long atMillis) {
-		return atMillis <= this.untilMillis && System.nanoTime() - this.untilNanos <= 0 && this.grants.stream()
-			.anyMatch((grant) -> grant.fence() == order.fence() && grant.range().contains(order.point()));
+		return atMillis <= this.validUntilMillis && System.nanoTime() - this.validUntilNanos <= 0
+				&& this.grants.stream()
+					.anyMatch((grant) -> grant.fence() == order.fence() && grant.range().contains(order.point()));
 	}
 
 	/**
--- a/standins/src/main/java/org/brasspier/standins/HistoryChecker.java
+++ b/standins/src/main/java/org/brasspier/standins/HistoryChecker.java
@@ -25,45 +25,45 @@
 	 * Checks all that callers and servers recorded.
 	 * @param servers the servers' records in the order of time
 	 * @param callers the callers' records
-	 * @param keyed the services that are divided by key
+	 * @param sharded the services that are divided by key
 	 * @return the broken promises, none if all held
 	 */
-	public static List<Violation> check(List<ServerRecord> servers, List<CallerRecord> callers, Set<String> keyed) {
+	public static List<Violation> check(List<ServerRecord> servers, List<CallerRecord> callers, Set<String> sharded) {
 		List<Violation> found = new ArrayList<>();
 		OrderHistory orders = new OrderHistory(servers);
-		found.addAll(owners(servers, keyed));
-		found.addAll(assignments(servers, keyed));
-		found.addAll(runsOnce(orders));
-		callers.forEach((caller) -> found.addAll(answers(caller, orders)));
-		found.addAll(notRunIsTrue(callers, orders));
+		found.addAll(findOwnershipViolations(servers, sharded));
+		found.addAll(findRevertedAssignments(servers, sharded));
+		found.addAll(findRepeatedPostings(orders));
+		callers.forEach((caller) -> found.addAll(findWrongAnswers(caller, orders)));
+		found.addAll(findFalseNotRun(callers, orders));
 		return List.copyOf(found);
 	}
 
 	/**
 	 * Checks that no daemon went back to an older document.
-	 * @param readings what daemons said, in the order of time
+	 * @param reports what daemons said, in the order of time
 	 * @return the broken promises, none if all held
 	 */
-	public static List<Violation> checkDocuments(List<DocumentReading> readings) {
+	public static List<Violation> checkDocuments(List<DocumentVersionReport> reports) {
 		Map<String, Long> highest = new HashMap<>();
 		List<Violation> found = new ArrayList<>();
-		for (DocumentReading reading : readings) {
-			long before = highest.getOrDefault(reading.daemon(), 0L);
-			if (reading.version() > 0 && reading.version() < before) {
-				found.add(new Violation(Violation.Promise.CONFIGURATION_KEPT,
-						"%s went from version %d back to %d".formatted(reading.daemon(), before, reading.version())));
+		for (DocumentVersionReport report : reports) {
+			long before = highest.getOrDefault(report.daemon(), 0L);
+			if (report.version() > 0 && report.version() < before) {
+				found.add(new Violation(Violation.Invariant.CONFIGURATION_KEPT,
+						"%s went from version %d back to %d".formatted(report.daemon(), before, report.version())));
 			}
-			highest.merge(reading.daemon(), reading.version(), Math::max);
+			highest.merge(report.daemon(), report.version(), Math::max);
 		}
 		return List.copyOf(found);
 	}
 
-	private static List<Violation> owners(List<ServerRecord> servers, Set<String> keyed) {
+	private static List<Violation> findOwnershipViolations(List<ServerRecord> servers, Set<String> sharded) {
 		Collection<Tenure> tenures = tenures(servers);
 		return servers.stream().flatMap((line) -> switch (line.kind()) {
-			case BEGAN -> dead(line, tenures, Violation.Promise.NO_DEAD_FENCE);
-			case TOOK_EFFECT ->
-				Stream.concat(dead(line, tenures, Violation.Promise.ONE_OWNER), shared(line, tenures, keyed));
+			case BEGAN -> findHigherFence(line, tenures, Violation.Invariant.NO_STALE_FENCE);
+			case TOOK_EFFECT -> Stream.concat(findHigherFence(line, tenures, Violation.Invariant.ONE_OWNER),
+					findSharedFence(line, tenures, sharded));
 			case STARTED, GRANTED, WITHDRAWN, NOT_RUN -> Stream.<Violation>empty();
 		}).toList();
 	}
@@ -79,39 +79,41 @@
 	}
 
 	// The owner under a higher fence has begun to work before this: the two overlap.
-	private static Stream<Violation> dead(ServerRecord line, Collection<Tenure> tenures, Violation.Promise promise) {
+	private static Stream<Violation> findHigherFence(ServerRecord line, Collection<Tenure> tenures,
+			Violation.Invariant invariant) {
 		return tenures.stream()
 			.filter((tenure) -> tenure.covers(line) && tenure.fence() > line.fence()
 					&& tenure.sinceMicros() < line.atMicros())
 			.limit(1)
-			.map((tenure) -> new Violation(promise,
+			.map((tenure) -> new Violation(invariant,
 					"%s by %s under fence %d at %d, though %s worked under fence %d since %d".formatted(line.id(),
 							line.server(), line.fence(), line.atMicros(), tenure.server(), tenure.fence(),
 							tenure.sinceMicros())));
 	}
 
-	private static Stream<Violation> shared(ServerRecord line, Collection<Tenure> tenures, Set<String> keyed) {
+	private static Stream<Violation> findSharedFence(ServerRecord line, Collection<Tenure> tenures,
+			Set<String> sharded) {
 		return tenures.stream()
-			.filter((tenure) -> keyed.contains(line.service()) && tenure.covers(line) && tenure.fence() == line.fence()
-					&& !tenure.server().equals(line.server()))
+			.filter((tenure) -> sharded.contains(line.service()) && tenure.covers(line)
+					&& tenure.fence() == line.fence() && !tenure.server().equals(line.server()))
 			.limit(1)
-			.map((tenure) -> new Violation(Violation.Promise.ONE_OWNER, "%s by %s under fence %d, which %s has too"
+			.map((tenure) -> new Violation(Violation.Invariant.ONE_OWNER, "%s by %s under fence %d, which %s has too"
 				.formatted(line.id(), line.server(), line.fence(), tenure.server())));
 	}
 
-	private static List<Violation> assignments(List<ServerRecord> servers, Set<String> keyed) {
+	private static List<Violation> findRevertedAssignments(List<ServerRecord> servers, Set<String> sharded) {
 		List<ServerRecord> grants = servers.stream()
-			.filter((line) -> line.kind() == ServerRecord.Kind.GRANTED && keyed.contains(line.service()))
+			.filter((line) -> line.kind() == ServerRecord.Kind.GRANTED && sharded.contains(line.service()))
 			.toList();
 		return grants.stream()
-			.flatMap((late) -> grants.stream()
-				.takeWhile((early) -> early != late)
-				.filter((early) -> early.service().equals(late.service()) && early.fence() > late.fence()
-						&& !early.server().equals(late.server()) && overlap(early.keyRange(), late.keyRange()))
+			.flatMap((later) -> grants.stream()
+				.takeWhile((earlier) -> earlier != later)
+				.filter((earlier) -> earlier.service().equals(later.service()) && earlier.fence() > later.fence()
+						&& !earlier.server().equals(later.server()) && overlap(earlier.keyRange(), later.keyRange()))
 				.limit(1)
-				.map((early) -> new Violation(Violation.Promise.ASSIGNMENT_KEPT,
-						"%s was granted to %s under fence %d, then to %s under fence %d".formatted(early.range(),
-								early.server(), early.fence(), late.server(), late.fence()))))
+				.map((earlier) -> new Violation(Violation.Invariant.ASSIGNMENT_KEPT,
+						"%s was granted to %s under fence %d, then to %s under fence %d".formatted(earlier.range(),
+								earlier.server(), earlier.fence(), later.server(), later.fence()))))
 			.toList();
 	}
 
@@ -119,61 +121,61 @@
 		return one.low() < other.high() && other.low() < one.high();
 	}
 
-	private static List<Violation> runsOnce(OrderHistory orders) {
+	private static List<Violation> findRepeatedPostings(OrderHistory orders) {
 		Map<String, List<OrderHistory.Run>> byRequest = orders.runs()
 			.stream()
 			.filter((run) -> run.began().requestClass().equals("posting"))
 			.filter((run) -> run.end().isEmpty() || run.tookEffect())
-			.collect(Collectors.groupingBy((run) -> withoutRestart(run.began().id())));
+			.collect(Collectors.groupingBy((run) -> withoutResendSuffix(run.began().id())));
 		return byRequest.entrySet()
 			.stream()
 			.filter((entry) -> entry.getValue().size() > 1)
-			.map((entry) -> new Violation(Violation.Promise.RUNS_ONCE, "%s ran %d times: %s".formatted(entry.getKey(),
+			.map((entry) -> new Violation(Violation.Invariant.RUNS_ONCE, "%s ran %d times: %s".formatted(entry.getKey(),
 					entry.getValue().size(),
 					entry.getValue().stream().map((run) -> run.began().server() + "@" + run.began().fence()).toList())))
 			.toList();
 	}
 
 	// A caller that was sure that its posting did not run sent it under a new id.
-	private static String withoutRestart(String id) {
-		int mark = id.indexOf('~');
-		return (mark < 0) ? id : id.substring(0, mark);
+	private static String withoutResendSuffix(String id) {
+		int separator = id.indexOf('~');
+		return (separator < 0) ? id : id.substring(0, separator);
 	}
 
-	private static List<Violation> answers(CallerRecord caller, OrderHistory orders) {
+	private static List<Violation> findWrongAnswers(CallerRecord caller, OrderHistory orders) {
 		List<Violation> found = new ArrayList<>();
 		caller.attempts()
 			.stream()
-			.filter((attempt) -> attempt.answered() && !attempt.own())
-			.forEach((attempt) -> found.add(new Violation(Violation.Promise.OWN_ANSWER,
+			.filter((attempt) -> attempt.answered() && !attempt.matchesRequest())
+			.forEach((attempt) -> found.add(new Violation(Violation.Invariant.OWN_ANSWER,
 					"the answer to %s was another or not whole".formatted(attempt.id()))));
 		caller.attempts()
 			.stream()
 			.filter((attempt) -> attempt.answered()
 					&& orders.effective(attempt.id()).stream().noneMatch(OrderHistory.Run::tookEffect))
-			.forEach((attempt) -> found.add(new Violation(Violation.Promise.ANSWERED_HAS_RUN,
+			.forEach((attempt) -> found.add(new Violation(Violation.Invariant.ANSWERED_HAS_RUN,
 					"%s was answered and never took effect".formatted(attempt.id()))));
 		return found;
 	}
 
 	// Several callers may have sent the same request: what counts is each id's sendings.
-	private static List<Violation> notRunIsTrue(List<CallerRecord> callers, OrderHistory orders) {
+	private static List<Violation> findFalseNotRun(List<CallerRecord> callers, OrderHistory orders) {
 		Map<String, List<Attempt>> byId = callers.stream()
 			.flatMap((caller) -> caller.attempts().stream())
 			.sorted(Comparator.comparingLong(Attempt::sentMicros))
 			.collect(Collectors.groupingBy(Attempt::id));
 		return byId.entrySet()
 			.stream()
-			.filter((entry) -> ranWhileRefused(entry.getValue(), orders.effective(entry.getKey())))
-			.map((entry) -> new Violation(Violation.Promise.NOT_RUN_IS_TRUE,
+			.filter((entry) -> ranBeforeFirstOtherAttempt(entry.getValue(), orders.effective(entry.getKey())))
+			.map((entry) -> new Violation(Violation.Invariant.NOT_RUN_IS_TRUE,
 					"%s was refused as not run, and ran: %s".formatted(entry.getKey(), entry.getValue())))
 			.toList();
 	}
 
-	private static boolean ranWhileRefused(List<Attempt> sent, List<OrderHistory.Run> runs) {
-		long refused = sent.stream().takeWhile(Attempt::notRun).count();
-		long until = sent.stream().skip(refused).findFirst().map(Attempt::sentMicros).orElse(Long.MAX_VALUE);
-		return refused > 0 && runs.stream().anyMatch((run) -> run.began().atMicros() < until);
+	private static boolean ranBeforeFirstOtherAttempt(List<Attempt> sent, List<OrderHistory.Run> runs) {
+		long refusedCount = sent.stream().takeWhile(Attempt::notRun).count();
+		long untilMicros = sent.stream().skip(refusedCount).findFirst().map(Attempt::sentMicros).orElse(Long.MAX_VALUE);
+		return refusedCount > 0 && runs.stream().anyMatch((run) -> run.began().atMicros() < untilMicros);
 	}
 
 	/**
--- a/standins/src/main/java/org/brasspier/standins/Measures.java
+++ b/standins/src/main/java/org/brasspier/standins/HistoryMetrics.java
@@ -19,16 +19,16 @@
  * The figures that decide a renewal, from what callers and servers recorded. Stateless
  * and thread-safe.
  */
-public final class Measures {
+public final class HistoryMetrics {
 
 	private static final long WINDOW_MICROS = 1_000_000;
 
-	private static final int MICROS = 1000;
+	private static final int MICROS_PER_MILLI = 1000;
 
 	/** Requests without key are told apart by this many parts of the hash space. */
-	private static final int PARTS = 16;
+	private static final int HASH_SPACE_PARTS = 16;
 
-	private Measures() {
+	private HistoryMetrics() {
 	}
 
 	/**
@@ -40,19 +40,19 @@
 	 * request that was sent afterwards and answered; empty if none was
 	 */
 	public static Map<OwnedRange, OptionalLong> recovery(List<ServerRecord> servers, List<CallerRecord> callers,
-			Loss loss) {
+			InstanceLoss loss) {
 		return ServerRecords.ownedBy(servers, loss.server(), loss.atMicros())
 			.stream()
-			.collect(Collectors.toMap((owned) -> owned, (owned) -> firstAnswer(callers, owned, loss.atMicros())));
+			.collect(Collectors.toMap((owned) -> owned, (owned) -> firstAnswerMillis(callers, owned, loss.atMicros())));
 	}
 
-	private static OptionalLong firstAnswer(List<CallerRecord> callers, OwnedRange owned, long sinceMicros) {
+	private static OptionalLong firstAnswerMillis(List<CallerRecord> callers, OwnedRange owned, long sinceMicros) {
 		return callers.stream()
 			.filter((caller) -> caller.request().service().equals(owned.service())
 					&& owned.range().contains(point(caller.request())))
 			.flatMap((caller) -> caller.attempts().stream())
 			.filter((attempt) -> attempt.answered() && attempt.sentMicros() >= sinceMicros)
-			.mapToLong((attempt) -> (attempt.endMicros() - sinceMicros) / MICROS)
+			.mapToLong((attempt) -> (attempt.endMicros() - sinceMicros) / MICROS_PER_MILLI)
 			.min();
 	}
 
@@ -68,7 +68,7 @@
 	 * @return the busiest server's working time over the mean of all that were running,
 	 * as the mean over all seconds and services, each by its work; 1 is even
 	 */
-	public static double imbalance(List<ServerRecord> servers, List<Loss> losses, long sinceMicros) {
+	public static double imbalance(List<ServerRecord> servers, List<InstanceLoss> losses, long sinceMicros) {
 		Map<String, List<OrderHistory.Run>> byWindow = new OrderHistory(servers).runs()
 			.stream()
 			.filter((run) -> run.tookEffect() && run.began().atMicros() >= sinceMicros)
@@ -77,7 +77,8 @@
 		double weighted = 0;
 		double weights = 0;
 		for (List<OrderHistory.Run> window : byWindow.values()) {
-			LongSummaryStatistics busy = busy(window, running(servers, losses, window.getFirst().began()));
+			LongSummaryStatistics busy = busyInWindow(window,
+					runningServers(servers, losses, window.getFirst().began()));
 			weighted += busy.getMax() / busy.getAverage() * busy.getSum();
 			weights += busy.getSum();
 		}
@@ -115,7 +116,7 @@
 		return byServer.values().stream().mapToLong(Long::longValue).summaryStatistics();
 	}
 
-	private static List<String> running(List<ServerRecord> servers, List<Loss> losses, ServerRecord at) {
+	private static List<String> runningServers(List<ServerRecord> servers, List<InstanceLoss> losses, ServerRecord at) {
 		return servers.stream()
 			.filter((line) -> line.kind() == ServerRecord.Kind.STARTED && line.service().equals(at.service())
 					&& line.atMicros() < at.atMicros())
@@ -126,7 +127,7 @@
 			.toList();
 	}
 
-	private static LongSummaryStatistics busy(List<OrderHistory.Run> window, List<String> running) {
+	private static LongSummaryStatistics busyInWindow(List<OrderHistory.Run> window, List<String> running) {
 		Map<String, Long> byServer = new HashMap<>();
 		running.forEach((server) -> byServer.put(server, 0L));
 		window.forEach((run) -> byServer.merge(run.began().server(),
@@ -147,8 +148,8 @@
 		for (ServerRecord line : servers) {
 			if (line.kind() == ServerRecord.Kind.GRANTED) {
 				String before = owners.put(line.service() + "/" + line.range(), line.server());
-				boolean other = before != null && !before.equals(line.server());
-				moved += (other && line.atMicros() >= sinceMicros) ? line.keyRange().size() : 0;
+				boolean ownerChanged = before != null && !before.equals(line.server());
+				moved += (ownerChanged && line.atMicros() >= sinceMicros) ? line.keyRange().size() : 0;
 			}
 		}
 		return 100 * moved / KeyHash.SPACE / services;
@@ -165,11 +166,12 @@
 		Map<String, List<Attempt>> byKey = new TreeMap<>();
 		callers.forEach((caller) -> byKey.computeIfAbsent(keyOrPart(caller.request()), (key) -> new ArrayList<>())
 			.addAll(caller.attempts()));
-		return byKey.values().stream().mapToLong(Measures::unavailableMicros).average().orElse(0) / MICROS;
+		return byKey.values().stream().mapToLong(HistoryMetrics::unavailableMicros).average().orElse(0)
+				/ MICROS_PER_MILLI;
 	}
 
 	private static String keyOrPart(StandInRequest request) {
-		String part = (request.key().isEmpty()) ? "#" + point(request).point() / (KeyHash.SPACE / PARTS)
+		String part = (request.key().isEmpty()) ? "#" + point(request).point() / (KeyHash.SPACE / HASH_SPACE_PARTS)
 				: request.key();
 		return request.service() + "/" + part;
 	}
--- a/standins/src/main/java/org/brasspier/standins/InstanceBuilder.java
+++ b/standins/src/main/java/org/brasspier/standins/InstanceBuilder.java
@@ -20,7 +20,7 @@
 
 	static final String OPERATOR_SECRET = "operator-secret-of-stand-ins";
 
-	private static final String DAEMON = "org.brasspier.daemon.Main";
+	private static final String DAEMON_CLASS = "org.brasspier.daemon.Main";
 
 	private final DeploymentShape shape;
 
@@ -42,7 +42,7 @@
 	void add(ServiceShape service, int index) {
 		String domain = this.shape.domains().get(index % this.shape.domains().size());
 		this.plans.add(new Plan(service.name() + "-" + index, domain, service, DaemonPorts.free(), Ports.free(),
-				this.shape.twoVersions() && index % 2 == 0));
+				this.shape.twoPeerVersions() && index % 2 == 0));
 	}
 
 	List<StandInInstance> build() {
@@ -67,8 +67,9 @@
 				Ports.text(plan.ports.operators()), "--table", store, "--object-store", store, "--peer-ports",
 				peerPorts(plan), "--shared-keys-file", secrets.sharedKeys().toString(), "--operator-secrets-file",
 				secrets.operators().toString(), "--platform-token-file", secrets.platform().toString());
-		Map<String, String> environment = (plan.earlierVersion) ? Map.of("BRASSPIER_MAX_PEER_VERSION", "1") : Map.of();
-		return new ProgramProcess(plan.name + ".daemon", DAEMON, arguments, environment, this.folder);
+		Map<String, String> environment = (plan.earliestPeerVersion) ? Map.of("BRASSPIER_MAX_PEER_VERSION", "1")
+				: Map.of();
+		return new ProgramProcess(plan.name + ".daemon", DAEMON_CLASS, arguments, environment, this.folder);
 	}
 
 	private String peerPorts(Plan plan) {
@@ -86,17 +87,17 @@
 	}
 
 	private ProgramProcess server(Plan plan) {
-		FaultLink link = this.proxy.followingLink(plan.name + ">server", plan.server);
+		FaultLink link = this.proxy.targetFollowingLink(plan.name + ">server", plan.serverAddress);
 		String advertised = Ports.text(link.address());
 		ServiceShape service = plan.service;
 		List<String> arguments = List.of("--name", plan.name, "--service", service.name(), "--listen",
-				Ports.text(plan.server), "--advertise", advertised, "--daemon", Ports.text(plan.ports.backend()),
+				Ports.text(plan.serverAddress), "--advertise", advertised, "--daemon", Ports.text(plan.ports.backend()),
 				"--callers", Ports.text(plan.ports.callers()), "--slots", Integer.toString(service.slots()),
 				"--waiting", Integer.toString(service.slots()), "--connections",
 				Integer.toString(service.connections()), "--checks-fences", Boolean.toString(service.checksFences()));
 		ProgramProcess process = new ProgramProcess(plan.name + ".server", BackendStandIn.class.getName(), arguments,
 				Map.of(), this.folder);
-		process.afterEnd(link::targetEnded);
+		process.onExit(link::onTargetExit);
 		return process;
 	}
 
@@ -107,11 +108,12 @@
 	 * @param domain its failure domain
 	 * @param service its service
 	 * @param ports where its daemon listens
-	 * @param server where its backend server listens
-	 * @param earlierVersion whether its daemon speaks the earliest peer protocol only
+	 * @param serverAddress where its backend server listens
+	 * @param earliestPeerVersion whether its daemon speaks the earliest peer protocol
+	 * only
 	 */
-	private record Plan(String name, String domain, ServiceShape service, DaemonPorts ports, InetSocketAddress server,
-			boolean earlierVersion) {
+	private record Plan(String name, String domain, ServiceShape service, DaemonPorts ports,
+			InetSocketAddress serverAddress, boolean earliestPeerVersion) {
 
 	}
 
--- a/standins/src/main/java/org/brasspier/standins/Loss.java
+++ b/standins/src/main/java/org/brasspier/standins/InstanceLoss.java
@@ -6,15 +6,15 @@
  * @param server the name of its server
  * @param atMicros when, in microseconds since 1970
  */
-public record Loss(String server, long atMicros) {
+public record InstanceLoss(String server, long atMicros) {
 
 	/**
 	 * A loss at this moment.
 	 * @param server the name of its server
 	 * @return the loss
 	 */
-	public static Loss now(String server) {
-		return new Loss(server, ServerHistory.nowMicros());
+	public static InstanceLoss now(String server) {
+		return new InstanceLoss(server, ServerHistory.nowMicros());
 	}
 
 }
--- a/standins/src/main/java/org/brasspier/standins/InstanceSecrets.java
+++ b/standins/src/main/java/org/brasspier/standins/InstanceSecrets.java
@@ -52,8 +52,8 @@
 	// By renaming, as docs/OPERATING.md says: half a file would be half a secret.
 	private static void replace(Path file, String... lines) {
 		try {
-			Path fresh = Files.write(file.resolveSibling(file.getFileName() + ".new"), List.of(lines));
-			Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+			Path newFile = Files.write(file.resolveSibling(file.getFileName() + ".new"), List.of(lines));
+			Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
 		}
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
--- a/standins/src/main/java/org/brasspier/standins/InternalCalls.java
+++ b/standins/src/main/java/org/brasspier/standins/InternalCalls.java
@@ -15,16 +15,17 @@
 
 	private final HttpClient http;
 
-	private final String callers;
+	private final String callerPort;
 
 	/**
 	 * Creates a caller.
 	 * @param http the HTTP client
-	 * @param callers the IP:PORT of the daemon's caller port, empty if no calls are made
+	 * @param callerPort the IP:PORT of the daemon's caller port, empty if no calls are
+	 * made
 	 */
-	InternalCalls(HttpClient http, String callers) {
+	InternalCalls(HttpClient http, String callerPort) {
 		this.http = http;
-		this.callers = callers;
+		this.callerPort = callerPort;
 	}
 
 	/**
@@ -33,14 +34,14 @@
 	 * @param order the order that is running
 	 * @return completes when the call is over, however it ended
 	 */
-	Promise<Void> ask(WorkPlan plan, Order order) {
-		int colon = plan.ask().indexOf(':');
-		if (colon < 0 || this.callers.isEmpty()) {
+	Promise<Void> call(WorkPlan plan, Order order) {
+		int colon = plan.internalCall().indexOf(':');
+		if (colon < 0 || this.callerPort.isEmpty()) {
 			return Promise.complete();
 		}
 		HttpRequest request = HttpRequest
-			.get("http://" + this.callers + "/v1/" + plan.ask().substring(0, colon) + "/asked")
-			.withHeader(HttpHeaders.of("Brasspier-Key"), plan.ask().substring(colon + 1))
+			.get("http://" + this.callerPort + "/v1/" + plan.internalCall().substring(0, colon) + "/asked")
+			.withHeader(HttpHeaders.of("Brasspier-Key"), plan.internalCall().substring(colon + 1))
 			.withHeader(HttpHeaders.of("Brasspier-Request-Id"), order.id() + "/asked")
 			.withHeader(HttpHeaders.of("Brasspier-Class"), "internal")
 			.withHeader(HttpHeaders.of("Brasspier-Caller"), "standin")
--- a/standins/src/main/java/org/brasspier/standins/LinkState.java
+++ b/standins/src/main/java/org/brasspier/standins/LinkState.java
@@ -6,7 +6,7 @@
 public enum LinkState {
 
 	/** Passes everything on, after its delay. */
-	WHOLE(false, false),
+	HEALTHY(false, false),
 
 	/** Closes open connections and each new one. */
 	RESET(false, false),
@@ -22,21 +22,21 @@
 	/** Passes on requests only. */
 	HELD_BACK(false, true);
 
-	private final boolean holdsForth;
+	private final boolean holdsRequests;
 
-	private final boolean holdsBack;
+	private final boolean holdsAnswers;
 
-	LinkState(boolean holdsForth, boolean holdsBack) {
-		this.holdsForth = holdsForth;
-		this.holdsBack = holdsBack;
+	LinkState(boolean holdsRequests, boolean holdsAnswers) {
+		this.holdsRequests = holdsRequests;
+		this.holdsAnswers = holdsAnswers;
 	}
 
-	boolean holdsForth() {
-		return this.holdsForth;
+	boolean holdsRequests() {
+		return this.holdsRequests;
 	}
 
-	boolean holdsBack() {
-		return this.holdsBack;
+	boolean holdsAnswers() {
+		return this.holdsAnswers;
 	}
 
 }
--- a/standins/src/main/java/org/brasspier/standins/Order.java
+++ b/standins/src/main/java/org/brasspier/standins/Order.java
@@ -14,24 +14,24 @@
  * @param requestClass the class, in lower case
  * @param fence the fence, 0 if none was given
  * @param range the range, as {@code LOW-HIGH}
- * @param deadlineAt milliseconds since 1970 after which it must not begin or take effect;
- * 0 if none was given
+ * @param deadlineMillis milliseconds since 1970 after which it must not begin or take
+ * effect; 0 if none was given
  */
-record Order(String id, String key, String requestClass, long fence, String range, long deadlineAt) {
+record Order(String id, String key, String requestClass, long fence, String range, long deadlineMillis) {
 
 	static final Order NONE = new Order("", "", "", 0, "", 0);
 
 	static Order of(HttpRequest request) {
-		return new Order(field(request, "Brasspier-Request-Id"), field(request, "Brasspier-Key"),
-				field(request, "Brasspier-Class"), number(field(request, "Brasspier-Fence")),
-				field(request, "Brasspier-Range"), number(field(request, "Brasspier-Deadline-At")));
+		return new Order(header(request, "Brasspier-Request-Id"), header(request, "Brasspier-Key"),
+				header(request, "Brasspier-Class"), parseNumber(header(request, "Brasspier-Fence")),
+				header(request, "Brasspier-Range"), parseNumber(header(request, "Brasspier-Deadline-At")));
 	}
 
-	private static String field(HttpRequest request, String name) {
+	private static String header(HttpRequest request, String name) {
 		return Optional.ofNullable(request.getHeader(HttpHeaders.of(name))).orElse("");
 	}
 
-	private static long number(String text) {
+	private static long parseNumber(String text) {
 		return (text.matches("[0-9]{1,18}")) ? Long.parseLong(text) : 0;
 	}
 
@@ -39,8 +39,8 @@
 		return KeyHash.of((this.key.isEmpty()) ? this.id : this.key);
 	}
 
-	boolean overdueAt(long millis) {
-		return this.deadlineAt != 0 && millis > this.deadlineAt;
+	boolean isPastDeadline(long millis) {
+		return this.deadlineMillis != 0 && millis > this.deadlineMillis;
 	}
 
 }
--- a/standins/src/main/java/org/brasspier/standins/OrderHistory.java
+++ b/standins/src/main/java/org/brasspier/standins/OrderHistory.java
@@ -19,38 +19,38 @@
 	OrderHistory(List<ServerRecord> records) {
 		Map<String, List<Run>> runs = new HashMap<>();
 		Map<String, ServerRecord> open = new HashMap<>();
-		Map<String, ServerRecord> turnedAway = new HashMap<>();
+		Map<String, ServerRecord> refused = new HashMap<>();
 		for (ServerRecord line : records) {
-			String place = line.server() + "/" + line.incarnation() + "/" + line.id();
+			String runKey = line.server() + "/" + line.incarnation() + "/" + line.id();
 			switch (line.kind()) {
-				case BEGAN -> close(runs, open.put(place, line), Optional.empty());
+				case BEGAN -> addRun(runs, open.put(runKey, line), Optional.empty());
 				case NOT_RUN -> {
-					ServerRecord began = open.remove(place);
-					close(runs, began, Optional.of(line));
-					turnedAway.put(place, (began != null) ? began : line);
+					ServerRecord began = open.remove(runKey);
+					addRun(runs, began, Optional.of(line));
+					refused.put(runKey, (began != null) ? began : line);
 				}
 				case TOOK_EFFECT -> {
-					ServerRecord began = open.remove(place);
-					close(runs, (began != null) ? began : reopened(runs, turnedAway.remove(place)), Optional.of(line));
+					ServerRecord began = open.remove(runKey);
+					addRun(runs, (began != null) ? began : reopen(runs, refused.remove(runKey)), Optional.of(line));
 				}
 				case STARTED, GRANTED, WITHDRAWN -> {
 				}
 			}
 		}
-		open.values().forEach((began) -> close(runs, began, Optional.empty()));
+		open.values().forEach((began) -> addRun(runs, began, Optional.empty()));
 		this.runsById = Map.copyOf(runs);
 	}
 
 	// Two orders of one id at one server: the second is shed before it begins, while the
 	// first goes on and takes effect. The shed one's end must not hide the effect.
-	private static @Nullable ServerRecord reopened(Map<String, List<Run>> runs, @Nullable ServerRecord began) {
+	private static @Nullable ServerRecord reopen(Map<String, List<Run>> runs, @Nullable ServerRecord began) {
 		if (began != null) {
 			runs.getOrDefault(began.id(), List.of()).removeIf((run) -> run.began().equals(began));
 		}
 		return began;
 	}
 
-	private static void close(Map<String, List<Run>> runs, @Nullable ServerRecord began, Optional<ServerRecord> end) {
+	private static void addRun(Map<String, List<Run>> runs, @Nullable ServerRecord began, Optional<ServerRecord> end) {
 		if (began != null) {
 			runs.computeIfAbsent(began.id(), (id) -> new ArrayList<>()).add(new Run(began, end));
 		}
--- a/standins/src/main/java/org/brasspier/standins/OrderRunner.java
+++ b/standins/src/main/java/org/brasspier/standins/OrderRunner.java
@@ -29,11 +29,11 @@
 
 	private static final int COLD_FACTOR = 3;
 
-	private static final int CRASH_STATUS = 86;
+	private static final int CRASH_EXIT_CODE = 86;
 
-	private static final int SHED = 503;
+	private static final int SHED_STATUS = 503;
 
-	private static final int REFUSED = 409;
+	private static final int REFUSED_STATUS = 409;
 
 	private static final Gson GSON = new Gson();
 
@@ -47,11 +47,11 @@
 
 	private final long startedMillis = System.currentTimeMillis();
 
-	private final Deque<SettablePromise<Void>> waiting = new ArrayDeque<>();
+	private final Deque<SettablePromise<Void>> slotWaiters = new ArrayDeque<>();
 
-	private final Map<String, Running> running = new HashMap<>();
+	private final Map<String, RunningOrder> runningOrders = new HashMap<>();
 
-	private int taken;
+	private int usedSlots;
 
 	OrderRunner(BackendFlags flags, ServerHistory history, GrantTable grants, InternalCalls calls) {
 		this.flags = flags;
@@ -60,40 +60,40 @@
 		this.calls = calls;
 	}
 
-	int running() {
-		return this.taken;
+	int usedSlots() {
+		return this.usedSlots;
 	}
 
 	Promise<HttpResponse> run(HttpRequest request) {
 		Order order = Order.of(request);
 		WorkPlan plan = WorkPlan.of(request);
-		if (this.taken >= this.flags.slots && this.waiting.size() >= this.flags.waiting) {
-			return notRun(order, SHED, "shed");
+		if (this.usedSlots >= this.flags.slots && this.slotWaiters.size() >= this.flags.maxWaiting) {
+			return answerNotRun(order, SHED_STATUS, "shed");
 		}
-		return slot().then(() -> begin(order, plan).whenComplete(this::release));
+		return acquireSlot().then(() -> begin(order, plan).whenComplete(this::releaseSlot));
 	}
 
 	void cancel(String id) {
-		Running run = this.running.get(id);
+		RunningOrder run = this.runningOrders.get(id);
 		if (run != null) {
 			run.cancelled = true;
 		}
 	}
 
-	private Promise<Void> slot() {
-		if (this.taken < this.flags.slots) {
-			this.taken++;
+	private Promise<Void> acquireSlot() {
+		if (this.usedSlots < this.flags.slots) {
+			this.usedSlots++;
 			return Promise.complete();
 		}
-		SettablePromise<Void> turn = new SettablePromise<>();
-		this.waiting.add(turn);
-		return turn;
+		SettablePromise<Void> granted = new SettablePromise<>();
+		this.slotWaiters.add(granted);
+		return granted;
 	}
 
-	private void release() {
-		SettablePromise<Void> next = this.waiting.poll();
+	private void releaseSlot() {
+		SettablePromise<Void> next = this.slotWaiters.poll();
 		if (next == null) {
-			this.taken--;
+			this.usedSlots--;
 		}
 		else {
 			next.set(null);
@@ -102,52 +102,53 @@
 
 	private Promise<HttpResponse> begin(Order order, WorkPlan plan) {
 		long atMicros = ServerHistory.nowMicros();
-		if (mayNot(order, atMicros)) {
-			return refused(order, atMicros);
+		if (mustRefuse(order, atMicros)) {
+			return refuse(order, atMicros);
 		}
-		this.history.order(ServerRecord.Kind.BEGAN, atMicros, order, "");
+		this.history.recordOrder(ServerRecord.Kind.BEGAN, atMicros, order, "");
 		if (plan.crash()) {
-			Runtime.getRuntime().halt(CRASH_STATUS);
+			Runtime.getRuntime().halt(CRASH_EXIT_CODE);
 		}
-		Running run = new Running();
-		this.running.put(order.id(), run);
-		return this.calls.ask(plan, order)
+		RunningOrder run = new RunningOrder();
+		this.runningOrders.put(order.id(), run);
+		return this.calls.call(plan, order)
 			.then(() -> Promises.delay(workMillis(order, plan)))
 			.then(() -> end(order, plan, run));
 	}
 
-	private Promise<HttpResponse> end(Order order, WorkPlan plan, Running run) {
-		this.running.remove(order.id(), run);
+	private Promise<HttpResponse> end(Order order, WorkPlan plan, RunningOrder run) {
+		this.runningOrders.remove(order.id(), run);
 		if (run.cancelled) {
-			return notRun(order, SHED, "cancelled");
+			return answerNotRun(order, SHED_STATUS, "cancelled");
 		}
 		long atMicros = ServerHistory.nowMicros();
-		if (mayNot(order, atMicros)) {
-			return refused(order, atMicros);
+		if (mustRefuse(order, atMicros)) {
+			return refuse(order, atMicros);
 		}
-		this.history.order(ServerRecord.Kind.TOOK_EFFECT, atMicros, order, "");
+		this.history.recordOrder(ServerRecord.Kind.TOOK_EFFECT, atMicros, order, "");
 		return answer(order, 200)
 			.withJson(GSON.toJson(new EchoedAnswer(order.id(), order.key(), this.flags.service, this.flags.name,
 					order.fence(), "x".repeat(plan.padding()), EchoedAnswer.END)))
 			.toPromise();
 	}
 
-	private boolean mayNot(Order order, long atMicros) {
-		return overdue(order, atMicros) || this.flags.checksFences && !this.grants.covers(order, atMicros / 1000);
+	private boolean mustRefuse(Order order, long atMicros) {
+		return isPastDeadline(order, atMicros)
+				|| this.flags.checksFences && !this.grants.covers(order, atMicros / 1000);
 	}
 
-	private static boolean overdue(Order order, long atMicros) {
-		return order.overdueAt(atMicros / 1000);
+	private static boolean isPastDeadline(Order order, long atMicros) {
+		return order.isPastDeadline(atMicros / 1000);
 	}
 
-	private Promise<HttpResponse> refused(Order order, long atMicros) {
-		return (overdue(order, atMicros)) ? notRun(order, SHED, "past its deadline")
-				: notRun(order, REFUSED, "no grant covers this fence");
+	private Promise<HttpResponse> refuse(Order order, long atMicros) {
+		return (isPastDeadline(order, atMicros)) ? answerNotRun(order, SHED_STATUS, "past its deadline")
+				: answerNotRun(order, REFUSED_STATUS, "no grant covers this fence");
 	}
 
-	private Promise<HttpResponse> notRun(Order order, int status, String why) {
-		this.history.order(ServerRecord.Kind.NOT_RUN, ServerHistory.nowMicros(), order, why);
-		return answer(order, status).withHeader(RAN, "not_run").withPlainText(why).toPromise();
+	private Promise<HttpResponse> answerNotRun(Order order, int status, String reason) {
+		this.history.recordOrder(ServerRecord.Kind.NOT_RUN, ServerHistory.nowMicros(), order, reason);
+		return answer(order, status).withHeader(RAN, "not_run").withPlainText(reason).toPromise();
 	}
 
 	private static HttpResponse.Builder answer(Order order, int status) {
@@ -155,21 +156,21 @@
 	}
 
 	private long workMillis(Order order, WorkPlan plan) {
-		int mean = (plan.workMillis() >= 0) ? plan.workMillis() : switch (order.requestClass()) {
+		int meanMillis = (plan.workMillis() >= 0) ? plan.workMillis() : switch (order.requestClass()) {
 			case "posting" -> this.flags.postingMillis;
 			case "internal" -> this.flags.internalMillis;
 			case "audit" -> this.flags.auditMillis;
 			default -> this.flags.lookupMillis;
 		};
 		boolean cold = System.currentTimeMillis() - this.startedMillis < this.flags.coldStartMillis;
-		double varied = mean * (1 + this.flags.spread * ThreadLocalRandom.current().nextDouble(-1, 1));
-		return Math.round((cold) ? varied * COLD_FACTOR : varied);
+		double variedMillis = meanMillis * (1 + this.flags.spread * ThreadLocalRandom.current().nextDouble(-1, 1));
+		return Math.round((cold) ? variedMillis * COLD_FACTOR : variedMillis);
 	}
 
 	/**
 	 * An order that has begun.
 	 */
-	private static final class Running {
+	private static final class RunningOrder {
 
 		private boolean cancelled;
 
--- a/standins/src/main/java/org/brasspier/standins/PlatformFaults.java
+++ b/standins/src/main/java/org/brasspier/standins/PlatformFaults.java
@@ -41,11 +41,11 @@
 	 * @param writes how many of the next writes
 	 * @return the faults
 	 */
-	public static PlatformFaults losing(int writes) {
+	public static PlatformFaults losingAnswers(int writes) {
 		return new PlatformFaults(false, 0, writes);
 	}
 
-	PlatformFaults withOneLost() {
+	PlatformFaults withOneLostAnswerLess() {
 		return new PlatformFaults(this.outage, this.slowMillis, this.lostAnswers - 1);
 	}
 
--- a/standins/src/main/java/org/brasspier/standins/PlatformStandIn.java
+++ b/standins/src/main/java/org/brasspier/standins/PlatformStandIn.java
@@ -39,7 +39,7 @@
 
 	private static final int MAX_BODY_BYTES = 8 << 20;
 
-	private static final int TOO_MANY = 429;
+	private static final int TOO_MANY_REQUESTS = 429;
 
 	private static final int UNAVAILABLE = 503;
 
@@ -59,9 +59,9 @@
 
 	private final Map<String, byte[]> objects = new HashMap<>();
 
-	private final RateLimit writeLimit = new RateLimit(WRITES_A_SECOND, System.nanoTime());
+	private final RateLimiter writeLimit = new RateLimiter(WRITES_A_SECOND, System.nanoTime());
 
-	private final RateLimit readLimit = new RateLimit(READS_A_SECOND, System.nanoTime());
+	private final RateLimiter readLimit = new RateLimiter(READS_A_SECOND, System.nanoTime());
 
 	private final AtomicLong reads = new AtomicLong();
 
@@ -84,11 +84,11 @@
 		this.address = address;
 		this.tokens = Set.of(token);
 		this.server = this.loop.call(() -> {
-			HttpServer listening = HttpServer.builder(this.loop.reactor(), this::serve)
+			HttpServer httpServer = HttpServer.builder(this.loop.reactor(), this::serve)
 				.withListenAddress(address)
 				.build();
-			listening.listen();
-			return listening;
+			httpServer.listen();
+			return httpServer;
 		});
 	}
 
@@ -153,16 +153,16 @@
 	 * @param key the row's key
 	 * @param value the new value
 	 */
-	public void damage(String key, byte[] value) {
+	public void corruptRow(String key, byte[] value) {
 		this.loop.call(() -> this.table.merge(key, new Row(1, value),
-				(old, given) -> new Row(old.version() + 1, given.value())));
+				(present, replacement) -> new Row(present.version() + 1, replacement.value())));
 	}
 
 	/**
 	 * Changes the bearer tokens that calls must carry.
 	 * @param accepted the tokens, each of them accepted
 	 */
-	public void accept(String... accepted) {
+	public void acceptTokens(String... accepted) {
 		this.tokens = Set.of(accepted);
 	}
 
@@ -183,14 +183,14 @@
 		if (this.faults.outage()) {
 			return status(UNAVAILABLE);
 		}
-		if (!((write) ? this.writeLimit : this.readLimit).pass(System.nanoTime())) {
-			return status(TOO_MANY);
+		if (!((write) ? this.writeLimit : this.readLimit).tryAcquire(System.nanoTime())) {
+			return status(TOO_MANY_REQUESTS);
 		}
-		int half = this.faults.slowMillis() / 2;
+		int halfDelayMillis = this.faults.slowMillis() / 2;
 		return request.loadBody(MAX_BODY_BYTES)
-			.then((body) -> pause(half, body.getArray()))
+			.then((body) -> pause(halfDelayMillis, body.getArray()))
 			.then((body) -> (write) ? write(request, path, body) : read(request, path))
-			.then((response) -> pause(half, response));
+			.then((response) -> pause(halfDelayMillis, response));
 	}
 
 	private static <T> Promise<T> pause(int millis, T value) {
@@ -224,8 +224,8 @@
 			return status(404);
 		}
 		String version = Long.toString(row.version());
-		boolean known = version.equals(request.getHeader(UNLESS_VERSION));
-		HttpResponse.Builder answer = (known) ? HttpResponse.ofCode(304)
+		boolean unchanged = version.equals(request.getHeader(UNLESS_VERSION));
+		HttpResponse.Builder answer = (unchanged) ? HttpResponse.ofCode(304)
 				: HttpResponse.ok200().withBody(row.value().clone());
 		return answer.withHeader(VERSION, version).toPromise();
 	}
@@ -236,7 +236,7 @@
 		}
 		if (path.startsWith("/objects/") && VALID_NAME.matcher(path).matches()) {
 			this.objects.put(path.substring("/objects/".length()), body);
-			return answer(HttpResponse.ok200());
+			return answerUnlessLost(HttpResponse.ok200());
 		}
 		return status(400);
 	}
@@ -249,16 +249,16 @@
 		Row row = this.table.get(key);
 		long actual = (row != null) ? row.version() : 0;
 		if (actual != Long.parseLong(expected)) {
-			return answer(HttpResponse.ofCode(412).withHeader(VERSION, Long.toString(actual)));
+			return answerUnlessLost(HttpResponse.ofCode(412).withHeader(VERSION, Long.toString(actual)));
 		}
 		this.table.put(key, new Row(actual + 1, body));
-		return answer(HttpResponse.ok200().withHeader(VERSION, Long.toString(actual + 1)));
+		return answerUnlessLost(HttpResponse.ok200().withHeader(VERSION, Long.toString(actual + 1)));
 	}
 
 	// The write is over; what is left is to tell of it, or not to.
-	private Promise<HttpResponse> answer(HttpResponse.Builder response) {
+	private Promise<HttpResponse> answerUnlessLost(HttpResponse.Builder response) {
 		if (this.faults.lostAnswers() > 0) {
-			this.faults = this.faults.withOneLost();
+			this.faults = this.faults.withOneLostAnswerLess();
 			return new SettablePromise<>();
 		}
 		return response.toPromise();
--- a/standins/src/main/java/org/brasspier/standins/PortSlice.java
+++ b/standins/src/main/java/org/brasspier/standins/PortSlice.java
@@ -16,11 +16,11 @@
  * thread-safe.
  *
  * @param lowest the first port that may be handed out
- * @param guard bound to the port before it
+ * @param guardSocket bound to the port before it
  */
-record PortSlice(int lowest, ServerSocket guard) implements AutoCloseable {
+record PortSlice(int lowest, ServerSocket guardSocket) implements AutoCloseable {
 
-	private static final long LOOK_AGAIN_NANOS = Duration.ofMillis(100).toNanos();
+	private static final long RETRY_NANOS = Duration.ofMillis(100).toNanos();
 
 	/**
 	 * Claims a slice. Where all are held it waits until one is given back.
@@ -31,25 +31,25 @@
 	 * @return the slice, held until it is closed or this process ends
 	 */
 	static PortSlice claim(int first, int ports, int preferred, int slices) {
-		return Stream.generate(() -> anyFree(first, ports, preferred, slices))
+		return Stream.generate(() -> tryClaim(first, ports, preferred, slices))
 			.flatMap(Optional::stream)
 			.findFirst()
 			.orElseThrow();
 	}
 
-	private static Optional<PortSlice> anyFree(int first, int ports, int preferred, int slices) {
+	private static Optional<PortSlice> tryClaim(int first, int ports, int preferred, int slices) {
 		Optional<PortSlice> free = IntStream.range(0, slices)
 			.map((step) -> first + (preferred - 1 + step) % slices * ports)
-			.mapToObj(PortSlice::guardedBy)
+			.mapToObj(PortSlice::tryBind)
 			.flatMap(Optional::stream)
 			.findFirst();
 		if (free.isEmpty()) {
-			LockSupport.parkNanos(LOOK_AGAIN_NANOS);
+			LockSupport.parkNanos(RETRY_NANOS);
 		}
 		return free;
 	}
 
-	private static Optional<PortSlice> guardedBy(int port) {
+	private static Optional<PortSlice> tryBind(int port) {
 		try {
 			return Optional.of(new PortSlice(port + 1, new ServerSocket(port, 1, InetAddress.getLoopbackAddress())));
 		}
@@ -61,7 +61,7 @@
 
 	@Override
 	public void close() throws IOException {
-		this.guard.close();
+		this.guardSocket.close();
 	}
 
 }
--- a/standins/src/main/java/org/brasspier/standins/Ports.java
+++ b/standins/src/main/java/org/brasspier/standins/Ports.java
@@ -23,9 +23,9 @@
 
 	private static final int SLICE_PORTS = 5_000;
 
-	private static final int FIRST = 12_000;
+	private static final int FIRST_PORT = 12_000;
 
-	private static final int LAST = 32_000;
+	private static final int PORTS_END = 32_000;
 
 	private static final int MAX_TRIES = 1000;
 
@@ -37,20 +37,20 @@
 	 * @return the address on 127.0.0.1
 	 */
 	public static synchronized InetSocketAddress free() {
-		IllegalStateException none = new IllegalStateException(
+		IllegalStateException noFreePort = new IllegalStateException(
 				"no free port was found in %d tries".formatted(MAX_TRIES));
 		for (int i = 0; i < MAX_TRIES; i++) {
-			int port = ThreadLocalRandom.current().nextInt(OwnSlice.LOWEST, OwnSlice.HIGHEST);
-			Optional<IOException> fault = OwnSlice.given.contains(port) ? Optional.empty() : bind(port);
-			if (fault.isEmpty() && OwnSlice.given.add(port)) {
+			int port = ThreadLocalRandom.current().nextInt(ProcessSlice.LOWEST, ProcessSlice.HIGHEST);
+			Optional<IOException> failure = ProcessSlice.handedOut.contains(port) ? Optional.empty() : tryBind(port);
+			if (failure.isEmpty() && ProcessSlice.handedOut.add(port)) {
 				return new InetSocketAddress("127.0.0.1", port);
 			}
-			fault.ifPresent(none::addSuppressed);
+			failure.ifPresent(noFreePort::addSuppressed);
 		}
-		throw none;
+		throw noFreePort;
 	}
 
-	private static Optional<IOException> bind(int port) {
+	private static Optional<IOException> tryBind(int port) {
 		try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
 			return Optional.empty();
 		}
@@ -82,9 +82,9 @@
 	 * The slice of this process. Claimed when the first port is asked for, so that
 	 * programs that only read and write addresses have none.
 	 */
-	private static final class OwnSlice {
+	private static final class ProcessSlice {
 
-		private static final int SLICES = (LAST - FIRST) / SLICE_PORTS;
+		private static final int SLICES = (PORTS_END - FIRST_PORT) / SLICE_PORTS;
 
 		private static final int PREFERRED = Integer.getInteger(SLICE_PROPERTY, 1);
 
@@ -96,13 +96,13 @@
 		}
 
 		// Never closed: it is this process's own for as long as it runs.
-		private static final PortSlice SLICE = PortSlice.claim(FIRST, SLICE_PORTS, PREFERRED, SLICES);
+		private static final PortSlice SLICE = PortSlice.claim(FIRST_PORT, SLICE_PORTS, PREFERRED, SLICES);
 
 		static final int LOWEST = SLICE.lowest();
 
 		static final int HIGHEST = LOWEST + SLICE_PORTS - 1;
 
-		static final Set<Integer> given = new HashSet<>();
+		static final Set<Integer> handedOut = new HashSet<>();
 
 	}
 
--- a/standins/src/main/java/org/brasspier/standins/ProgramProcess.java
+++ b/standins/src/main/java/org/brasspier/standins/ProgramProcess.java
@@ -21,11 +21,11 @@
  */
 public final class ProgramProcess {
 
-	private static final Set<Process> started = ConcurrentHashMap.newKeySet();
+	private static final Set<Process> runningProcesses = ConcurrentHashMap.newKeySet();
 
 	static {
 		Runtime.getRuntime()
-			.addShutdownHook(new Thread(() -> started.forEach(Process::destroyForcibly), "end-processes"));
+			.addShutdownHook(new Thread(() -> runningProcesses.forEach(Process::destroyForcibly), "end-processes"));
 	}
 
 	private final String name;
@@ -38,7 +38,7 @@
 
 	private final File log;
 
-	private volatile Runnable afterEnd = () -> {
+	private volatile Runnable exitAction = () -> {
 	};
 
 	private @Nullable Process process;
@@ -76,20 +76,20 @@
 	 * @return this
 	 */
 	public synchronized ProgramProcess start() {
-		if (alive()) {
+		if (isAlive()) {
 			throw new IllegalStateException(this.name + " is running already");
 		}
 		ProcessBuilder builder = new ProcessBuilder(this.command).redirectOutput(Redirect.appendTo(this.output))
 			.redirectError(Redirect.appendTo(this.log));
 		builder.environment().putAll(this.environment);
 		try {
-			Process fresh = builder.start();
-			started.add(fresh);
-			fresh.onExit().thenAccept((ended) -> {
-				started.remove(ended);
-				this.afterEnd.run();
+			Process newProcess = builder.start();
+			runningProcesses.add(newProcess);
+			newProcess.onExit().thenAccept((exited) -> {
+				runningProcesses.remove(exited);
+				this.exitAction.run();
 			});
-			this.process = fresh;
+			this.process = newProcess;
 		}
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
@@ -101,15 +101,15 @@
 	 * Sets what is done each time the process has ended.
 	 * @param action what
 	 */
-	void afterEnd(Runnable action) {
-		this.afterEnd = action;
+	void onExit(Runnable action) {
+		this.exitAction = action;
 	}
 
 	/**
 	 * Whether the process runs, paused or not.
 	 * @return true if it does
 	 */
-	public synchronized boolean alive() {
+	public synchronized boolean isAlive() {
 		return this.process != null && this.process.isAlive();
 	}
 
@@ -117,7 +117,7 @@
 	 * Ends the process at once, without warning.
 	 */
 	public void kill() {
-		current().destroyForcibly();
+		startedProcess().destroyForcibly();
 		awaitExit(Await.LIMIT);
 	}
 
@@ -125,7 +125,7 @@
 	 * Tells the process to end in good order, and does not wait.
 	 */
 	public void terminate() {
-		current().destroy();
+		startedProcess().destroy();
 	}
 
 	/**
@@ -144,7 +144,7 @@
 
 	private void signal(String signal) {
 		try {
-			new ProcessBuilder("kill", signal, Long.toString(current().pid())).start().waitFor();
+			new ProcessBuilder("kill", signal, Long.toString(startedProcess().pid())).start().waitFor();
 		}
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
@@ -161,7 +161,7 @@
 	 * @throws IllegalStateException if the process does not end in time
 	 */
 	public int awaitExit(Duration limit) {
-		Process running = current();
+		Process running = startedProcess();
 		try {
 			if (!running.waitFor(limit.toMillis(), TimeUnit.MILLISECONDS)) {
 				throw new IllegalStateException("%s did not end within %d ms".formatted(this.name, limit.toMillis()));
@@ -178,7 +178,7 @@
 	 * @return the id
 	 */
 	public long pid() {
-		return current().pid();
+		return startedProcess().pid();
 	}
 
 	/**
@@ -197,7 +197,7 @@
 		return this.log.toPath();
 	}
 
-	private synchronized Process current() {
+	private synchronized Process startedProcess() {
 		if (this.process == null) {
 			throw new IllegalStateException(this.name + " was never started");
 		}
--- a/standins/src/main/java/org/brasspier/standins/RecoveryProbe.java
+++ b/standins/src/main/java/org/brasspier/standins/RecoveryProbe.java
@@ -16,11 +16,11 @@
  */
 public final class RecoveryProbe implements AutoCloseable {
 
-	private static final int EVERY_MILLIS = 60;
+	private static final int PERIOD_MILLIS = 60;
 
 	private static final int WAIT_MILLIS = 120;
 
-	private static final int MAX_KEYS = 10_000_000;
+	private static final int MAX_CANDIDATES = 10_000_000;
 
 	/** A hot key's range has one point; no other key is found in it by trying. */
 	private static final int MIN_POINTS = 1 << 16;
@@ -37,35 +37,36 @@
 	 * @param ranges the ranges; those of a few points are left out
 	 * @param keyed the services that are divided by key; others are asked by request id
 	 */
-	public RecoveryProbe(CallerFleet callers, List<OwnedRange> ranges, Set<String> keyed) {
+	public RecoveryProbe(CallerFleet callers, List<OwnedRange> ranges, Set<String> sharded) {
 		this.callers = callers;
-		List<OwnedRange> asked = ranges.stream().filter((range) -> range.range().size() >= MIN_POINTS).toList();
-		this.unanswered.addAll(asked);
-		asked.forEach((range) -> {
-			boolean byKey = keyed.contains(range.service());
-			String key = (byKey) ? "%s".formatted(keyIn(range, "recovery-")) : "";
-			this.timer.scheduleAtFixedRate(() -> ask(range, key), 0, EVERY_MILLIS, TimeUnit.MILLISECONDS);
+		List<OwnedRange> probed = ranges.stream().filter((range) -> range.range().size() >= MIN_POINTS).toList();
+		this.unanswered.addAll(probed);
+		probed.forEach((range) -> {
+			boolean byKey = sharded.contains(range.service());
+			String key = (byKey) ? "%s".formatted(findKeyIn(range, "recovery-")) : "";
+			this.timer.scheduleAtFixedRate(() -> sendProbe(range, key), 0, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
 		});
 	}
 
-	private static String keyIn(OwnedRange range, String prefix) {
-		return IntStream.range(0, MAX_KEYS)
+	private static String findKeyIn(OwnedRange range, String prefix) {
+		return IntStream.range(0, MAX_CANDIDATES)
 			.mapToObj((i) -> prefix + i)
 			.filter((key) -> range.range().contains(KeyHash.of(key)))
 			.findFirst()
 			.orElseThrow(() -> new IllegalStateException("no key was found in " + range));
 	}
 
-	private void ask(OwnedRange range, String key) {
+	private void sendProbe(OwnedRange range, String key) {
 		if (!this.unanswered.contains(range)) {
 			return;
 		}
-		String id = (key.isEmpty()) ? keyIn(range, this.callers.newId() + "-") : this.callers.newId();
-		this.callers.ask(StandInRequest.lookup(range.service(), key, id).waiting(WAIT_MILLIS)).thenAccept((done) -> {
-			if (done.outcome() == CallerRecord.Outcome.ANSWERED) {
-				this.unanswered.remove(range);
-			}
-		});
+		String id = (key.isEmpty()) ? findKeyIn(range, this.callers.newId() + "-") : this.callers.newId();
+		this.callers.call(StandInRequest.lookup(range.service(), key, id).withWaitMillis(WAIT_MILLIS))
+			.thenAccept((done) -> {
+				if (done.outcome() == CallerRecord.Outcome.ANSWERED) {
+					this.unanswered.remove(range);
+				}
+			});
 	}
 
 	/**
--- a/standins/src/main/java/org/brasspier/standins/ServerHistory.java
+++ b/standins/src/main/java/org/brasspier/standins/ServerHistory.java
@@ -34,15 +34,15 @@
 		return ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
 	}
 
-	void started() {
+	void recordStart() {
 		write(ServerRecord.Kind.STARTED, nowMicros(), Order.NONE, "");
 	}
 
-	void grant(ServerRecord.Kind kind, long fence, String range) {
+	void recordGrant(ServerRecord.Kind kind, long fence, String range) {
 		write(kind, nowMicros(), new Order("", "", "", fence, range, 0), "");
 	}
 
-	void order(ServerRecord.Kind kind, long atMicros, Order order, String note) {
+	void recordOrder(ServerRecord.Kind kind, long atMicros, Order order, String note) {
 		write(kind, atMicros, order, note);
 	}
 
--- a/standins/src/main/java/org/brasspier/standins/ServerRecords.java
+++ b/standins/src/main/java/org/brasspier/standins/ServerRecords.java
@@ -26,14 +26,14 @@
 	static List<ServerRecord> read(List<Path> files) {
 		return files.stream()
 			.filter(Files::exists)
-			.flatMap(ServerRecords::lines)
+			.flatMap(ServerRecords::readFile)
 			.sorted(Comparator.comparingLong(ServerRecord::atMicros))
 			.toList();
 	}
 
-	private static Stream<ServerRecord> lines(Path file) {
+	private static Stream<ServerRecord> readFile(Path file) {
 		try {
-			return Files.readAllLines(file).stream().flatMap(ServerRecords::record);
+			return Files.readAllLines(file).stream().flatMap(ServerRecords::parse);
 		}
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
@@ -41,7 +41,7 @@
 	}
 
 	// A process that is killed while it writes leaves half a line.
-	private static Stream<ServerRecord> record(String line) {
+	private static Stream<ServerRecord> parse(String line) {
 		try {
 			return Stream.ofNullable(GSON.fromJson(line, ServerRecord.class));
 		}
@@ -65,11 +65,11 @@
 			.filter((line) -> line.server().equals(server))
 			.map((line) -> new OwnedRange(line.service(), line.keyRange(), line.server(), line.fence()))
 			.distinct()
-			.filter((owned) -> grants.stream().noneMatch((line) -> replaces(line, owned)))
+			.filter((owned) -> grants.stream().noneMatch((line) -> supersedes(line, owned)))
 			.toList();
 	}
 
-	private static boolean replaces(ServerRecord line, OwnedRange owned) {
+	private static boolean supersedes(ServerRecord line, OwnedRange owned) {
 		return line.service().equals(owned.service()) && line.fence() > owned.fence()
 				&& line.keyRange().low() < owned.range().high() && owned.range().low() < line.keyRange().high();
 	}
--- a/standins/src/main/java/org/brasspier/standins/Probe.java
+++ b/standins/src/main/java/org/brasspier/standins/ServiceProbe.java
@@ -7,27 +7,28 @@
 /**
  * Finds out whether a service is served. Stateless and thread-safe.
  */
-final class Probe {
+final class ServiceProbe {
 
 	/** Enough that each range of a small deployment is likely met. */
-	private static final int KEYS = 64;
+	private static final int PROBES = 64;
 
 	private static final int WAIT_MILLIS = 5000;
 
-	private Probe() {
+	private ServiceProbe() {
 	}
 
-	static void served(CallerFleet callers, ServiceShape service) {
-		Await.until("each probe of %s is answered".formatted(service.name()), () -> unserved(callers, service) == 0);
+	static void awaitServed(CallerFleet callers, ServiceShape service) {
+		Await.until("each probe of %s is answered".formatted(service.name()),
+				() -> countUnanswered(callers, service) == 0);
 	}
 
-	private static long unserved(CallerFleet callers, ServiceShape service) {
-		List<CompletableFuture<CallerRecord>> asked = IntStream.range(0, KEYS)
+	private static long countUnanswered(CallerFleet callers, ServiceShape service) {
+		List<CompletableFuture<CallerRecord>> results = IntStream.range(0, PROBES)
 			.mapToObj((i) -> callers
-				.ask(StandInRequest.lookup(service.name(), (service.keyed()) ? "probe-" + i : "", callers.newId())
-					.waiting(WAIT_MILLIS)))
+				.call(StandInRequest.lookup(service.name(), (service.sharded()) ? "probe-" + i : "", callers.newId())
+					.withWaitMillis(WAIT_MILLIS)))
 			.toList();
-		return asked.stream()
+		return results.stream()
 			.map(CompletableFuture::join)
 			.filter((done) -> done.outcome() != CallerRecord.Outcome.ANSWERED)
 			.count();
--- a/standins/src/main/java/org/brasspier/standins/ServiceShape.java
+++ b/standins/src/main/java/org/brasspier/standins/ServiceShape.java
@@ -4,13 +4,14 @@
  * One service of a deployment. Immutable and thread-safe.
  *
  * @param name the service's name
- * @param keyed whether it is divided by key
+ * @param sharded whether it is divided by key
  * @param servers how many backend servers it has
  * @param slots how many orders each runs at once
  * @param connections how many connections each accepts
  * @param checksFences whether they refuse old fences
  */
-public record ServiceShape(String name, boolean keyed, int servers, int slots, int connections, boolean checksFences) {
+public record ServiceShape(String name, boolean sharded, int servers, int slots, int connections,
+		boolean checksFences) {
 
 	/**
 	 * Checks the numbers.
--- a/standins/src/main/java/org/brasspier/standins/StandInInstance.java
+++ b/standins/src/main/java/org/brasspier/standins/StandInInstance.java
@@ -20,7 +20,7 @@
 		InetSocketAddress callers, ProgramProcess daemon, ProgramProcess server, InstanceSecrets secrets) {
 
 	/** A planned stop takes a few seconds; its limit in the daemon is a minute. */
-	private static final Duration MAX_LEAVE = Duration.ofSeconds(60);
+	private static final Duration STOP_LIMIT = Duration.ofSeconds(60);
 
 	/**
 	 * Starts both processes.
@@ -61,9 +61,9 @@
 	 */
 	public void stop() {
 		this.server.terminate();
-		this.server.awaitExit(MAX_LEAVE);
+		this.server.awaitExit(STOP_LIMIT);
 		this.daemon.terminate();
-		this.daemon.awaitExit(MAX_LEAVE);
+		this.daemon.awaitExit(STOP_LIMIT);
 	}
 
 }
--- a/standins/src/main/java/org/brasspier/standins/StandInRequest.java
+++ b/standins/src/main/java/org/brasspier/standins/StandInRequest.java
@@ -54,7 +54,7 @@
 	 * @param other the path
 	 * @return the request
 	 */
-	public StandInRequest at(String other) {
+	public StandInRequest withPath(String other) {
 		return new StandInRequest(this.service, this.key, this.id, this.requestClass, this.caller, other, this.padding,
 				this.waitMillis);
 	}
@@ -64,7 +64,7 @@
 	 * @param millis how long the caller waits in all, in milliseconds
 	 * @return the request
 	 */
-	public StandInRequest waiting(int millis) {
+	public StandInRequest withWaitMillis(int millis) {
 		return new StandInRequest(this.service, this.key, this.id, this.requestClass, this.caller, this.path,
 				this.padding, millis);
 	}
@@ -74,7 +74,7 @@
 	 * @param other the id
 	 * @return the request
 	 */
-	public StandInRequest as(String other) {
+	public StandInRequest withId(String other) {
 		return new StandInRequest(this.service, this.key, other, this.requestClass, this.caller, this.path,
 				this.padding, this.waitMillis);
 	}
--- a/standins/src/main/java/org/brasspier/standins/TrafficMix.java
+++ b/standins/src/main/java/org/brasspier/standins/TrafficStream.java
@@ -6,15 +6,15 @@
  * One steady stream of requests. Immutable and thread-safe.
  *
  * @param service the service
- * @param keyed whether the service is divided by key
+ * @param sharded whether the service is divided by key
  * @param requestClass the class, in lower case
  * @param perSecond how many requests a second begin
- * @param keys over how many keys
+ * @param keyCount over how many keys
  * @param hotShare the share of requests that go to one hot key, 0 to 1
  * @param path what the server is asked to do, see {@link WorkPlan}
  * @param padding how many characters the answers are padded with
  */
-public record TrafficMix(String service, boolean keyed, String requestClass, double perSecond, int keys,
+public record TrafficStream(String service, boolean sharded, String requestClass, double perSecond, int keyCount,
 		double hotShare, String path, int padding) {
 
 	private static final int WAIT_MILLIS = 5000;
@@ -23,27 +23,27 @@
 	 * Checks the numbers.
 	 * @throws IllegalArgumentException if one is out of range
 	 */
-	public TrafficMix {
-		if (perSecond < 0 || keys < 1 || hotShare < 0 || hotShare > 1) {
+	public TrafficStream {
+		if (perSecond < 0 || keyCount < 1 || hotShare < 0 || hotShare > 1) {
 			throw new IllegalArgumentException(
-					"perSecond %s, keys %d or hotShare %s is out of range".formatted(perSecond, keys, hotShare));
+					"perSecond %s, keys %d or hotShare %s is out of range".formatted(perSecond, keyCount, hotShare));
 		}
 	}
 
 	/**
 	 * A stream with no hot key and short answers.
 	 * @param service the service
-	 * @param keyed whether the service is divided by key
+	 * @param sharded whether the service is divided by key
 	 * @param requestClass the class, in lower case
 	 * @param perSecond how many requests a second begin
 	 * @return the stream
 	 */
-	public static TrafficMix steady(String service, boolean keyed, String requestClass, double perSecond) {
-		return new TrafficMix(service, keyed, requestClass, perSecond, 500, 0, "/work", 0);
+	public static TrafficStream steady(String service, boolean sharded, String requestClass, double perSecond) {
+		return new TrafficStream(service, sharded, requestClass, perSecond, 500, 0, "/work", 0);
 	}
 
 	StandInRequest next(String id) {
-		String key = (this.keyed) ? key() : "";
+		String key = (this.sharded) ? key() : "";
 		String fullPath = (this.padding > 0)
 				? this.path + ((this.path.contains("?")) ? "&" : "?") + "pad=" + this.padding : this.path;
 		return new StandInRequest(this.service, key, id, this.requestClass, "office-" + id.hashCode() % 5, fullPath,
@@ -52,7 +52,7 @@
 
 	private String key() {
 		ThreadLocalRandom random = ThreadLocalRandom.current();
-		return (random.nextDouble() < this.hotShare) ? "key-0" : "key-" + random.nextInt(this.keys);
+		return (random.nextDouble() < this.hotShare) ? "key-0" : "key-" + random.nextInt(this.keyCount);
 	}
 
 }
--- a/standins/src/main/java/org/brasspier/standins/Violation.java
+++ b/standins/src/main/java/org/brasspier/standins/Violation.java
@@ -3,21 +3,21 @@
 /**
  * A promise that the histories show broken. Immutable and thread-safe.
  *
- * @param promise which promise
+ * @param invariant which promise
  * @param detail what shows it
  */
-public record Violation(Promise promise, String detail) {
+public record Violation(Invariant invariant, String detail) {
 
 	/**
 	 * What must always hold.
 	 */
-	public enum Promise {
+	public enum Invariant {
 
 		/** A key has one owner at any moment. */
 		ONE_OWNER,
 
 		/** Nothing begins under a fence that a higher one has replaced. */
-		NO_DEAD_FENCE,
+		NO_STALE_FENCE,
 
 		/** A posting runs at most once. */
 		RUNS_ONCE,
--- a/standins/src/test/java/org/brasspier/standins/BackendStandInTests.java
+++ b/standins/src/test/java/org/brasspier/standins/BackendStandInTests.java
@@ -53,7 +53,7 @@
 		grant(5, LONG_MILLIS);
 		HttpResponse<String> answer = order("/look", 5);
 		assertThat(answer.statusCode()).isEqualTo(200);
-		assertThat(EchoedAnswer.answers(answer.body(), "id", "key", 0)).isTrue();
+		assertThat(EchoedAnswer.isCompleteAnswer(answer.body(), "id", "key", 0)).isTrue();
 		assertThat(kinds())
 			.containsAtLeast(ServerRecord.Kind.GRANTED, ServerRecord.Kind.BEGAN, ServerRecord.Kind.TOOK_EFFECT)
 			.inOrder();
--- a/standins/src/test/java/org/brasspier/standins/FaultProxyTests.java
+++ b/standins/src/test/java/org/brasspier/standins/FaultProxyTests.java
@@ -54,7 +54,7 @@
 			assertThat(ask(socket, 'x')).isEqualTo('x');
 			link.state(LinkState.HELD_BACK);
 			assertThrows(SocketTimeoutException.class, () -> ask(socket, 'y'));
-			link.state(LinkState.WHOLE);
+			link.state(LinkState.HEALTHY);
 			assertThat(socket.getInputStream().read()).isEqualTo('y');
 		}
 	}
--- a/standins/src/test/java/org/brasspier/standins/HistoryCheckerTests.java
+++ b/standins/src/test/java/org/brasspier/standins/HistoryCheckerTests.java
@@ -29,28 +29,28 @@
 	void anEffectAfterTheNextOwnerBeganIsTwoOwners() {
 		assertThat(check(List.of(order(Kind.BEGAN, 1, "a", "id-1", 5), order(Kind.BEGAN, 2, "b", "id-2", 8),
 				order(Kind.TOOK_EFFECT, 3, "a", "id-1", 5)), List.of()))
-			.containsExactly(Violation.Promise.ONE_OWNER);
+			.containsExactly(Violation.Invariant.ONE_OWNER);
 	}
 
 	@Test
 	void twoServersUnderOneFenceAreTwoOwners() {
 		assertThat(check(List.of(order(Kind.BEGAN, 1, "a", "id-1", 5), order(Kind.TOOK_EFFECT, 2, "a", "id-1", 5),
 				order(Kind.BEGAN, 3, "b", "id-2", 5), order(Kind.TOOK_EFFECT, 4, "b", "id-2", 5)), List.of()))
-			.contains(Violation.Promise.ONE_OWNER);
+			.contains(Violation.Invariant.ONE_OWNER);
 	}
 
 	@Test
 	void anOrderThatBeginsUnderAReplacedFenceIsFound() {
 		assertThat(check(List.of(order(Kind.BEGAN, 1, "b", "id-1", 8), order(Kind.BEGAN, 2, "a", "id-2", 5),
 				order(Kind.NOT_RUN, 3, "a", "id-2", 5)), List.of()))
-			.containsExactly(Violation.Promise.NO_DEAD_FENCE);
+			.containsExactly(Violation.Invariant.NO_STALE_FENCE);
 	}
 
 	@Test
 	void aPostingThatTookEffectTwiceIsFound() {
 		assertThat(check(List.of(order(Kind.BEGAN, 1, "a", "id-1", 5), order(Kind.TOOK_EFFECT, 2, "a", "id-1", 5),
 				order(Kind.BEGAN, 3, "a", "id-1", 5), order(Kind.TOOK_EFFECT, 4, "a", "id-1", 5)), List.of()))
-			.containsExactly(Violation.Promise.RUNS_ONCE);
+			.containsExactly(Violation.Invariant.RUNS_ONCE);
 	}
 
 	// A request is sent again while its first order still runs on a server whose queue is
@@ -63,14 +63,14 @@
 		List<ServerRecord> twice = List.of(order(Kind.BEGAN, 1, "a", "id-1", 5), order(Kind.NOT_RUN, 2, "a", "id-1", 5),
 				order(Kind.TOOK_EFFECT, 3, "a", "id-1", 5), order(Kind.BEGAN, 5, "b", "id-1", 8),
 				order(Kind.TOOK_EFFECT, 6, "b", "id-1", 8));
-		assertThat(check(twice, List.of())).containsExactly(Violation.Promise.RUNS_ONCE);
+		assertThat(check(twice, List.of())).containsExactly(Violation.Invariant.RUNS_ONCE);
 	}
 
 	@Test
 	void aPostingThatMayHaveRunOnALostServerAndRunsAgainIsFound() {
 		assertThat(check(List.of(order(Kind.BEGAN, 1, "a", "id-1", 5), order(Kind.BEGAN, 3, "b", "id-1", 8),
 				order(Kind.TOOK_EFFECT, 4, "b", "id-1", 8)), List.of()))
-			.containsExactly(Violation.Promise.RUNS_ONCE);
+			.containsExactly(Violation.Invariant.RUNS_ONCE);
 	}
 
 	@Test
@@ -79,7 +79,7 @@
 				List.of(order(Kind.BEGAN, 1, "a", "id-1", 5), order(Kind.TOOK_EFFECT, 2, "a", "id-1", 5),
 						order(Kind.BEGAN, 3, "a", "id-1~1", 5), order(Kind.TOOK_EFFECT, 4, "a", "id-1~1", 5)),
 				List.of()))
-			.containsExactly(Violation.Promise.RUNS_ONCE);
+			.containsExactly(Violation.Invariant.RUNS_ONCE);
 	}
 
 	@Test
@@ -92,19 +92,19 @@
 	@Test
 	void theAnswerToAnotherRequestIsFound() {
 		Attempt foreign = attempt("id-1", 1, 4, 200, Attempt.RAN, false);
-		assertThat(check(ran("id-1"), List.of(caller(foreign)))).containsExactly(Violation.Promise.OWN_ANSWER);
+		assertThat(check(ran("id-1"), List.of(caller(foreign)))).containsExactly(Violation.Invariant.OWN_ANSWER);
 	}
 
 	@Test
 	void anAnswerWithoutAnEffectIsFound() {
 		assertThat(check(List.of(), List.of(caller(answered("id-1", 1, 4)))))
-			.containsExactly(Violation.Promise.ANSWERED_HAS_RUN);
+			.containsExactly(Violation.Invariant.ANSWERED_HAS_RUN);
 	}
 
 	@Test
 	void aRequestThatWasRefusedAsNotRunAndRanIsFound() {
 		Attempt refused = attempt("id-1", 1, 4, 503, Attempt.NOT_RUN, false);
-		assertThat(check(ran("id-1"), List.of(caller(refused)))).containsExactly(Violation.Promise.NOT_RUN_IS_TRUE);
+		assertThat(check(ran("id-1"), List.of(caller(refused)))).containsExactly(Violation.Invariant.NOT_RUN_IS_TRUE);
 	}
 
 	@Test
@@ -116,21 +116,22 @@
 	@Test
 	void anAssignmentThatGoesBackToAnOlderOneIsFound() {
 		assertThat(check(List.of(grant(1, "b", 8), grant(2, "a", 5)), List.of()))
-			.containsExactly(Violation.Promise.ASSIGNMENT_KEPT);
+			.containsExactly(Violation.Invariant.ASSIGNMENT_KEPT);
 	}
 
 	@Test
 	void aConfigurationThatRevertsIsFound() {
-		List<DocumentReading> readings = List.of(new DocumentReading(1, "a", 3), new DocumentReading(2, "b", 2),
-				new DocumentReading(3, "a", 0), new DocumentReading(4, "a", 2));
-		assertThat(HistoryChecker.checkDocuments(readings).stream().map(Violation::promise).toList())
-			.containsExactly(Violation.Promise.CONFIGURATION_KEPT);
+		List<DocumentVersionReport> readings = List.of(new DocumentVersionReport(1, "a", 3),
+				new DocumentVersionReport(2, "b", 2), new DocumentVersionReport(3, "a", 0),
+				new DocumentVersionReport(4, "a", 2));
+		assertThat(HistoryChecker.checkDocuments(readings).stream().map(Violation::invariant).toList())
+			.containsExactly(Violation.Invariant.CONFIGURATION_KEPT);
 	}
 
-	private static List<Violation.Promise> check(List<ServerRecord> servers, List<CallerRecord> callers) {
+	private static List<Violation.Invariant> check(List<ServerRecord> servers, List<CallerRecord> callers) {
 		return HistoryChecker.check(servers, callers, Set.of("hullbook"))
 			.stream()
-			.map(Violation::promise)
+			.map(Violation::invariant)
 			.distinct()
 			.toList();
 	}
--- a/standins/src/test/java/org/brasspier/standins/PlatformStandInTests.java
+++ b/standins/src/test/java/org/brasspier/standins/PlatformStandInTests.java
@@ -38,7 +38,7 @@
 
 	@Test
 	void aWriteWhoseAnswerIsLostTakesEffect() throws Exception {
-		this.platform.faults(PlatformFaults.losing(1));
+		this.platform.faults(PlatformFaults.losingAnswers(1));
 		assertThrows(HttpTimeoutException.class, () -> put("a", 0, "value"));
 		assertThat(get("a").body()).isEqualTo("value");
 	}
--- a/standins/src/test/java/org/brasspier/standins/RateLimitTests.java
+++ b/standins/src/test/java/org/brasspier/standins/RateLimiterTests.java
@@ -7,14 +7,14 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class RateLimitTests {
+class RateLimiterTests {
 
 	@Test
 	void callsBeyondTheRateAreTurnedAwayUntilTimePasses() {
-		RateLimit limit = new RateLimit(400, 0);
-		assertThat(IntStream.range(0, 1000).filter((i) -> limit.pass(0)).count()).isEqualTo(400);
+		RateLimiter limit = new RateLimiter(400, 0);
+		assertThat(IntStream.range(0, 1000).filter((i) -> limit.tryAcquire(0)).count()).isEqualTo(400);
 		long later = TimeUnit.MILLISECONDS.toNanos(500);
-		assertThat(IntStream.range(0, 1000).filter((i) -> limit.pass(later)).count()).isEqualTo(200);
+		assertThat(IntStream.range(0, 1000).filter((i) -> limit.tryAcquire(later)).count()).isEqualTo(200);
 	}
 
 }
