--- a/standins/src/main/java/org/brasspier/standins/Attempt.java
+++ b/standins/src/main/java/org/brasspier/standins/Attempt.java
@@ -3,21 +3,20 @@
 import java.net.InetSocketAddress;
 
 /**
- * One sending of a request and what came of it, as the caller saw it. Immutable and
+ * One attempt to send a request and its outcome, as the caller saw it. Immutable and
  * thread-safe.
  *
  * @param id the request id it was sent under
- * @param daemon where it was sent
+ * @param daemon address of the daemon that it was sent to
  * @param sentMicros when it was sent, in microseconds since 1970
  * @param endMicros when it ended
  * @param status the answer's status, 0 if none came
  * @param ran {@code ran}, {@code not_run} or {@code unknown}; {@code unknown} as well if
  * no answer came, {@code not_run} if no connection could be opened
- * @param error the kind of error, empty if none was told
- * @param matchesRequest whether a 2xx answer was the whole answer to this very request
+ * @param error the kind of error, empty if the answer has none
+ * @param matchesRequest whether a 2xx answer was the complete answer to this request
  * @param ticket the ticket that the answer carried, empty if none
- * @param retryAfterMillis when the answer says that a resend makes sense, 0 if it doesn't
- * say
+ * @param retryAfterMillis pause before a resend that the answer asks for, 0 if none
  */
 public record Attempt(String id, InetSocketAddress daemon, long sentMicros, long endMicros, int status, String ran,
 		String error, boolean matchesRequest, String ticket, int retryAfterMillis) {
--- a/standins/src/main/java/org/brasspier/standins/Await.java
+++ b/standins/src/main/java/org/brasspier/standins/Await.java
@@ -10,9 +10,9 @@
 public final class Await {
 
 	/**
-	 * Long enough for a machine with more work than cores, where half a minute was not: a
-	 * deployment's third instance got its share of the ranges later than that. A
-	 * condition that is met ends the wait at once.
+	 * Limit of a wait. Thirty seconds were too short on an overloaded machine, where the
+	 * third instance of a deployment got its share of the ranges later than that. A wait
+	 * ends as soon as its condition is met.
 	 */
 	public static final Duration LIMIT = Duration.ofMinutes(2);
 
@@ -23,9 +23,9 @@
 
 	/**
 	 * Waits until a condition is met.
-	 * @param what the condition, for the message
+	 * @param what description of the condition, for the error message
 	 * @param condition the condition
-	 * @throws IllegalStateException if it is not met within thirty seconds
+	 * @throws IllegalStateException if it is not met within {@link #LIMIT}
 	 */
 	public static void until(String what, BooleanSupplier condition) {
 		until(what, LIMIT, condition);
@@ -33,8 +33,8 @@
 
 	/**
 	 * Waits until a condition is met.
-	 * @param what the condition, for the message
-	 * @param limit how long to wait at most
+	 * @param what description of the condition, for the error message
+	 * @param limit longest time to wait
 	 * @param condition the condition
 	 * @throws IllegalStateException if it is not met in time
 	 */
@@ -42,7 +42,7 @@
 		long end = System.nanoTime() + limit.toNanos();
 		while (!condition.getAsBoolean()) {
 			if (System.nanoTime() - end > 0) {
-				throw new IllegalStateException("waited %d ms in vain until %s".formatted(limit.toMillis(), what));
+				throw new IllegalStateException("condition not met within %d ms: %s".formatted(limit.toMillis(), what));
 			}
 			LockSupport.parkNanos(POLL.toNanos());
 		}
--- a/standins/src/main/java/org/brasspier/standins/BackendFlags.java
+++ b/standins/src/main/java/org/brasspier/standins/BackendFlags.java
@@ -3,7 +3,8 @@
 import com.beust.jcommander.Parameter;
 
 /**
- * The flags of a {@link BackendStandIn}. Filled in once, then read only.
+ * The command-line flags of a {@link BackendStandIn}. Set once by the parser, then only
+ * read.
  */
 final class BackendFlags {
 
@@ -37,7 +38,8 @@
 	@Parameter(names = "--checks-fences", arity = 1)
 	boolean checksFences = true;
 
-	@Parameter(names = "--cold-start-millis", description = "for how long after its start each order takes thrice")
+	@Parameter(names = "--cold-start-millis",
+			description = "how long after the start each order takes three times as long")
 	int coldStartMillis;
 
 	@Parameter(names = "--lookup-millis")
@@ -52,7 +54,7 @@
 	@Parameter(names = "--audit-millis")
 	int auditMillis = 40;
 
-	@Parameter(names = "--spread", description = "share by which a time varies both ways, 0 to 1")
+	@Parameter(names = "--spread", description = "share by which the duration of an order varies up and down, 0 to 1")
 	double spread = 0.5;
 
 	@Parameter(names = "--lying", description = "health always says ready and idle")
--- a/standins/src/main/java/org/brasspier/standins/BackendStandIn.java
+++ b/standins/src/main/java/org/brasspier/standins/BackendStandIn.java
@@ -25,13 +25,16 @@
 
 /**
  * A backend server as docs/API.md describes it. Its history goes to the standard output.
- * On SIGTERM it drains and ends once its daemon says that it may.
+ * On SIGTERM it drains and exits once its daemon reports it as drained.
  */
 public final class BackendStandIn {
 
 	private static final long ANNOUNCE_PERIOD_MILLIS = 1000;
 
-	/** A draining server wants to know at once when it may end. */
+	/**
+	 * A draining server announces itself more often, so that it learns soon that it is
+	 * drained.
+	 */
 	private static final long DRAINING_ANNOUNCE_PERIOD_MILLIS = 50;
 
 	private static final long MAX_DRAIN_SECONDS = 30;
@@ -71,7 +74,7 @@
 	}
 
 	/**
-	 * Runs a backend server until the process is told to end.
+	 * Runs a backend server until the process is terminated.
 	 * @param arguments the flags
 	 */
 	public static void main(String[] arguments) {
@@ -162,15 +165,15 @@
 	}
 
 	/**
-	 * What the server says of itself.
+	 * The server's announcement to its daemon.
 	 *
 	 * @param service its service
-	 * @param address where it listens
+	 * @param address address on which it listens
 	 * @param state ready or draining
-	 * @param slots how many requests it runs at once
-	 * @param connections how many connections it accepts
+	 * @param slots number of requests that it runs concurrently
+	 * @param connections number of connections that it accepts
 	 * @param checksFences whether it refuses old fences
-	 * @param coldStartMillis how long it is slow after its start
+	 * @param coldStartMillis how long it is slow after its start, in milliseconds
 	 */
 	private record Announcement(String service, String address, String state, int slots, int connections,
 			@SerializedName("checks_fences") boolean checksFences,
@@ -182,8 +185,8 @@
 	 * The answer of the health path.
 	 *
 	 * @param state ready or draining
-	 * @param running how many orders run
-	 * @param load share of the slots that are taken
+	 * @param running number of running orders
+	 * @param load share of the slots in use
 	 */
 	private record Health(String state, int running, double load) {
 
--- a/standins/src/main/java/org/brasspier/standins/CallerClient.java
+++ b/standins/src/main/java/org/brasspier/standins/CallerClient.java
@@ -21,20 +21,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Sends one request to one daemon and records what came of it. Belongs to one thread.
+ * Sends single requests to a daemon and records the outcome of each. Belongs to one
+ * thread.
  */
 final class CallerClient {
 
-	/** Callers wait this much longer than the deadline that they tell. */
+	/** Callers wait this much longer than the deadline that they send. */
 	private static final int GRACE_MILLIS = 300;
 
 	/**
-	 * The daemons' answers allow two seconds ({@code Keep-Alive}); the library looks for
-	 * connections that rested too long once a second.
+	 * Daemons keep idle connections for two seconds ({@code Keep-Alive} in their
+	 * answers); the library checks for idle connections only once a second.
 	 */
 	private static final Duration KEEP_ALIVE = Duration.ofMillis(500);
 
-	/** A connection that is silent for this much longer than any attempt is given up. */
+	/**
+	 * A connection that is idle for this much longer than the longest attempt is closed.
+	 */
 	private static final Duration IDLE_GRACE = Duration.ofMillis(500);
 
 	private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
@@ -46,9 +49,9 @@
 	/**
 	 * Creates a client.
 	 * @param reactor the thread's reactor
-	 * @param delayMillis one way to the daemons, in milliseconds; it passes here and not
-	 * in the proxy, so that a refused connection is seen as what it is
-	 * @param attemptMillis how long an attempt lasts at most
+	 * @param delayMillis one-way delay to the daemons, in milliseconds; it is applied
+	 * here and not in the proxy, so that a refused connection is recognized as refused
+	 * @param attemptMillis longest duration of an attempt
 	 */
 	CallerClient(NioReactor reactor, long delayMillis, int attemptMillis) {
 		this.delayMillis = delayMillis;
@@ -62,9 +65,9 @@
 	/**
 	 * Sends a request.
 	 * @param request the request
-	 * @param daemon where to
-	 * @param options the particulars of this sending
-	 * @return what came of it, never an exception
+	 * @param daemon address of the daemon
+	 * @param options ticket and deadline of this attempt
+	 * @return the outcome; never completes with an exception
 	 */
 	Promise<Attempt> send(StandInRequest request, InetSocketAddress daemon, AttemptOptions options) {
 		int deadlineMillis = options.deadlineMillis();
@@ -79,7 +82,7 @@
 	}
 
 	private static HttpRequest build(StandInRequest request, InetSocketAddress daemon, AttemptOptions options) {
-		HttpMethod method = (request.posting()) ? HttpMethod.POST : HttpMethod.GET;
+		HttpMethod method = (request.isPosting()) ? HttpMethod.POST : HttpMethod.GET;
 		HttpRequest.Builder builder = HttpRequest
 			.builder(method, "http://" + Ports.text(daemon) + "/v1/" + request.service() + request.path())
 			.withHeader(HttpHeaders.of("Brasspier-Request-Id"), request.id())
@@ -93,7 +96,7 @@
 		if (!options.ticket().isEmpty()) {
 			builder.withHeader(HttpHeaders.of("Brasspier-Ticket"), options.ticket());
 		}
-		if (request.posting()) {
+		if (request.isPosting()) {
 			builder.withBody("{\"posting\": \"%s\"}".formatted(request.id()));
 		}
 		return builder.build();
@@ -129,10 +132,10 @@
 	}
 
 	/**
-	 * The particulars of one sending.
+	 * Ticket and deadline of one attempt.
 	 *
 	 * @param ticket the ticket, empty if none
-	 * @param mayHaveRun whether an earlier sending may have run
+	 * @param mayHaveRun whether an earlier attempt may have run
 	 * @param deadlineMillis how long the answer may take, in milliseconds
 	 */
 	record AttemptOptions(String ticket, boolean mayHaveRun, int deadlineMillis) {
@@ -140,7 +143,7 @@
 	}
 
 	/**
-	 * What came back.
+	 * The answer to an attempt, or the reason why there is none.
 	 *
 	 * @param status see {@link Attempt}
 	 * @param ran see {@link Attempt}
--- a/standins/src/main/java/org/brasspier/standins/CallerFleet.java
+++ b/standins/src/main/java/org/brasspier/standins/CallerFleet.java
@@ -10,7 +10,8 @@
 import io.activej.promise.Promise;
 
 /**
- * Callers that send a bounded number of requests and record each. Thread-safe.
+ * Callers that send requests, with a bound on those in flight, and record how each ended.
+ * Thread-safe.
  */
 public final class CallerFleet implements AutoCloseable {
 
@@ -18,7 +19,11 @@
 
 	private static final int MAX_IN_FLIGHT = 600;
 
-	/** A busy machine's late tick is made up for; a paused one's is not sent at once. */
+	/**
+	 * Requests due are caught up after a tick that is late on a busy machine, up to this
+	 * time; after a long pause of the machine the rest is dropped and not sent in a
+	 * burst.
+	 */
 	private static final double MAX_TICK_SECONDS = 0.1;
 
 	private static final double NANOS_PER_SECOND = 1e9;
@@ -46,9 +51,9 @@
 	}
 
 	/**
-	 * Creates callers at a distance that send nothing yet.
+	 * Creates callers with a network delay that send nothing yet.
 	 * @param daemons the addresses of the daemons' caller ports
-	 * @param delayMillis one way between callers and daemons, in milliseconds
+	 * @param delayMillis one-way delay between callers and daemons, in milliseconds
 	 */
 	public CallerFleet(List<InetSocketAddress> daemons, double delayMillis) {
 		this(daemons, delayMillis, CallerRetryPolicy.UNLIMITED);
@@ -57,8 +62,8 @@
 	/**
 	 * Creates callers that send nothing yet.
 	 * @param daemons the addresses of the daemons' caller ports
-	 * @param delayMillis one way between callers and daemons, in milliseconds
-	 * @param patience how they wait and send again
+	 * @param delayMillis one-way delay between callers and daemons, in milliseconds
+	 * @param retryPolicy their time-outs and retries
 	 */
 	public CallerFleet(List<InetSocketAddress> daemons, double delayMillis, CallerRetryPolicy retryPolicy) {
 		this.caller = this.loop.call(() -> new RetryingCaller(
@@ -67,7 +72,7 @@
 	}
 
 	/**
-	 * Begins to send steady traffic, in place of what was sent before.
+	 * Sends steady traffic from now on, in place of the previous streams.
 	 * @param streams the streams
 	 */
 	public void setTraffic(List<TrafficStream> streams) {
@@ -78,8 +83,9 @@
 		}
 	}
 
-	// Counts the time that has passed and not ticks: on a busy machine ticks come late,
-	// and the callers would send less than they say.
+	// Computes the requests due from the time elapsed and not from the number of
+	// ticks: ticks are late on a busy machine, and the callers would send fewer
+	// requests than configured.
 	private void sendDue(double[] requestsDue, List<TrafficStream> streams, long lastNanos) {
 		long nowNanos = System.nanoTime();
 		if (this.streams != streams && !this.streams.equals(streams)) {
@@ -102,7 +108,7 @@
 	}
 
 	/**
-	 * An id that no other request has.
+	 * Returns a unique request id.
 	 * @return the id
 	 */
 	public String newId() {
@@ -120,9 +126,9 @@
 	}
 
 	/**
-	 * Sends one request, and resends it until it is answered or its time is over.
+	 * Sends one request and resends it until it is answered or its time limit is reached.
 	 * @param request the request
-	 * @return all that became of it
+	 * @return the record of the request with all its attempts
 	 */
 	public CompletableFuture<CallerRecord> call(StandInRequest request) {
 		CompletableFuture<CallerRecord> result = new CompletableFuture<>();
@@ -131,8 +137,8 @@
 	}
 
 	/**
-	 * Begins no more steady traffic and waits until all requests have ended, which they
-	 * do by their own time limits.
+	 * Stops the steady traffic and waits until all requests have ended; each ends by its
+	 * own time limit at the latest.
 	 */
 	public void finish() {
 		this.streams = List.of();
@@ -140,7 +146,7 @@
 	}
 
 	/**
-	 * What became of each request that has ended.
+	 * Returns the records of all requests that have ended.
 	 * @return the records, in the order of their ends
 	 */
 	public List<CallerRecord> records() {
--- a/standins/src/main/java/org/brasspier/standins/CallerRecord.java
+++ b/standins/src/main/java/org/brasspier/standins/CallerRecord.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * All that a caller knows of one request. Immutable and thread-safe.
+ * A caller's record of one request. Immutable and thread-safe.
  *
  * @param request the request
- * @param attempts its sendings, oldest first
+ * @param attempts its attempts, oldest first
  */
 public record CallerRecord(StandInRequest request, List<Attempt> attempts) {
 
@@ -18,7 +18,7 @@
 	}
 
 	/**
-	 * How it ended.
+	 * Returns how the request ended.
 	 * @return answered, refused with the certainty that it did not run, or failed
 	 */
 	public Outcome outcome() {
@@ -32,8 +32,8 @@
 	}
 
 	/**
-	 * The last sending.
-	 * @return what came of it
+	 * Returns the last attempt.
+	 * @return the attempt
 	 */
 	public Attempt lastAttempt() {
 		return this.attempts.getLast();
@@ -44,13 +44,13 @@
 	 */
 	public enum Outcome {
 
-		/** With its backend server's answer. */
+		/** It was answered by a backend server. */
 		ANSWERED,
 
-		/** Turned away, and it certainly did not run. */
+		/** It was refused and certainly did not run. */
 		REFUSED,
 
-		/** Without an answer that says what became of it. */
+		/** It ended without an answer that says whether it ran. */
 		FAILED
 
 	}
--- a/standins/src/main/java/org/brasspier/standins/DaemonPorts.java
+++ b/standins/src/main/java/org/brasspier/standins/DaemonPorts.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 
 /**
- * Where one daemon listens. Immutable and thread-safe.
+ * The addresses on which one daemon listens. Immutable and thread-safe.
  *
  * @param callers the port for callers
  * @param forwards the port for forwarded requests
--- a/standins/src/main/java/org/brasspier/standins/DatagramLink.java
+++ b/standins/src/main/java/org/brasspier/standins/DatagramLink.java
@@ -12,8 +12,9 @@
 import io.activej.net.socket.udp.UdpSocket;
 
 /**
- * One UDP address of the proxy and where it leads. Datagrams that are held are lost, as
- * they are on a network. Thread-safe.
+ * A UDP socket of the proxy that forwards datagrams to a target and answers back.
+ * Datagrams are dropped while their direction is held, since a network doesn't buffer
+ * them. Thread-safe.
  */
 public final class DatagramLink {
 
@@ -41,7 +42,7 @@
 	}
 
 	/**
-	 * The address to send to in place of the target's.
+	 * The address to send to instead of the target's.
 	 * @return the address
 	 */
 	public InetSocketAddress address() {
@@ -49,8 +50,8 @@
 	}
 
 	/**
-	 * Changes what the link does.
-	 * @param next the new state; {@link LinkState#RESET} loses everything too
+	 * Changes the state of the link.
+	 * @param next the new state; {@link LinkState#RESET} drops all datagrams as well
 	 */
 	public void state(LinkState next) {
 		this.state = next;
--- a/standins/src/main/java/org/brasspier/standins/Deployment.java
+++ b/standins/src/main/java/org/brasspier/standins/Deployment.java
@@ -17,13 +17,13 @@
 
 /**
  * A deployment of real processes on this machine: the platform's stand-in, and a daemon
- * and a backend server for each instance, each link between them through the proxy. Links
- * are named {@code FROM>TO} for daemons, {@code FROM>store}, {@code callers>TO} and
- * {@code NAME>server}. Thread-safe.
+ * and a backend server for each instance, with every connection between them through the
+ * proxy. Links are named {@code FROM>TO} for daemons, {@code FROM>store},
+ * {@code callers>TO} and {@code NAME>server}. Thread-safe.
  */
 public final class Deployment implements AutoCloseable {
 
-	/** A system property: if it is true, histories and logs of all deployments stay. */
+	/** System property: if true, histories and logs of all deployments are kept. */
 	private static final String KEEP_FILES = "brasspier.standins.keep-files";
 
 	private final DeploymentShape shape;
@@ -59,7 +59,7 @@
 	}
 
 	/**
-	 * Prepares a deployment of which no instance is started.
+	 * Creates a deployment without starting its instances.
 	 * @param shape its shape
 	 * @return the deployment, to be closed
 	 */
@@ -81,7 +81,7 @@
 	}
 
 	/**
-	 * Where histories and logs are.
+	 * Returns the folder of histories and logs.
 	 * @return the folder
 	 */
 	public Path folder() {
@@ -97,7 +97,8 @@
 	}
 
 	/**
-	 * Every secret that its processes begin with, for tests that look for them.
+	 * Returns every secret that its processes start with, for tests that search for
+	 * leaked secrets.
 	 * @return the shared key, the operators' secret and the platform's token
 	 */
 	public List<String> secrets() {
@@ -141,7 +142,8 @@
 	}
 
 	/**
-	 * Callers of all daemons, at the deployment's distance and past the proxy.
+	 * Creates callers that use all daemons, with the deployment's caller delay and
+	 * without the proxy.
 	 * @return callers that send nothing yet, to be closed
 	 */
 	public CallerFleet newCallers() {
@@ -150,7 +152,7 @@
 	}
 
 	/**
-	 * Where callers reach the daemons through the links {@code callers>NAME}.
+	 * Returns the daemons' addresses for callers through the links {@code callers>NAME}.
 	 * @return the proxied addresses, in the order of the instances
 	 */
 	public List<InetSocketAddress> callerAddresses() {
@@ -158,10 +160,10 @@
 	}
 
 	/**
-	 * Changes the links between two daemons, both ways.
+	 * Changes the links between two daemons in both directions.
 	 * @param one an instance
 	 * @param other another
-	 * @param state what their links do from now on
+	 * @param state the new state of their links
 	 */
 	public void setLinksBetween(StandInInstance one, StandInInstance other, LinkState state) {
 		setLinks((name) -> isLinkBetween(name, one.name(), other.name())
@@ -175,7 +177,7 @@
 	/**
 	 * Changes the link between a daemon and the platform's store.
 	 * @param instance the daemon's instance
-	 * @param state what the link does from now on
+	 * @param state the new state of the link
 	 */
 	public void setStoreLink(StandInInstance instance, LinkState state) {
 		setLinks((name) -> name.equals(instance.name() + ">store"), state);
@@ -184,7 +186,7 @@
 	/**
 	 * Changes the links of a daemon to all other daemons.
 	 * @param instance the daemon's instance
-	 * @param state what the links do from now on
+	 * @param state the new state of the links
 	 */
 	public void setPeerLinks(StandInInstance instance, LinkState state) {
 		this.instances.stream()
@@ -193,24 +195,24 @@
 	}
 
 	/**
-	 * Changes all links whose name is wanted.
-	 * @param filter which ones
-	 * @param state what they do from now on
+	 * Changes all links that a filter selects.
+	 * @param filter selects links by their name
+	 * @param state the new state of the links
 	 */
 	public void setLinks(Predicate<String> filter, LinkState state) {
 		this.proxy.links(filter).forEach((link) -> link.state(state));
 	}
 
 	/**
-	 * Waits until each service answers at each of a number of keys, through every running
-	 * daemon.
+	 * Waits until each service answers requests for a number of keys through every
+	 * running daemon.
 	 */
 	public void awaitServed() {
 		this.instances.stream().filter((instance) -> instance.daemon().isAlive()).forEach(this::awaitServedThrough);
 	}
 
-	// Callers that know one daemon only: others would answer in place of one that does
-	// not listen yet.
+	// Uses callers that know one daemon only: otherwise another daemon would answer in
+	// place of one that does not listen yet.
 	private void awaitServedThrough(StandInInstance entry) {
 		try (CallerFleet probe = new CallerFleet(List.of(entry.ports().callers()))) {
 			this.shape.services().forEach((service) -> ServiceProbe.awaitServed(probe, service));
@@ -226,7 +228,7 @@
 	}
 
 	/**
-	 * The instance that owns a key now, by what the servers recorded.
+	 * Returns the instance that owns a key at present, according to the servers' records.
 	 * @param service the service
 	 * @param key the key
 	 * @return the instance, empty if the key was never granted
@@ -238,9 +240,9 @@
 	}
 
 	/**
-	 * The ranges that an instance's server was granted last.
+	 * Returns the ranges that an instance's server holds.
 	 * @param instance the instance
-	 * @return the ranges, by what the servers recorded
+	 * @return the ranges, according to the servers' records
 	 */
 	public List<OwnedRange> ownedBy(StandInInstance instance) {
 		return ServerRecords.ownedBy(serverRecords(), instance.name(), Long.MAX_VALUE);
@@ -259,7 +261,7 @@
 	}
 
 	/**
-	 * Keeps histories and logs after the end, for somebody to read.
+	 * Keeps histories and logs when the deployment is closed, for analysis.
 	 * @return the folder
 	 */
 	public Path keepFiles() {
--- a/standins/src/main/java/org/brasspier/standins/DeploymentShape.java
+++ b/standins/src/main/java/org/brasspier/standins/DeploymentShape.java
@@ -4,14 +4,14 @@
 import java.util.stream.IntStream;
 
 /**
- * The size and the distances of a deployment. Immutable and thread-safe.
+ * The size and the network delays of a deployment. Immutable and thread-safe.
  *
  * @param name its name
- * @param domains its failure domains; the servers of each service are spread over them in
- * turn
+ * @param domains its failure domains; the servers of each service are assigned to them
+ * round-robin
  * @param services its services
- * @param peerDelayMillis one way between failure domains, in milliseconds
- * @param callerDelayMillis one way between callers and daemons, in milliseconds
+ * @param peerDelayMillis one-way delay between failure domains, in milliseconds
+ * @param callerDelayMillis one-way delay between callers and daemons, in milliseconds
  * @param twoPeerVersions whether every second daemon speaks the earliest peer protocol
  * only
  */
@@ -27,12 +27,12 @@
 	}
 
 	/**
-	 * A deployment whose daemons are all of this version.
+	 * Creates a deployment whose daemons all speak the latest peer protocol.
 	 * @param name its name
 	 * @param domains its failure domains
 	 * @param services its services
-	 * @param peerDelayMillis one way between failure domains, in milliseconds
-	 * @param callerDelayMillis one way between callers and daemons, in milliseconds
+	 * @param peerDelayMillis one-way delay between failure domains, in milliseconds
+	 * @param callerDelayMillis one-way delay between callers and daemons, in milliseconds
 	 */
 	public DeploymentShape(String name, List<String> domains, List<ServiceShape> services, double peerDelayMillis,
 			double callerDelayMillis) {
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	 * Lakeshore Hullwright Divers at today's size.
+	 * The deployment of Lakeshore Hullwright Divers at its present size.
 	 * @return the shape
 	 */
 	public static DeploymentShape lakeshore() {
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	 * Perhimpunan Kliring Cek Jawa at today's size.
+	 * The deployment of Perhimpunan Kliring Cek Jawa at its present size.
 	 * @return the shape
 	 */
 	public static DeploymentShape kliring() {
@@ -64,8 +64,9 @@
 	}
 
 	/**
-	 * A small one for tests: one service divided by key, whose servers check fences.
-	 * @param servers how many backend servers, each in a failure domain of its own
+	 * A small deployment for tests: one service divided by key, whose servers check
+	 * fences.
+	 * @param servers number of backend servers, each in a failure domain of its own
 	 * @return the shape
 	 */
 	public static DeploymentShape small(int servers) {
@@ -73,8 +74,8 @@
 	}
 
 	/**
-	 * A small one for tests: the given services over as many failure domains as the
-	 * largest has servers.
+	 * A small deployment for tests: the given services, spread over as many failure
+	 * domains as the largest of them has servers.
 	 * @param services the services
 	 * @return the shape
 	 */
@@ -85,8 +86,8 @@
 	}
 
 	/**
-	 * The same, as in the midst of a rolling replacement.
-	 * @return the shape with daemons of two versions side by side
+	 * The same deployment during a rolling upgrade.
+	 * @return the shape with daemons that speak two versions of the peer protocol
 	 */
 	public DeploymentShape withTwoPeerVersions() {
 		return new DeploymentShape(this.name, this.domains, this.services, this.peerDelayMillis, this.callerDelayMillis,
--- a/standins/src/main/java/org/brasspier/standins/EchoedAnswer.java
+++ b/standins/src/main/java/org/brasspier/standins/EchoedAnswer.java
@@ -4,15 +4,15 @@
 import com.google.gson.JsonParseException;
 
 /**
- * The body of a stand-in server's answer, by which a caller sees whether it got the
- * answer to its own request, and all of it. Immutable and thread-safe.
+ * The body of a stand-in server's answer. It lets a caller check that the answer is
+ * complete and belongs to its request. Immutable and thread-safe.
  *
  * @param id the request's id
  * @param key the request's key, empty if none
  * @param service the service
- * @param server who ran it
+ * @param server the server that ran the request
  * @param fence the fence it ran under
- * @param padding as many characters as the caller asked for
+ * @param padding as many characters as the caller requested
  * @param end {@link #END}, the last field
  */
 record EchoedAnswer(String id, String key, String service, String server, long fence, String padding, String end) {
@@ -22,11 +22,11 @@
 	private static final Gson GSON = new Gson();
 
 	/**
-	 * Whether a body is the whole answer to one request.
+	 * Whether a body is the complete answer to one request.
 	 * @param body the body
 	 * @param id the request's id
 	 * @param key its key, empty if none
-	 * @param padding how many characters the caller asked for
+	 * @param padding number of padding characters that the caller requested
 	 * @return true if it is
 	 */
 	static boolean isCompleteAnswer(String body, String id, String key, int padding) {
--- a/standins/src/main/java/org/brasspier/standins/FaultLink.java
+++ b/standins/src/main/java/org/brasspier/standins/FaultLink.java
@@ -11,8 +11,8 @@
 import io.activej.reactor.nio.NioReactor;
 
 /**
- * One TCP address of the proxy and where it leads. Its fault can be changed at any time.
- * Thread-safe.
+ * A TCP listener of the proxy that forwards connections to a target. Its state can be
+ * changed at any time. Thread-safe.
  */
 public final class FaultLink {
 
@@ -52,14 +52,14 @@
 
 	/**
 	 * The link's name.
-	 * @return who it leads from and to
+	 * @return the name that it was opened with
 	 */
 	public String name() {
 		return this.name;
 	}
 
 	/**
-	 * The address to connect to in place of the target's.
+	 * The address to connect to instead of the target's.
 	 * @return the address
 	 */
 	public InetSocketAddress address() {
@@ -67,7 +67,7 @@
 	}
 
 	/**
-	 * Changes what the link does, for open and for new connections.
+	 * Changes the state of the link, for open and for new connections.
 	 * @param next the new state
 	 */
 	public void state(LinkState next) {
@@ -76,15 +76,16 @@
 			if (next == LinkState.RESET) {
 				Set.copyOf(this.connections).forEach(Connection::close);
 			}
-			// What was held may end a pair as it's passed on.
+			// Applied to a copy: delivering held bytes may close a connection, which
+			// removes it from the set.
 			Set.copyOf(this.connections).forEach((connection) -> connection.apply(next));
 			return true;
 		});
 	}
 
 	/**
-	 * Makes each connection that is open now silent for good: what is sent over it is
-	 * lost and neither end is told. New connections work.
+	 * Silences all open connections permanently: what is sent over them is dropped and
+	 * neither end is notified. New connections work.
 	 */
 	public void silenceOpenConnections() {
 		this.loop.call(() -> {
@@ -94,7 +95,7 @@
 	}
 
 	/**
-	 * How many connections are open through this link.
+	 * Returns how many connections are open through this link.
 	 * @return the number
 	 */
 	public int openConnections() {
@@ -109,9 +110,9 @@
 	}
 
 	/**
-	 * Tells that the target's process has ended. A link that follows its target refuses
-	 * connections until the target listens again, as the target's own port would; else
-	 * whoever connects could not tell a refused connection from one that broke.
+	 * Called when the target's process has ended. A link that follows its target then
+	 * refuses connections until the target listens again, as the target's own port would.
+	 * Otherwise a client could not tell a refused connection from a broken one.
 	 */
 	void onTargetExit() {
 		if (this.followsTarget) {
@@ -171,7 +172,7 @@
 	}
 
 	/**
-	 * The two ends of one connection.
+	 * One forwarded connection: its sockets to the client and to the target.
 	 */
 	private final class Connection {
 
@@ -210,8 +211,8 @@
 			this.toClient.silence();
 		}
 
-		// The end of one side is a message too: over a silent connection the other side
-		// never hears of it.
+		// The end of a stream is data too: on a silenced connection the other side
+		// must not learn of it.
 		private void onPipeEnd() {
 			if (!this.silent) {
 				close();
--- a/standins/src/main/java/org/brasspier/standins/FaultPipe.java
+++ b/standins/src/main/java/org/brasspier/standins/FaultPipe.java
@@ -11,9 +11,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One direction of one connection through the proxy. While its direction is held, bytes
- * wait and are delivered afterwards, as TCP does after a partition; once it is silenced,
- * bytes are dropped for good. Belongs to the proxy's thread.
+ * One direction of one connection through the proxy. While the direction is held, bytes
+ * are buffered and delivered afterwards, as TCP does after a partition. Once it is
+ * silenced, all bytes are dropped. Belongs to the proxy's thread.
  */
 final class FaultPipe {
 
@@ -70,7 +70,8 @@
 	private long delayNanos() {
 		long wholeMillis = (long) this.delayMillis;
 		double fractionMillis = this.delayMillis - wholeMillis;
-		// Timers count milliseconds: 1.5 ms is one or two, each half of the time.
+		// Timers have a resolution of 1 ms: a delay of 1.5 ms is 1 ms or 2 ms, with
+		// equal probability.
 		return TimeUnit.MILLISECONDS.toNanos(wholeMillis
 				+ ((fractionMillis > 0 && ThreadLocalRandom.current().nextDouble() < fractionMillis) ? 1 : 0));
 	}
@@ -124,10 +125,10 @@
 	}
 
 	/**
-	 * Bytes on their way.
+	 * Bytes that wait to be delivered.
 	 *
 	 * @param bytes the bytes, null for the end of the stream
-	 * @param dueNanos when they arrive
+	 * @param dueNanos when they are due at the other end, in {@link System#nanoTime()}
 	 */
 	private record Chunk(@Nullable ByteBuf bytes, long dueNanos) {
 
--- a/standins/src/main/java/org/brasspier/standins/FaultProxy.java
+++ b/standins/src/main/java/org/brasspier/standins/FaultProxy.java
@@ -9,7 +9,7 @@
 import java.util.function.Predicate;
 
 /**
- * A proxy between processes that injects faults, one thread with any number of links.
+ * A proxy between processes that injects network faults. All its links run on one thread.
  * Thread-safe.
  */
 public final class FaultProxy implements AutoCloseable {
@@ -19,10 +19,10 @@
 	private final Map<String, FaultLink> links = new ConcurrentHashMap<>();
 
 	/**
-	 * Opens a TCP link, or gives the one that has this name.
-	 * @param name who it leads from and to
-	 * @param target where it leads
-	 * @param delayMillis how long each way takes, in milliseconds
+	 * Returns the TCP link with this name, and opens it first if there is none.
+	 * @param name the link's name, for instance {@code FROM>TO}
+	 * @param target address that the link forwards to
+	 * @param delayMillis delay of each direction, in milliseconds
 	 * @return the link
 	 */
 	public FaultLink link(String name, InetSocketAddress target, double delayMillis) {
@@ -31,8 +31,8 @@
 
 	/**
 	 * Opens a TCP link that refuses connections while its target does not listen.
-	 * @param name who it leads from and to
-	 * @param target where it leads
+	 * @param name the link's name, for instance {@code FROM>TO}
+	 * @param target address that the link forwards to
 	 * @return the link, without delay
 	 */
 	FaultLink targetFollowingLink(String name, InetSocketAddress target) {
@@ -41,8 +41,8 @@
 
 	/**
 	 * Opens a UDP link.
-	 * @param target where it leads
-	 * @param delayMillis how long each way takes, in milliseconds
+	 * @param target address that the link forwards to
+	 * @param delayMillis delay of each direction, in milliseconds
 	 * @return the link
 	 * @throws IOException if no port can be opened
 	 */
@@ -52,8 +52,8 @@
 	}
 
 	/**
-	 * The links that were opened so far.
-	 * @param filter which ones, by their name
+	 * Returns the open TCP links that a filter selects.
+	 * @param filter selects links by their name
 	 * @return the links
 	 */
 	public List<FaultLink> links(Predicate<String> filter) {
@@ -61,7 +61,7 @@
 	}
 
 	/**
-	 * Makes every link whole again.
+	 * Sets all TCP links to {@link LinkState#HEALTHY}.
 	 */
 	public void heal() {
 		this.links.values().forEach((link) -> link.state(LinkState.HEALTHY));
--- a/standins/src/main/java/org/brasspier/standins/GrantTable.java
+++ b/standins/src/main/java/org/brasspier/standins/GrantTable.java
@@ -9,8 +9,8 @@
 import org.brasspier.core.KeyRange;
 
 /**
- * What the daemon has granted to a backend server, as docs/API.md describes it. Belongs
- * to one thread.
+ * The ranges that the daemon has granted to a backend server, as described in
+ * docs/API.md. Belongs to one thread.
  */
 final class GrantTable {
 
@@ -50,7 +50,7 @@
 	/**
 	 * Whether an order may begin or take effect.
 	 * @param order the order
-	 * @param atMillis the time it would, in milliseconds since 1970
+	 * @param atMillis the time at which it would, in milliseconds since 1970
 	 * @return true if a grant that is still valid covers its point with the same fence
 	 */
 	boolean covers(Order order, long atMillis) {
@@ -60,7 +60,7 @@
 	}
 
 	/**
-	 * The daemon's message.
+	 * The daemon's message, which replaces all grants.
 	 */
 	static final class Message {
 
--- a/standins/src/main/java/org/brasspier/standins/HistoryChecker.java
+++ b/standins/src/main/java/org/brasspier/standins/HistoryChecker.java
@@ -13,8 +13,8 @@
 import org.brasspier.core.KeyRange;
 
 /**
- * Reads the histories of callers and backend servers and finds promises that were broken.
- * It knows nothing of what daemons believe. Stateless and thread-safe.
+ * Checks the histories of callers and backend servers for violated invariants. It uses no
+ * state of the daemons, so that it can't share their errors. Stateless and thread-safe.
  */
 public final class HistoryChecker {
 
@@ -22,11 +22,11 @@
 	}
 
 	/**
-	 * Checks all that callers and servers recorded.
+	 * Checks all records of callers and servers.
 	 * @param servers the servers' records in the order of time
 	 * @param callers the callers' records
 	 * @param sharded the services that are divided by key
-	 * @return the broken promises, none if all held
+	 * @return the violations, empty if all invariants held
 	 */
 	public static List<Violation> check(List<ServerRecord> servers, List<CallerRecord> callers, Set<String> sharded) {
 		List<Violation> found = new ArrayList<>();
@@ -40,9 +40,9 @@
 	}
 
 	/**
-	 * Checks that no daemon went back to an older document.
-	 * @param reports what daemons said, in the order of time
-	 * @return the broken promises, none if all held
+	 * Checks that no daemon reverted to an older version of the configuration document.
+	 * @param reports the versions that daemons reported, in the order of time
+	 * @return the violations, empty if all invariants held
 	 */
 	public static List<Violation> checkDocuments(List<DocumentVersionReport> reports) {
 		Map<String, Long> highest = new HashMap<>();
@@ -78,7 +78,8 @@
 		return tenures.values();
 	}
 
-	// The owner under a higher fence has begun to work before this: the two overlap.
+	// Finds an owner with a higher fence that began to run orders before this record:
+	// the two owners overlap.
 	private static Stream<Violation> findHigherFence(ServerRecord line, Collection<Tenure> tenures,
 			Violation.Invariant invariant) {
 		return tenures.stream()
@@ -86,7 +87,7 @@
 					&& tenure.sinceMicros() < line.atMicros())
 			.limit(1)
 			.map((tenure) -> new Violation(invariant,
-					"%s by %s under fence %d at %d, though %s worked under fence %d since %d".formatted(line.id(),
+					"%s by %s under fence %d at %d, though %s ran orders under fence %d since %d".formatted(line.id(),
 							line.server(), line.fence(), line.atMicros(), tenure.server(), tenure.fence(),
 							tenure.sinceMicros())));
 	}
@@ -97,7 +98,7 @@
 			.filter((tenure) -> sharded.contains(line.service()) && tenure.covers(line)
 					&& tenure.fence() == line.fence() && !tenure.server().equals(line.server()))
 			.limit(1)
-			.map((tenure) -> new Violation(Violation.Invariant.ONE_OWNER, "%s by %s under fence %d, which %s has too"
+			.map((tenure) -> new Violation(Violation.Invariant.ONE_OWNER, "%s by %s under fence %d, which %s holds too"
 				.formatted(line.id(), line.server(), line.fence(), tenure.server())));
 	}
 
@@ -136,7 +137,8 @@
 			.toList();
 	}
 
-	// A caller that was sure that its posting did not run sent it under a new id.
+	// A caller that is certain that its posting did not run resends it under a new id:
+	// the old one, "~" and a suffix.
 	private static String withoutResendSuffix(String id) {
 		int separator = id.indexOf('~');
 		return (separator < 0) ? id : id.substring(0, separator);
@@ -148,7 +150,7 @@
 			.stream()
 			.filter((attempt) -> attempt.answered() && !attempt.matchesRequest())
 			.forEach((attempt) -> found.add(new Violation(Violation.Invariant.OWN_ANSWER,
-					"the answer to %s was another or not whole".formatted(attempt.id()))));
+					"the answer to %s belongs to another request or is incomplete".formatted(attempt.id()))));
 		caller.attempts()
 			.stream()
 			.filter((attempt) -> attempt.answered()
@@ -158,7 +160,8 @@
 		return found;
 	}
 
-	// Several callers may have sent the same request: what counts is each id's sendings.
+	// Several callers may have sent the same request, so attempts are grouped by
+	// request id and not by caller.
 	private static List<Violation> findFalseNotRun(List<CallerRecord> callers, OrderHistory orders) {
 		Map<String, List<Attempt>> byId = callers.stream()
 			.flatMap((caller) -> caller.attempts().stream())
@@ -179,7 +182,7 @@
 	}
 
 	/**
-	 * The work of one server under one fence.
+	 * The period in which one server runs orders under one fence.
 	 *
 	 * @param service the service
 	 * @param range the range
--- a/standins/src/main/java/org/brasspier/standins/HistoryMetrics.java
+++ b/standins/src/main/java/org/brasspier/standins/HistoryMetrics.java
@@ -16,8 +16,8 @@
 import org.brasspier.core.KeyHash;
 
 /**
- * The figures that decide a renewal, from what callers and servers recorded. Stateless
- * and thread-safe.
+ * Computes the service-level metrics on which the renewal of a contract depends, from the
+ * records of callers and backend servers. Stateless and thread-safe.
  */
 public final class HistoryMetrics {
 
@@ -25,14 +25,16 @@
 
 	private static final int MICROS_PER_MILLI = 1000;
 
-	/** Requests without key are told apart by this many parts of the hash space. */
+	/**
+	 * Requests without a key are grouped into this many equal parts of the hash space.
+	 */
 	private static final int HASH_SPACE_PARTS = 16;
 
 	private HistoryMetrics() {
 	}
 
 	/**
-	 * How long each range of a lost server was without answer.
+	 * Computes how long each range of a lost server went unanswered.
 	 * @param servers the servers' records in the order of time
 	 * @param callers the callers' records
 	 * @param loss the loss
@@ -61,12 +63,13 @@
 	}
 
 	/**
-	 * How unevenly the servers of a service worked.
+	 * Computes how unevenly the work was spread over the servers of each service.
 	 * @param servers the servers' records in the order of time
 	 * @param losses servers that were lost and when
-	 * @param sinceMicros what began earlier is left out
-	 * @return the busiest server's working time over the mean of all that were running,
-	 * as the mean over all seconds and services, each by its work; 1 is even
+	 * @param sinceMicros orders that began earlier are left out
+	 * @return the busiest server's working time divided by the mean of all running
+	 * servers, averaged over all seconds and services and weighted by their work; 1 is
+	 * even
 	 */
 	public static double imbalance(List<ServerRecord> servers, List<InstanceLoss> losses, long sinceMicros) {
 		Map<String, List<OrderHistory.Run>> byWindow = new OrderHistory(servers).runs()
@@ -86,12 +89,13 @@
 	}
 
 	/**
-	 * How unevenly the servers of one service worked over a whole time, as PolicyBench
-	 * counts it: none of them may be lost in it.
+	 * Computes how unevenly the work was spread over the servers of one service in a
+	 * period, by the same definition as PolicyBench. No server may be lost during the
+	 * period.
 	 * @param servers the servers' records in the order of time
-	 * @param fromMicros the begin of the time
-	 * @param untilMicros its end
-	 * @return the busiest server's busy slot time over the mean of all; 1 is even
+	 * @param fromMicros start of the period
+	 * @param untilMicros end of the period
+	 * @return the busiest server's busy slot time divided by the mean of all; 1 is even
 	 */
 	public static double imbalance(List<ServerRecord> servers, long fromMicros, long untilMicros) {
 		LongSummaryStatistics busy = busyMicros(servers, fromMicros, untilMicros);
@@ -99,10 +103,10 @@
 	}
 
 	/**
-	 * The slot time that servers were at work.
+	 * Sums up the time for which each server's slots were busy.
 	 * @param servers the servers' records in the order of time
-	 * @param fromMicros the begin of the time
-	 * @param untilMicros its end
+	 * @param fromMicros start of the period
+	 * @param untilMicros end of the period
 	 * @return one value for each server, in microseconds
 	 */
 	public static LongSummaryStatistics busyMicros(List<ServerRecord> servers, long fromMicros, long untilMicros) {
@@ -136,11 +140,12 @@
 	}
 
 	/**
-	 * How much ownership moved.
+	 * Computes how much of the key space changed owner.
 	 * @param servers the servers' records in the order of time
-	 * @param services how many services there are
-	 * @param sinceMicros grants before this time are where it began
-	 * @return the percentage of the key space of all services that got another owner
+	 * @param services number of services
+	 * @param sinceMicros grants before this time only set the initial owners
+	 * @return the percentage of the key space of all services that was granted to another
+	 * owner
 	 */
 	public static double churnPercent(List<ServerRecord> servers, int services, long sinceMicros) {
 		Map<String, String> owners = new HashMap<>();
@@ -156,11 +161,11 @@
 	}
 
 	/**
-	 * How long callers saw keys unserved.
+	 * Computes how long keys were unavailable to callers.
 	 * @param callers the callers' records
-	 * @return milliseconds from the first sending that was not answered to the next
-	 * answer, summed up and divided by the number of keys; where a service has no keys,
-	 * by sixteenths of the hash space
+	 * @return milliseconds from sending the first unanswered attempt to the next answer,
+	 * summed up and divided by the number of keys; a service without keys counts by
+	 * sixteenths of the hash space
 	 */
 	public static double unavailableMillis(List<CallerRecord> callers) {
 		Map<String, List<Attempt>> byKey = new TreeMap<>();
@@ -196,9 +201,9 @@
 	}
 
 	/**
-	 * Counts how requests ended.
+	 * Counts requests by outcome.
 	 * @param callers the callers' records
-	 * @return how many by outcome, each outcome present
+	 * @return the count of each outcome, 0 included
 	 */
 	public static Map<CallerRecord.Outcome, Long> outcomes(List<CallerRecord> callers) {
 		Map<CallerRecord.Outcome, Long> counts = callers.stream()
@@ -208,9 +213,9 @@
 	}
 
 	/**
-	 * The median.
+	 * Computes the median.
 	 * @param values the values, at least one
-	 * @return the middle one, the lower of two
+	 * @return the middle value, or the lower of the two middle values
 	 */
 	public static long median(long[] values) {
 		long[] sorted = values.clone();
--- a/standins/src/main/java/org/brasspier/standins/InstanceBuilder.java
+++ b/standins/src/main/java/org/brasspier/standins/InstanceBuilder.java
@@ -8,14 +8,14 @@
 import java.util.stream.Collectors;
 
 /**
- * Lays out the instances of a deployment: their ports, their links through the proxy, and
- * the command lines of their processes. Serves one deployment; not thread-safe.
+ * Creates the instances of a deployment with their ports, their links through the proxy,
+ * and the command lines of their processes. Serves one deployment; not thread-safe.
  */
 final class InstanceBuilder {
 
 	static final String PLATFORM_TOKEN = "platform-token-of-stand-ins";
 
-	/** Used for no deployment but those on 127.0.0.1, like the other two. */
+	/** Used only for deployments on 127.0.0.1, like the other two secrets. */
 	static final String SHARED_KEY = "a-shared-key-for-stand-ins-only";
 
 	static final String OPERATOR_SECRET = "operator-secret-of-stand-ins";
@@ -102,13 +102,13 @@
 	}
 
 	/**
-	 * What an instance is to be.
+	 * The plan of one instance.
 	 *
 	 * @param name its name
 	 * @param domain its failure domain
 	 * @param service its service
-	 * @param ports where its daemon listens
-	 * @param serverAddress where its backend server listens
+	 * @param ports addresses on which its daemon listens
+	 * @param serverAddress address on which its backend server listens
 	 * @param earliestPeerVersion whether its daemon speaks the earliest peer protocol
 	 * only
 	 */
--- a/standins/src/main/java/org/brasspier/standins/InstanceLoss.java
+++ b/standins/src/main/java/org/brasspier/standins/InstanceLoss.java
@@ -1,7 +1,7 @@
 package org.brasspier.standins;
 
 /**
- * An instance that was lost without warning. Immutable and thread-safe.
+ * The loss of an instance without warning. Immutable and thread-safe.
  *
  * @param server the name of its server
  * @param atMicros when, in microseconds since 1970
@@ -9,7 +9,7 @@
 public record InstanceLoss(String server, long atMicros) {
 
 	/**
-	 * A loss at this moment.
+	 * Creates a loss at the present time.
 	 * @param server the name of its server
 	 * @return the loss
 	 */
--- a/standins/src/main/java/org/brasspier/standins/InstanceSecrets.java
+++ b/standins/src/main/java/org/brasspier/standins/InstanceSecrets.java
@@ -49,7 +49,8 @@
 		replace(this.platform, tokens);
 	}
 
-	// By renaming, as docs/OPERATING.md says: half a file would be half a secret.
+	// Replaced by an atomic rename, as docs/OPERATING.md requires: a partly written
+	// file would hold a truncated secret.
 	private static void replace(Path file, String... lines) {
 		try {
 			Path newFile = Files.write(file.resolveSibling(file.getFileName() + ".new"), List.of(lines));
--- a/standins/src/main/java/org/brasspier/standins/InternalCalls.java
+++ b/standins/src/main/java/org/brasspier/standins/InternalCalls.java
@@ -18,7 +18,7 @@
 	private final String callerPort;
 
 	/**
-	 * Creates a caller.
+	 * Creates a client for internal calls.
 	 * @param http the HTTP client
 	 * @param callerPort the IP:PORT of the daemon's caller port, empty if no calls are
 	 * made
@@ -29,10 +29,10 @@
 	}
 
 	/**
-	 * Makes the call that a plan asks for.
+	 * Makes the internal call of a work plan, if it has one.
 	 * @param plan the plan
 	 * @param order the order that is running
-	 * @return completes when the call is over, however it ended
+	 * @return completes when the call has ended, whether it succeeded or failed
 	 */
 	Promise<Void> call(WorkPlan plan, Order order) {
 		int colon = plan.internalCall().indexOf(':');
--- a/standins/src/main/java/org/brasspier/standins/LinkState.java
+++ b/standins/src/main/java/org/brasspier/standins/LinkState.java
@@ -1,25 +1,26 @@
 package org.brasspier.standins;
 
 /**
- * What a link of the proxy does.
+ * What a link of the proxy does with the data that it receives.
  */
 public enum LinkState {
 
-	/** Passes everything on, after its delay. */
+	/** Forwards everything after the link's delay. */
 	HEALTHY(false, false),
 
-	/** Closes open connections and each new one. */
+	/** Closes open connections, and new ones as soon as they are accepted. */
 	RESET(false, false),
 
 	/**
-	 * Passes nothing on; what was sent meanwhile arrives late, once it is whole again.
+	 * Forwards nothing in either direction; TCP data is buffered and delivered once the
+	 * link is healthy again.
 	 */
 	HELD(true, true),
 
-	/** Passes on answers only. */
+	/** Holds requests (towards the target); forwards answers only. */
 	HELD_FORTH(true, false),
 
-	/** Passes on requests only. */
+	/** Holds answers (from the target); forwards requests only. */
 	HELD_BACK(false, true);
 
 	private final boolean holdsRequests;
--- a/standins/src/main/java/org/brasspier/standins/Order.java
+++ b/standins/src/main/java/org/brasspier/standins/Order.java
@@ -7,7 +7,8 @@
 import org.brasspier.core.KeyHash;
 
 /**
- * An order as the daemon gave it, by its header fields. Immutable and thread-safe.
+ * An order as received from the daemon, read from its header fields. Immutable and
+ * thread-safe.
  *
  * @param id the request's id
  * @param key the request's key, empty if none
--- a/standins/src/main/java/org/brasspier/standins/OrderHistory.java
+++ b/standins/src/main/java/org/brasspier/standins/OrderHistory.java
@@ -9,7 +9,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What became of each order that began, put together from the servers' records. Immutable
+ * The runs of all orders that began, reconstructed from the servers' records. Immutable
  * and thread-safe.
  */
 final class OrderHistory {
@@ -41,8 +41,9 @@
 		this.runsById = Map.copyOf(runs);
 	}
 
-	// Two orders of one id at one server: the second is shed before it begins, while the
-	// first goes on and takes effect. The shed one's end must not hide the effect.
+	// A server may get two orders with the same id: the second is shed before it
+	// begins, while the first continues and takes effect. The end of the shed order
+	// must not hide that effect.
 	private static @Nullable ServerRecord reopen(Map<String, List<Run>> runs, @Nullable ServerRecord began) {
 		if (began != null) {
 			runs.getOrDefault(began.id(), List.of()).removeIf((run) -> run.began().equals(began));
@@ -57,9 +58,9 @@
 	}
 
 	/**
-	 * The runs of a request that may have had an effect.
+	 * Returns the runs of a request that may have taken effect.
 	 * @param id the request id
-	 * @return all but those that the server itself answered as not run
+	 * @return all runs except those that the server answered as not run
 	 */
 	List<Run> effective(String id) {
 		return this.runsById.getOrDefault(id, List.of())
@@ -69,8 +70,8 @@
 	}
 
 	/**
-	 * All runs.
-	 * @return the runs in no order
+	 * Returns all runs.
+	 * @return the runs, in no particular order
 	 */
 	List<Run> runs() {
 		return this.runsById.values().stream().flatMap(List::stream).toList();
@@ -79,8 +80,8 @@
 	/**
 	 * One run of an order.
 	 *
-	 * @param began its beginning
-	 * @param end its end, empty if the server was lost while it ran
+	 * @param began record of its beginning
+	 * @param end record of its end, empty if the server was lost while it ran
 	 */
 	record Run(ServerRecord began, Optional<ServerRecord> end) {
 
--- a/standins/src/main/java/org/brasspier/standins/OrderRunner.java
+++ b/standins/src/main/java/org/brasspier/standins/OrderRunner.java
@@ -16,8 +16,9 @@
 import io.activej.promise.SettablePromise;
 
 /**
- * Runs orders in a backend server's slots. An order takes effect at its end; whether it
- * may is checked when it begins and again at that moment. Belongs to one thread.
+ * Runs orders in a backend server's slots. An order takes effect when it ends. Its
+ * deadline and its fence are checked when it begins and again when it takes effect.
+ * Belongs to one thread.
  */
 final class OrderRunner {
 
@@ -168,7 +169,7 @@
 	}
 
 	/**
-	 * An order that has begun.
+	 * An order that has begun and not yet ended.
 	 */
 	private static final class RunningOrder {
 
--- a/standins/src/main/java/org/brasspier/standins/OwnedRange.java
+++ b/standins/src/main/java/org/brasspier/standins/OwnedRange.java
@@ -3,8 +3,8 @@
 import org.brasspier.core.KeyRange;
 
 /**
- * A range and who was granted it last, by the servers' records. Immutable and
- * thread-safe.
+ * A range and the server that it was last granted to, according to the servers' records.
+ * Immutable and thread-safe.
  *
  * @param service the service
  * @param range the range
--- a/standins/src/main/java/org/brasspier/standins/PlatformFaults.java
+++ b/standins/src/main/java/org/brasspier/standins/PlatformFaults.java
@@ -1,23 +1,23 @@
 package org.brasspier.standins;
 
 /**
- * What is wrong with the platform's store just now. Immutable and thread-safe.
+ * The faults that the platform's store shows at present. Immutable and thread-safe.
  *
  * @param outage whether each call is answered 503 without effect
- * @param slowMillis how long each call takes, in milliseconds; a write takes effect half
- * way, so that one whose caller gave up may take effect later
- * @param lostAnswers how many of the next writes take effect but lose their answer
+ * @param slowMillis how long each call takes, in milliseconds; a write takes effect after
+ * half of that time, so that it may take effect after its caller has timed out
+ * @param lostAnswers how many of the next writes take effect without being answered
  */
 public record PlatformFaults(boolean outage, int slowMillis, int lostAnswers) {
 
-	/** Nothing is wrong. */
+	/** No faults. */
 	public static final PlatformFaults NONE = new PlatformFaults(false, 0, 0);
 
-	/** Each call is answered 503. */
+	/** Each call is answered with status 503. */
 	public static final PlatformFaults OUTAGE = new PlatformFaults(true, 0, 0);
 
 	/**
-	 * Checks the numbers.
+	 * Checks that no number is negative.
 	 * @throws IllegalArgumentException if one is negative
 	 */
 	public PlatformFaults {
@@ -28,8 +28,8 @@
 	}
 
 	/**
-	 * Each call is slow.
-	 * @param millis how long it takes, in milliseconds
+	 * Makes each call slow.
+	 * @param millis duration of each call, in milliseconds
 	 * @return the faults
 	 */
 	public static PlatformFaults slow(int millis) {
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * Writes lose their answers.
+	 * Makes writes take effect without being answered.
 	 * @param writes how many of the next writes
 	 * @return the faults
 	 */
--- a/standins/src/main/java/org/brasspier/standins/PlatformStandIn.java
+++ b/standins/src/main/java/org/brasspier/standins/PlatformStandIn.java
@@ -31,10 +31,10 @@
  */
 public final class PlatformStandIn implements AutoCloseable {
 
-	/** As the platform is described: several hundred writes a second. */
+	/** The platform is specified for several hundred writes a second. */
 	private static final int WRITES_A_SECOND = 400;
 
-	/** As the platform is described: about two thousand reads a second. */
+	/** The platform is specified for about two thousand reads a second. */
 	private static final int READS_A_SECOND = 2000;
 
 	private static final int MAX_BODY_BYTES = 8 << 20;
@@ -76,8 +76,8 @@
 	private volatile PlatformFaults faults = PlatformFaults.NONE;
 
 	/**
-	 * Starts to listen.
-	 * @param address where
+	 * Starts to listen on an address.
+	 * @param address the address
 	 * @param token the bearer token that calls must carry
 	 */
 	public PlatformStandIn(InetSocketAddress address, String token) {
@@ -105,7 +105,7 @@
 	}
 
 	/**
-	 * Where it listens.
+	 * Returns the address on which it listens.
 	 * @return the address
 	 */
 	public InetSocketAddress address() {
@@ -113,7 +113,7 @@
 	}
 
 	/**
-	 * Sets what is wrong from now on.
+	 * Sets the faults that apply from now on.
 	 * @param faults the faults
 	 */
 	public void faults(PlatformFaults faults) {
@@ -124,15 +124,15 @@
 	}
 
 	/**
-	 * What is wrong now.
-	 * @return the faults, with the answers still to be lost
+	 * Returns the present faults.
+	 * @return the faults, with the number of answers that are still to be lost
 	 */
 	public PlatformFaults faults() {
 		return this.faults;
 	}
 
 	/**
-	 * What was asked of it since its start.
+	 * Returns how many calls it received since its start.
 	 * @return the counts
 	 */
 	public Counts counts() {
@@ -140,7 +140,7 @@
 	}
 
 	/**
-	 * A row's value.
+	 * Returns a row's value.
 	 * @param key the row's key
 	 * @return its present value, empty if there is none
 	 */
@@ -149,7 +149,8 @@
 	}
 
 	/**
-	 * Replaces a row's value past all rules, as a fault of the platform would.
+	 * Replaces a row's value without the check of its version, like a fault of the
+	 * platform.
 	 * @param key the row's key
 	 * @param value the new value
 	 */
@@ -255,7 +256,8 @@
 		return answerUnlessLost(HttpResponse.ok200().withHeader(VERSION, Long.toString(actual + 1)));
 	}
 
-	// The write is over; what is left is to tell of it, or not to.
+	// Called after the write has taken effect: answers it, or loses the answer if the
+	// faults say so.
 	private Promise<HttpResponse> answerUnlessLost(HttpResponse.Builder response) {
 		if (this.faults.lostAnswers() > 0) {
 			this.faults = this.faults.withOneLostAnswerLess();
@@ -275,7 +277,7 @@
 	}
 
 	/**
-	 * How often the platform was asked.
+	 * The number of calls that the platform received.
 	 *
 	 * @param reads the reads
 	 * @param writes the writes
@@ -295,7 +297,7 @@
 	}
 
 	/**
-	 * The flags.
+	 * The command-line flags.
 	 */
 	private static final class Flags {
 
--- a/standins/src/main/java/org/brasspier/standins/PortSlice.java
+++ b/standins/src/main/java/org/brasspier/standins/PortSlice.java
@@ -10,24 +10,24 @@
 import java.util.stream.Stream;
 
 /**
- * A range of ports that no other process of this machine hands out: a port whose process
- * is just being restarted looks free to everybody else. Its first port is bound for as
- * long as the slice is held, so it is given back however this process ends. Immutable and
- * thread-safe.
+ * A range of ports that no other process of this machine hands out. Without it another
+ * process could take a port while the process that listens on it restarts, since the port
+ * looks free then. The slice's first port stays bound while the slice is held, so the
+ * system releases the slice however this process ends. Immutable and thread-safe.
  *
  * @param lowest the first port that may be handed out
- * @param guardSocket bound to the port before it
+ * @param guardSocket socket bound to the port before it, which reserves the slice
  */
 record PortSlice(int lowest, ServerSocket guardSocket) implements AutoCloseable {
 
 	private static final long RETRY_NANOS = Duration.ofMillis(100).toNanos();
 
 	/**
-	 * Claims a slice. Where all are held it waits until one is given back.
+	 * Claims a slice. If all are held, waits until one is released.
 	 * @param first the first port of all slices
-	 * @param ports how many ports a slice has
+	 * @param ports number of ports of a slice
 	 * @param preferred the slice to try first, from 1 on
-	 * @param slices how many there are
+	 * @param slices number of slices
 	 * @return the slice, held until it is closed or this process ends
 	 */
 	static PortSlice claim(int first, int ports, int preferred, int slices) {
--- a/standins/src/main/java/org/brasspier/standins/Ports.java
+++ b/standins/src/main/java/org/brasspier/standins/Ports.java
@@ -10,14 +10,15 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Hands out free ports of 127.0.0.1, below those that the system gives to outgoing
- * connections, so that a port stays free until its process has started. Thread-safe.
+ * Hands out free ports of 127.0.0.1. They lie below the range that the system uses for
+ * outgoing connections, so that a port stays free until its process has started.
+ * Thread-safe.
  */
 public final class Ports {
 
 	/**
-	 * Names the slice of ports that this process hands out if no other process has it,
-	 * from 1 on.
+	 * System property with the number, from 1, of the slice of ports that this process
+	 * claims first; if another process holds it, the next free one is used.
 	 */
 	public static final String SLICE_PROPERTY = "brasspier.standins.port-slice";
 
@@ -33,7 +34,8 @@
 	}
 
 	/**
-	 * A port that nothing listens on and that this process has not handed out before.
+	 * Returns a port that nothing listens on and that this process has not handed out
+	 * before.
 	 * @return the address on 127.0.0.1
 	 */
 	public static synchronized InetSocketAddress free() {
@@ -60,7 +62,7 @@
 	}
 
 	/**
-	 * Reads an address.
+	 * Parses an address.
 	 * @param text as {@code IP:PORT}
 	 * @return the address
 	 */
@@ -70,7 +72,7 @@
 	}
 
 	/**
-	 * Writes an address.
+	 * Formats an address.
 	 * @param address the address
 	 * @return as {@code IP:PORT}
 	 */
@@ -79,8 +81,8 @@
 	}
 
 	/**
-	 * The slice of this process. Claimed when the first port is asked for, so that
-	 * programs that only read and write addresses have none.
+	 * The slice of this process. It is claimed when the first port is requested, so that
+	 * programs that only parse and format addresses claim none.
 	 */
 	private static final class ProcessSlice {
 
@@ -95,7 +97,7 @@
 			}
 		}
 
-		// Never closed: it is this process's own for as long as it runs.
+		// Never closed: this process holds it until it exits.
 		private static final PortSlice SLICE = PortSlice.claim(FIRST_PORT, SLICE_PORTS, PREFERRED, SLICES);
 
 		static final int LOWEST = SLICE.lowest();
--- a/standins/src/main/java/org/brasspier/standins/ProgramProcess.java
+++ b/standins/src/main/java/org/brasspier/standins/ProgramProcess.java
@@ -16,8 +16,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A program of this build in a process of its own. It is ended with this JVM at the
- * latest. Thread-safe.
+ * A program of this build in a process of its own. It is killed when this JVM exits.
+ * Thread-safe.
  */
 public final class ProgramProcess {
 
@@ -44,13 +44,12 @@
 	private @Nullable Process process;
 
 	/**
-	 * Describes a process that is not yet started.
-	 * @param name its name, which names its files too
+	 * Creates a process that is not yet started.
+	 * @param name its name, also used for its files
 	 * @param mainClass the program
 	 * @param arguments its arguments
 	 * @param environment variables of its environment, besides those of this process
-	 * @param folder where its output goes, each time it is started at the end of what is
-	 * there
+	 * @param folder folder of its output files; each start appends to them
 	 */
 	public ProgramProcess(String name, String mainClass, List<String> arguments, Map<String, String> environment,
 			Path folder) {
@@ -98,15 +97,15 @@
 	}
 
 	/**
-	 * Sets what is done each time the process has ended.
-	 * @param action what
+	 * Sets the action that runs each time the process has ended.
+	 * @param action the action
 	 */
 	void onExit(Runnable action) {
 		this.exitAction = action;
 	}
 
 	/**
-	 * Whether the process runs, paused or not.
+	 * Whether the process is running, also if it is paused.
 	 * @return true if it does
 	 */
 	public synchronized boolean isAlive() {
@@ -114,7 +113,7 @@
 	}
 
 	/**
-	 * Ends the process at once, without warning.
+	 * Kills the process (SIGKILL) and waits for its end.
 	 */
 	public void kill() {
 		startedProcess().destroyForcibly();
@@ -122,21 +121,21 @@
 	}
 
 	/**
-	 * Tells the process to end in good order, and does not wait.
+	 * Requests an orderly end of the process (SIGTERM) and does not wait for it.
 	 */
 	public void terminate() {
 		startedProcess().destroy();
 	}
 
 	/**
-	 * Stops the process where it is, as a long pause of its machine does.
+	 * Suspends the process (SIGSTOP), like a long pause of its machine.
 	 */
 	public void pause() {
 		signal("-STOP");
 	}
 
 	/**
-	 * Lets a paused process go on.
+	 * Continues a paused process (SIGCONT).
 	 */
 	public void resume() {
 		signal("-CONT");
@@ -156,7 +155,7 @@
 
 	/**
 	 * Waits for the end of the process.
-	 * @param limit how long at most
+	 * @param limit longest time to wait
 	 * @return the exit code
 	 * @throws IllegalStateException if the process does not end in time
 	 */
@@ -182,7 +181,7 @@
 	}
 
 	/**
-	 * What it writes to its standard output.
+	 * The file that captures its standard output.
 	 * @return the file
 	 */
 	public Path output() {
@@ -190,7 +189,7 @@
 	}
 
 	/**
-	 * What it writes to its standard error.
+	 * The file that captures its standard error.
 	 * @return the file
 	 */
 	public Path log() {
--- a/standins/src/main/java/org/brasspier/standins/RateLimiter.java
+++ b/standins/src/main/java/org/brasspier/standins/RateLimiter.java
@@ -1,8 +1,8 @@
 package org.brasspier.standins;
 
 /**
- * Lets a number of calls a second pass, with a second's worth saved up at most. Belongs
- * to one thread.
+ * A token bucket that permits a number of calls per second, with a burst of at most one
+ * second's calls. Belongs to one thread.
  */
 final class RateLimiter {
 
--- a/standins/src/main/java/org/brasspier/standins/RecoveryProbe.java
+++ b/standins/src/main/java/org/brasspier/standins/RecoveryProbe.java
@@ -11,8 +11,8 @@
 import org.brasspier.core.KeyHash;
 
 /**
- * Asks for a key of each of some ranges, again and again, until each has been answered:
- * so that the time of the first answer is known to some milliseconds. Thread-safe.
+ * Sends requests for a key of each given range periodically until the range is answered,
+ * so that the time of the first answer is known to within some milliseconds. Thread-safe.
  */
 public final class RecoveryProbe implements AutoCloseable {
 
@@ -22,7 +22,10 @@
 
 	private static final int MAX_CANDIDATES = 10_000_000;
 
-	/** A hot key's range has one point; no other key is found in it by trying. */
+	/**
+	 * Smallest range that is probed. The range of a hot key has a single point, in which
+	 * no other key can be found by trying.
+	 */
 	private static final int MIN_POINTS = 1 << 16;
 
 	private final CallerFleet callers;
@@ -32,10 +35,11 @@
 	private final Set<OwnedRange> unanswered = ConcurrentHashMap.newKeySet();
 
 	/**
-	 * Begins to ask.
-	 * @param callers who sends and records the requests
-	 * @param ranges the ranges; those of a few points are left out
-	 * @param keyed the services that are divided by key; others are asked by request id
+	 * Starts probing.
+	 * @param callers callers that send and record the requests
+	 * @param ranges the ranges; those with fewer than 65,536 points are left out
+	 * @param sharded the services that are divided by key; ranges of other services are
+	 * selected by the request id
 	 */
 	public RecoveryProbe(CallerFleet callers, List<OwnedRange> ranges, Set<String> sharded) {
 		this.callers = callers;
@@ -70,7 +74,7 @@
 	}
 
 	/**
-	 * Waits until each range has been answered.
+	 * Waits until a request for each probed range has been answered.
 	 */
 	public void await() {
 		Await.until("each range of the lost owner is answered", this.unanswered::isEmpty);
--- a/standins/src/main/java/org/brasspier/standins/RetryingCaller.java
+++ b/standins/src/main/java/org/brasspier/standins/RetryingCaller.java
@@ -12,8 +12,8 @@
 import io.activej.promise.Promises;
 
 /**
- * A caller that follows docs/API.md: it keeps tickets, resends with the same id and
- * ticket to any daemon, and gives up when its time is over. Belongs to one thread.
+ * A caller that follows docs/API.md: it stores tickets, resends with the same id and
+ * ticket to any daemon, and stops at its time limit. Belongs to one thread.
  */
 final class RetryingCaller {
 
@@ -61,15 +61,16 @@
 
 	private Promise<Void> onAttemptEnd(PendingRequest pending, Attempt attempt) {
 		StandInRequest request = pending.request;
-		if (request.posting() && !attempt.ticket().isEmpty() && !request.key().isEmpty()) {
+		if (request.isPosting() && !attempt.ticket().isEmpty() && !request.key().isEmpty()) {
 			this.ticketsByKey.put(request.service() + ":" + request.key(), attempt.ticket());
 		}
 		if (attempt.error().equals("TICKET_REQUIRED")) {
 			pending.ticket = attempt.ticket();
 			return send(pending);
 		}
-		// Also of a first send this says "unknown": the entry daemon may itself have sent
-		// the posting twice, so a new id could run it a second time.
+		// Means "unknown" even on the first attempt: the entry daemon may itself have
+		// sent the posting twice, so that a resend under a new id could run it a
+		// second time.
 		if (attempt.error().equals("POSSIBLY_RAN_BEFORE")) {
 			return Promise.complete();
 		}
@@ -92,7 +93,7 @@
 	}
 
 	/**
-	 * One request on its way.
+	 * A request that has not ended yet, with its attempts.
 	 */
 	private final class PendingRequest {
 
@@ -107,7 +108,7 @@
 		PendingRequest(StandInRequest request) {
 			this.request = request;
 			this.deadlineNanos = System.nanoTime() + request.waitMillis() * 1_000_000L;
-			this.ticket = (request.posting())
+			this.ticket = (request.isPosting())
 					? RetryingCaller.this.ticketsByKey.getOrDefault(request.service() + ":" + request.key(), "") : "";
 		}
 
--- a/standins/src/main/java/org/brasspier/standins/ServerHistory.java
+++ b/standins/src/main/java/org/brasspier/standins/ServerHistory.java
@@ -8,9 +8,9 @@
 import com.google.gson.Gson;
 
 /**
- * Writes a backend server's history to the standard output, a line of JSON each, and
- * forces it out at once: what happened before the process was killed is on record.
- * Belongs to one thread.
+ * Writes a backend server's history to the standard output, one line of JSON for each
+ * record. Each line is flushed immediately, so that everything before the process is
+ * killed is recorded. Belongs to one thread.
  */
 final class ServerHistory {
 
--- a/standins/src/main/java/org/brasspier/standins/ServerRecords.java
+++ b/standins/src/main/java/org/brasspier/standins/ServerRecords.java
@@ -40,7 +40,7 @@
 		}
 	}
 
-	// A process that is killed while it writes leaves half a line.
+	// A process that is killed while it writes leaves an incomplete line.
 	private static Stream<ServerRecord> parse(String line) {
 		try {
 			return Stream.ofNullable(GSON.fromJson(line, ServerRecord.class));
@@ -51,10 +51,10 @@
 	}
 
 	/**
-	 * The ranges that a server was granted last.
+	 * Returns the ranges that a server holds according to its grants.
 	 * @param records the servers' records in the order of time
 	 * @param server the server
-	 * @param beforeMicros only what was granted before this time
+	 * @param beforeMicros only grants before this time count
 	 * @return the ranges of which no other server got a higher fence before that time
 	 */
 	static List<OwnedRange> ownedBy(List<ServerRecord> records, String server, long beforeMicros) {
@@ -78,7 +78,7 @@
 	 * The latest grant of a key's range.
 	 * @param records the servers' records
 	 * @param service the service
-	 * @param point where the key is
+	 * @param point the key's point
 	 * @return the grant with the highest fence, empty if the key was never granted
 	 */
 	static Optional<ServerRecord> latestGrant(List<ServerRecord> records, String service, KeyHash point) {
--- a/standins/src/main/java/org/brasspier/standins/ServiceProbe.java
+++ b/standins/src/main/java/org/brasspier/standins/ServiceProbe.java
@@ -5,11 +5,14 @@
 import java.util.stream.IntStream;
 
 /**
- * Finds out whether a service is served. Stateless and thread-safe.
+ * Waits until a service answers requests. Stateless and thread-safe.
  */
 final class ServiceProbe {
 
-	/** Enough that each range of a small deployment is likely met. */
+	/**
+	 * Number of keys that are requested: enough to hit each range of a small deployment
+	 * with high probability.
+	 */
 	private static final int PROBES = 64;
 
 	private static final int WAIT_MILLIS = 5000;
--- a/standins/src/main/java/org/brasspier/standins/ServiceShape.java
+++ b/standins/src/main/java/org/brasspier/standins/ServiceShape.java
@@ -5,16 +5,16 @@
  *
  * @param name the service's name
  * @param sharded whether it is divided by key
- * @param servers how many backend servers it has
- * @param slots how many orders each runs at once
- * @param connections how many connections each accepts
- * @param checksFences whether they refuse old fences
+ * @param servers number of backend servers
+ * @param slots number of orders that each server runs concurrently
+ * @param connections number of connections that each server accepts
+ * @param checksFences whether the servers refuse old fences
  */
 public record ServiceShape(String name, boolean sharded, int servers, int slots, int connections,
 		boolean checksFences) {
 
 	/**
-	 * Checks the numbers.
+	 * Checks that the numbers are positive.
 	 * @throws IllegalArgumentException if one is not positive
 	 */
 	public ServiceShape {
--- a/standins/src/main/java/org/brasspier/standins/StandInInstance.java
+++ b/standins/src/main/java/org/brasspier/standins/StandInInstance.java
@@ -10,8 +10,8 @@
  * @param name the instance's name
  * @param domain its failure domain
  * @param service its service
- * @param ports where its daemon listens
- * @param callers where callers reach it, through the proxy
+ * @param ports addresses on which its daemon listens
+ * @param callers its address for callers, through the proxy
  * @param daemon the daemon's process
  * @param server the backend server's process
  * @param secrets the files of its daemon's secrets
@@ -19,7 +19,7 @@
 public record StandInInstance(String name, String domain, ServiceShape service, DaemonPorts ports,
 		InetSocketAddress callers, ProgramProcess daemon, ProgramProcess server, InstanceSecrets secrets) {
 
-	/** A planned stop takes a few seconds; its limit in the daemon is a minute. */
+	/** A planned stop takes a few seconds; the daemon limits it to one minute. */
 	private static final Duration STOP_LIMIT = Duration.ofSeconds(60);
 
 	/**
@@ -31,7 +31,7 @@
 	}
 
 	/**
-	 * Loses the whole instance without warning.
+	 * Kills both processes without warning.
 	 */
 	public void kill() {
 		this.server.kill();
@@ -39,7 +39,7 @@
 	}
 
 	/**
-	 * Pauses the whole instance.
+	 * Pauses both processes.
 	 */
 	public void pause() {
 		this.daemon.pause();
@@ -47,7 +47,7 @@
 	}
 
 	/**
-	 * Lets a paused instance go on.
+	 * Continues a paused instance.
 	 */
 	public void resume() {
 		this.server.resume();
@@ -55,7 +55,7 @@
 	}
 
 	/**
-	 * Stops the whole instance as planned: the server drains first, then the daemon
+	 * Stops the instance in an orderly way: the server drains first, then the daemon
 	 * leaves.
 	 * @throws IllegalStateException if either does not end in time
 	 */
--- a/standins/src/main/java/org/brasspier/standins/StandInLoop.java
+++ b/standins/src/main/java/org/brasspier/standins/StandInLoop.java
@@ -16,7 +16,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread with one event loop, for a stand-in that shares a process with others.
+ * A thread with an event loop, for a stand-in that shares its process with others.
  * Thread-safe.
  */
 final class StandInLoop implements AutoCloseable {
@@ -26,7 +26,8 @@
 	private static final Duration CALL_LIMIT = Duration.ofSeconds(10);
 
 	static {
-		// Event loops that end with a deployment list each open channel in the log.
+		// When a deployment is closed, its event loops log each open channel; only
+		// errors are logged here.
 		if (LoggerFactory.getLogger("io.activej") instanceof Logger logger) {
 			logger.setLevel(Level.ERROR);
 		}
@@ -53,10 +54,10 @@
 	}
 
 	/**
-	 * Runs a task in the loop's thread and waits for it.
-	 * @param <T> what the task gives
+	 * Runs a task on the loop's thread and waits for its result.
+	 * @param <T> type of the result
 	 * @param task the task
-	 * @return what the task gave
+	 * @return the result of the task
 	 * @throws IllegalStateException if the task fails or does not end within ten seconds
 	 */
 	<T> T call(Callable<T> task) {
@@ -90,7 +91,8 @@
 	}
 
 	/**
-	 * Closes all its connections and listening ports and ends the thread soon.
+	 * Closes all connections and listening ports and ends the thread; does not wait for
+	 * its end.
 	 */
 	@Override
 	public void close() {
@@ -99,8 +101,8 @@
 		this.loop.execute(this.loop::breakEventloop);
 	}
 
-	// An event loop that ends leaves its channels open, and the process that it shares
-	// with others goes on.
+	// An event loop that ends leaves its channels open. Since the process continues,
+	// they would use up its file descriptors.
 	private void closeChannels() {
 		Set.copyOf(this.loop.ensureSelector().keys()).forEach((key) -> {
 			try {
--- a/standins/src/main/java/org/brasspier/standins/StandInRequest.java
+++ b/standins/src/main/java/org/brasspier/standins/StandInRequest.java
@@ -1,24 +1,25 @@
 package org.brasspier.standins;
 
 /**
- * One request that a stand-in caller wants answered, however often it must be sent.
- * Immutable and thread-safe.
+ * One request of a stand-in caller, which may be sent several times. Immutable and
+ * thread-safe.
  *
  * @param service the service
  * @param key the key, empty if the service is not divided by key
  * @param id the request's id, the same on each resend
  * @param requestClass the class, in lower case
- * @param caller the name it counts against
- * @param path what the server is asked to do, see {@link WorkPlan}
- * @param padding how many characters the answer is padded with, as asked for in the path
- * @param waitMillis how long the caller waits in all, resends included, in milliseconds
+ * @param caller the caller's name, whose share of the limits it counts against
+ * @param path path and query, which tell the server what to do, see {@link WorkPlan}
+ * @param padding number of characters that pad the answer, as requested in the path
+ * @param waitMillis total time limit including resends, in milliseconds
  */
 public record StandInRequest(String service, String key, String id, String requestClass, String caller, String path,
 		int padding, int waitMillis) {
 
 	/**
-	 * Checks the numbers.
-	 * @throws IllegalArgumentException if the caller would not wait at all
+	 * Checks the time limit and the padding.
+	 * @throws IllegalArgumentException if the time limit is not positive or the padding
+	 * is negative
 	 */
 	public StandInRequest {
 		if (waitMillis < 1 || padding < 0) {
@@ -28,7 +29,7 @@
 	}
 
 	/**
-	 * A lookup.
+	 * Creates a lookup.
 	 * @param service the service
 	 * @param key the key
 	 * @param id the request's id
@@ -39,7 +40,7 @@
 	}
 
 	/**
-	 * A posting.
+	 * Creates a posting.
 	 * @param service the service
 	 * @param key the key
 	 * @param id the request's id
@@ -60,8 +61,8 @@
 	}
 
 	/**
-	 * The same request with another patience.
-	 * @param millis how long the caller waits in all, in milliseconds
+	 * The same request with another time limit.
+	 * @param millis total time limit, in milliseconds
 	 * @return the request
 	 */
 	public StandInRequest withWaitMillis(int millis) {
@@ -70,7 +71,7 @@
 	}
 
 	/**
-	 * The same work under another id.
+	 * The same request under another id.
 	 * @param other the id
 	 * @return the request
 	 */
@@ -79,7 +80,7 @@
 				this.padding, this.waitMillis);
 	}
 
-	boolean posting() {
+	boolean isPosting() {
 		return this.requestClass.equals("posting");
 	}
 
--- a/standins/src/main/java/org/brasspier/standins/TrafficStream.java
+++ b/standins/src/main/java/org/brasspier/standins/TrafficStream.java
@@ -8,11 +8,11 @@
  * @param service the service
  * @param sharded whether the service is divided by key
  * @param requestClass the class, in lower case
- * @param perSecond how many requests a second begin
- * @param keyCount over how many keys
+ * @param perSecond requests sent per second
+ * @param keyCount number of keys that the requests are spread over
  * @param hotShare the share of requests that go to one hot key, 0 to 1
- * @param path what the server is asked to do, see {@link WorkPlan}
- * @param padding how many characters the answers are padded with
+ * @param path path and query, which tell the server what to do, see {@link WorkPlan}
+ * @param padding number of characters that pad the answers
  */
 public record TrafficStream(String service, boolean sharded, String requestClass, double perSecond, int keyCount,
 		double hotShare, String path, int padding) {
@@ -20,7 +20,7 @@
 	private static final int WAIT_MILLIS = 5000;
 
 	/**
-	 * Checks the numbers.
+	 * Checks the ranges of the numbers.
 	 * @throws IllegalArgumentException if one is out of range
 	 */
 	public TrafficStream {
@@ -31,11 +31,11 @@
 	}
 
 	/**
-	 * A stream with no hot key and short answers.
+	 * Creates a stream without hot key and with short answers.
 	 * @param service the service
 	 * @param sharded whether the service is divided by key
 	 * @param requestClass the class, in lower case
-	 * @param perSecond how many requests a second begin
+	 * @param perSecond requests sent per second
 	 * @return the stream
 	 */
 	public static TrafficStream steady(String service, boolean sharded, String requestClass, double perSecond) {
--- a/standins/src/main/java/org/brasspier/standins/Violation.java
+++ b/standins/src/main/java/org/brasspier/standins/Violation.java
@@ -1,40 +1,40 @@
 package org.brasspier.standins;
 
 /**
- * A promise that the histories show broken. Immutable and thread-safe.
+ * An invariant that the histories show to be violated. Immutable and thread-safe.
  *
- * @param invariant which promise
- * @param detail what shows it
+ * @param invariant the violated invariant
+ * @param detail the records that show it
  */
 public record Violation(Invariant invariant, String detail) {
 
 	/**
-	 * What must always hold.
+	 * The invariants that must always hold.
 	 */
 	public enum Invariant {
 
-		/** A key has one owner at any moment. */
+		/** A key has at most one owner at any time. */
 		ONE_OWNER,
 
-		/** Nothing begins under a fence that a higher one has replaced. */
+		/** No order begins under a fence that has been superseded by a higher one. */
 		NO_STALE_FENCE,
 
 		/** A posting runs at most once. */
 		RUNS_ONCE,
 
-		/** Each caller gets the whole answer to its own request. */
+		/** Each caller gets the complete answer to its own request. */
 		OWN_ANSWER,
 
-		/** What is answered has run. */
+		/** A request that was answered has run. */
 		ANSWERED_HAS_RUN,
 
-		/** What was refused as not run did not run. */
+		/** A request that was refused as not run did not run. */
 		NOT_RUN_IS_TRUE,
 
-		/** An assignment that was told to be in place is never taken back. */
+		/** An assignment that was reported as in place is never reverted. */
 		ASSIGNMENT_KEPT,
 
-		/** A configuration in force never reverts. */
+		/** A configuration that is in force is never replaced by an older one. */
 		CONFIGURATION_KEPT
 
 	}
--- a/standins/src/main/java/org/brasspier/standins/WorkPlan.java
+++ b/standins/src/main/java/org/brasspier/standins/WorkPlan.java
@@ -5,15 +5,15 @@
 import io.activej.http.HttpRequest;
 
 /**
- * What a caller asks a stand-in server to do, by the path and query of its request:
- * {@code /anything?work=MILLIS&pad=CHARACTERS&ask=SERVICE:KEY}, or {@code /crash}.
- * Immutable and thread-safe.
+ * The work that a caller requests of a stand-in server, in the path and query of its
+ * request: {@code /anything?work=MILLIS&pad=CHARACTERS&ask=SERVICE:KEY}, or
+ * {@code /crash}. Immutable and thread-safe.
  *
- * @param crash whether the server ends at once
- * @param workMillis how long the work takes; -1 for what is usual
- * @param padding how many characters the answer is padded with
- * @param internalCall the service and key of an internal call made on the way, empty if
- * none
+ * @param crash whether the server's process exits as soon as the order has begun
+ * @param workMillis duration of the work; -1 for the default of its request class
+ * @param padding number of characters that pad the answer
+ * @param internalCall service and key of an internal call to make before the work, empty
+ * if none
  */
 record WorkPlan(boolean crash, int workMillis, int padding, String internalCall) {
 
--- a/standins/src/main/java/org/brasspier/standins/package-info.java
+++ b/standins/src/main/java/org/brasspier/standins/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Small stand-ins for what surrounds brasspier: backend servers, the platform's table and
- * object store, and a proxy that injects faults. For tests, trials and measurements only.
+ * Stand-ins for the systems that brasspier works with: backend servers, callers, the
+ * platform's table service and object store, and a proxy that injects network faults. For
+ * tests, trials and measurements only.
  */
 @NullMarked
 package org.brasspier.standins;
--- a/standins/src/test/java/org/brasspier/standins/BackendStandInTests.java
+++ b/standins/src/test/java/org/brasspier/standins/BackendStandInTests.java
@@ -66,8 +66,9 @@
 		assertThat(kinds()).doesNotContain(ServerRecord.Kind.BEGAN);
 	}
 
-	// The server freezes with an order half done. By the time it goes on its grants have
-	// run out, so the order must not take effect.
+	// Guards against an effect after the grant has expired: the server is paused while
+	// an order runs and continues after its grants have expired, so the order must not
+	// take effect.
 	@Test
 	void anOrderThatOutlivesItsGrantTakesNoEffect() throws Exception {
 		grant(5, 500);
--- a/standins/src/test/java/org/brasspier/standins/FaultProxyTests.java
+++ b/standins/src/test/java/org/brasspier/standins/FaultProxyTests.java
@@ -42,7 +42,7 @@
 		FaultLink link = this.proxy.link("a>b", this.target, 20);
 		try (Socket socket = connect(link)) {
 			long before = System.nanoTime();
-			assertThat(ask(socket, 'x')).isEqualTo('x');
+			assertThat(exchange(socket, 'x')).isEqualTo('x');
 			assertThat(System.nanoTime() - before).isAtLeast(TimeUnit.MILLISECONDS.toNanos(38));
 		}
 	}
@@ -51,9 +51,9 @@
 	void whatIsHeldArrivesLateOnceTheLinkIsWholeAgain() throws IOException {
 		FaultLink link = this.proxy.link("a>b", this.target, 0);
 		try (Socket socket = connect(link)) {
-			assertThat(ask(socket, 'x')).isEqualTo('x');
+			assertThat(exchange(socket, 'x')).isEqualTo('x');
 			link.state(LinkState.HELD_BACK);
-			assertThrows(SocketTimeoutException.class, () -> ask(socket, 'y'));
+			assertThrows(SocketTimeoutException.class, () -> exchange(socket, 'y'));
 			link.state(LinkState.HEALTHY);
 			assertThat(socket.getInputStream().read()).isEqualTo('y');
 		}
@@ -63,8 +63,8 @@
 	void aSilencedConnectionStaysOpenAndSaysNothingWhileNewOnesWork() throws IOException {
 		FaultLink link = this.proxy.link("a>b", this.target, 0);
 		try (Socket old = connect(link); Socket fresh = connectAfter(old, link)) {
-			assertThrows(SocketTimeoutException.class, () -> ask(old, 'y'));
-			assertThat(ask(fresh, 'z')).isEqualTo('z');
+			assertThrows(SocketTimeoutException.class, () -> exchange(old, 'y'));
+			assertThat(exchange(fresh, 'z')).isEqualTo('z');
 		}
 	}
 
@@ -72,7 +72,7 @@
 	void aResetLinkClosesOpenAndNewConnections() throws IOException {
 		FaultLink link = this.proxy.link("a>b", this.target, 0);
 		try (Socket old = connect(link)) {
-			assertThat(ask(old, 'x')).isEqualTo('x');
+			assertThat(exchange(old, 'x')).isEqualTo('x');
 			link.state(LinkState.RESET);
 			assertThat(ended(old)).isTrue();
 			try (Socket fresh = connect(link)) {
@@ -87,15 +87,15 @@
 			DatagramLink link = this.proxy.datagramLink((InetSocketAddress) server.getLocalSocketAddress(), 1);
 			socket.setSoTimeout(300);
 			socket.send(new DatagramPacket(new byte[] { 'x' }, 1, link.address()));
-			DatagramPacket asked = new DatagramPacket(new byte[1], 1);
-			server.receive(asked);
-			server.send(new DatagramPacket(new byte[] { 'y' }, 1, asked.getSocketAddress()));
-			DatagramPacket answered = new DatagramPacket(new byte[1], 1);
-			socket.receive(answered);
-			assertThat(answered.getData()[0]).isEqualTo((byte) 'y');
+			DatagramPacket request = new DatagramPacket(new byte[1], 1);
+			server.receive(request);
+			server.send(new DatagramPacket(new byte[] { 'y' }, 1, request.getSocketAddress()));
+			DatagramPacket answer = new DatagramPacket(new byte[1], 1);
+			socket.receive(answer);
+			assertThat(answer.getData()[0]).isEqualTo((byte) 'y');
 			link.state(LinkState.HELD_BACK);
-			server.send(new DatagramPacket(new byte[] { 'z' }, 1, asked.getSocketAddress()));
-			assertThrows(SocketTimeoutException.class, () -> socket.receive(answered));
+			server.send(new DatagramPacket(new byte[] { 'z' }, 1, request.getSocketAddress()));
+			assertThrows(SocketTimeoutException.class, () -> socket.receive(answer));
 		}
 	}
 
@@ -106,12 +106,12 @@
 	}
 
 	private static Socket connectAfter(Socket old, FaultLink link) throws IOException {
-		assertThat(ask(old, 'x')).isEqualTo('x');
+		assertThat(exchange(old, 'x')).isEqualTo('x');
 		link.silenceOpenConnections();
 		return connect(link);
 	}
 
-	private static int ask(Socket socket, char letter) throws IOException {
+	private static int exchange(Socket socket, char letter) throws IOException {
 		socket.getOutputStream().write(letter);
 		return socket.getInputStream().read();
 	}
@@ -145,7 +145,7 @@
 			socket.getInputStream().transferTo(socket.getOutputStream());
 		}
 		catch (IOException ex) {
-			// The other side went away, which is what some tests are about.
+			// Some tests break the connection on purpose.
 		}
 	}
 
--- a/standins/src/test/java/org/brasspier/standins/HistoryCheckerTests.java
+++ b/standins/src/test/java/org/brasspier/standins/HistoryCheckerTests.java
@@ -10,7 +10,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Each check must find the fault that it is for, and nothing in a history without fault.
+ * Checks that each invariant's violation is found, and that a correct history has none.
  */
 class HistoryCheckerTests {
 
@@ -53,8 +53,9 @@
 			.containsExactly(Violation.Invariant.RUNS_ONCE);
 	}
 
-	// A request is sent again while its first order still runs on a server whose queue is
-	// full: the second order is shed, the first takes effect and is answered.
+	// Guards against a shed order that hides an effect. A request is resent while its
+	// first order still runs on a server whose queue is full: the second order is
+	// shed, the first takes effect and is answered.
 	@Test
 	void aShedSecondOrderDoesNotHideTheEffectOfTheFirst() {
 		List<ServerRecord> servers = List.of(order(Kind.BEGAN, 1, "a", "id-1", 5),
--- a/standins/src/test/java/org/brasspier/standins/HistoryMetricsTests.java
+++ b/standins/src/test/java/org/brasspier/standins/HistoryMetricsTests.java
@@ -41,9 +41,10 @@
 	}
 
 	/**
-	 * The process check said that Kliring's servers were uneven while they were not: a
-	 * read of a second counted whole in the second in which it began, so that chance
-	 * alone made 1.3 of six slots. Over a whole time only what ran in it counts.
+	 * Guards against a false imbalance of even servers, as the process check reported for
+	 * Kliring: a read of one second was counted entirely in the second in which it began,
+	 * so that chance alone gave an imbalance of 1.3 with six slots. For a period, only
+	 * the part of a run within it counts.
 	 */
 	@Test
 	void overAWholeTimeARunCountsOnlyWhileItLastsInIt() {
--- a/standins/src/test/java/org/brasspier/standins/PortSliceTests.java
+++ b/standins/src/test/java/org/brasspier/standins/PortSliceTests.java
@@ -13,7 +13,8 @@
 
 	private final int first = Ports.free().getPort();
 
-	// Two test runs at once took each other's ports while their processes restarted.
+	// Guards against two concurrent test runs that take each other's ports while their
+	// processes restart.
 	@Test
 	void noTwoHoldersHaveTheSameSlice() throws IOException {
 		try (PortSlice one = PortSlice.claim(this.first, PORTS, 1, 20);
--- a/standins/src/test/java/org/brasspier/standins/StandInLoopTests.java
+++ b/standins/src/test/java/org/brasspier/standins/StandInLoopTests.java
@@ -13,7 +13,7 @@
 class StandInLoopTests {
 
 	// Guards against a test process that runs out of file descriptors: connections of
-	// callers and proxies that have ended stayed open in it.
+	// callers and proxies that have ended must not stay open in it.
 	@Test
 	void connectionsOfALoopThatIsClosedAreClosed() throws Exception {
 		try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/standins/src/test/java/org/brasspier/standins/package-info.java
+++ b/standins/src/test/java/org/brasspier/standins/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of the stand-ins: what proves others must be proved itself.
+ * Tests of the stand-ins, on which the tests and trials of the other modules rely.
  */
 @NullMarked
 package org.brasspier.standins;
