--- a/daemon/src/main/java/org/brasspier/daemon/internal/Daemon.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/Daemon.java
@@ -17,7 +17,7 @@
  */
 public final class Daemon {
 
-	private static final int KEPT_EVENTS = 4096;
+	private static final int MAX_KEPT_EVENTS = 4096;
 
 	private final DaemonContext context;
 
@@ -32,7 +32,7 @@
 	 * @param settings the checked settings
 	 */
 	public Daemon(Settings settings) {
-		this.context = new DaemonContext(settings, new EventLog(KEPT_EVENTS), new MetricRegistry());
+		this.context = new DaemonContext(settings, new EventLog(MAX_KEPT_EVENTS), new MetricRegistry());
 		this.ownership = new OwnershipDuty(this.context);
 		this.requests = new RequestsDuty(this.context, new RequestsDuty.SharedState(this.ownership::snapshot,
 				this.ownership::view, this.context.documents()::catalog));
@@ -62,20 +62,20 @@
 	 */
 	public void leave() {
 		this.context.events().record(EventKind.DAEMON_STOPPING, this.context.settings().instance(), "");
-		CountDownLatch left = new CountDownLatch(1);
+		CountDownLatch relinquished = new CountDownLatch(1);
 		long maxMillis = this.context.settings().limits().maxLeaveMillis();
-		long begunNanos = System.nanoTime();
+		long startedNanos = System.nanoTime();
 		this.requests.startDraining();
-		this.ownership.relinquish(left::countDown);
+		this.ownership.relinquish(relinquished::countDown);
 		try {
-			boolean clean = left.await(maxMillis, TimeUnit.MILLISECONDS);
-			long spentMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begunNanos);
-			this.requests.stop(Math.max(1, maxMillis - spentMillis));
+			boolean completed = relinquished.await(maxMillis, TimeUnit.MILLISECONDS);
+			long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
+			this.requests.stop(Math.max(1, maxMillis - elapsedMillis));
 			this.ownership.stop();
 			this.operators.stop();
 			this.context.events()
 				.record(EventKind.DAEMON_STOPPED, this.context.settings().instance(),
-						(clean) ? "nothing in flight" : "the time to leave ran out");
+						(completed) ? "nothing in flight" : "the time to leave ran out");
 			this.context.events().stop();
 		}
 		catch (InterruptedException ex) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/CellCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/CellRequestHandler.java
@@ -24,43 +24,43 @@
 /**
  * What this daemon knows of itself and its cell. Belongs to the thread of operators.
  */
-final class CellCalls {
+final class CellRequestHandler {
 
-	private static final long NOT_HEARD = -1;
+	private static final long NO_HEARTBEAT = -1;
 
 	private final DaemonContext context;
 
-	private final Supplier<OwnershipSnapshot> ownership;
+	private final Supplier<OwnershipSnapshot> ownershipSnapshot;
 
-	private final Supplier<CellView> cell;
+	private final Supplier<CellView> cellView;
 
-	private final Supplier<GateView> gate;
+	private final Supplier<GateView> gateView;
 
-	CellCalls(DaemonContext context, Supplier<OwnershipSnapshot> ownership, Supplier<CellView> cell,
-			Supplier<GateView> gate) {
-		this.gate = gate;
+	CellRequestHandler(DaemonContext context, Supplier<OwnershipSnapshot> ownershipSnapshot,
+			Supplier<CellView> cellView, Supplier<GateView> gateView) {
+		this.gateView = gateView;
 		this.context = context;
-		this.ownership = ownership;
-		this.cell = cell;
+		this.ownershipSnapshot = ownershipSnapshot;
+		this.cellView = cellView;
 	}
 
 	Promise<HttpResponse> status(HttpRequest request) {
-		OwnershipSnapshot snapshot = this.ownership.get();
-		CellView view = this.cell.get();
-		long now = System.nanoTime();
-		boolean valid = snapshot.isLeaseValid(now);
-		long held = view.ranges()
+		OwnershipSnapshot snapshot = this.ownershipSnapshot.get();
+		CellView view = this.cellView.get();
+		long nowNanos = System.nanoTime();
+		boolean leaseValid = snapshot.isLeaseValid(nowNanos);
+		long rangesHeld = view.ranges()
 			.stream()
 			.map(CellView.Range::service)
 			.distinct()
 			.mapToLong((service) -> snapshot.held().assignments(service).size())
 			.sum();
-		return Promise.of(Answers.ok(new StatusAnswer(snapshot.self().value(),
+		return Promise.of(JsonResponses.ok(new StatusAnswer(snapshot.self().value(),
 				this.context.settings().failureDomain().value(), this.context.settings().cell(),
 				this.context.documents().inForce().version(), this.context.documents().inForce().known(),
-				(valid) ? TimeUnit.NANOSECONDS.toMillis(snapshot.leaseEndNanos() - now) : 0, (int) ((valid) ? held : 0),
-				this.context.events().lostInAll(),
-				this.gate.get().classes().stream().map(CellCalls::render).toList())));
+				(leaseValid) ? TimeUnit.NANOSECONDS.toMillis(snapshot.leaseEndNanos() - nowNanos) : 0,
+				(int) ((leaseValid) ? rangesHeld : 0), this.context.events().lostInAll(),
+				this.gateView.get().classes().stream().map(CellRequestHandler::render).toList())));
 	}
 
 	private static StatusAnswer.ClassLoad render(GateView.Load load) {
@@ -69,14 +69,15 @@
 	}
 
 	Promise<HttpResponse> cell(HttpRequest request) {
-		CellView view = this.cell.get();
-		return Promise.of(Answers.ok(new CellAnswer(this.context.settings().cell(), view.version(), view.epoch(),
-				text(view.primary()), text(view.secondary()), view.members().stream().map(CellCalls::render).toList(),
-				view.ranges().stream().map(CellCalls::render).toList(),
-				view.moves().stream().map(CellCalls::render).toList())));
+		CellView view = this.cellView.get();
+		return Promise.of(JsonResponses.ok(new CellAnswer(this.context.settings().cell(), view.version(), view.epoch(),
+				textOrEmpty(view.primary()), textOrEmpty(view.secondary()),
+				view.members().stream().map(CellRequestHandler::render).toList(),
+				view.ranges().stream().map(CellRequestHandler::render).toList(),
+				view.moves().stream().map(CellRequestHandler::render).toList())));
 	}
 
-	private static String text(Optional<InstanceId> instance) {
+	private static String textOrEmpty(Optional<InstanceId> instance) {
 		return instance.map(InstanceId::value).orElse("");
 	}
 
@@ -85,11 +86,11 @@
 		return new CellAnswer.Member(member.instance().value(), member.domain().value(),
 				member.service().map(ServiceName::value).orElse(""), member.phase(), member.slots(),
 				member.checksFences(), address.host() + ":" + address.callerPort(),
-				address.host() + ":" + address.operatorPort(), member.heardMillisAgo().orElse(NOT_HEARD));
+				address.host() + ":" + address.operatorPort(), member.heardMillisAgo().orElse(NO_HEARTBEAT));
 	}
 
 	private static CellAnswer.Range render(CellView.Range range) {
-		return new CellAnswer.Range(range.service().value(), range.range().toString(), text(range.owner()),
+		return new CellAnswer.Range(range.service().value(), range.range().toString(), textOrEmpty(range.owner()),
 				range.fence().value());
 	}
 
@@ -98,12 +99,12 @@
 	}
 
 	Promise<HttpResponse> owner(HttpRequest request) {
-		Query query = Query.of(request);
-		ServiceName service = new ServiceName(query.needed("service"));
-		KeyHash hash = KeyHash.of(query.needed("key"));
-		OwnershipSnapshot snapshot = this.ownership.get();
+		QueryParameters query = QueryParameters.of(request);
+		ServiceName service = new ServiceName(query.requiredText("service"));
+		KeyHash hash = KeyHash.of(query.requiredText("key"));
+		OwnershipSnapshot snapshot = this.ownershipSnapshot.get();
 		Optional<Assignment> found = snapshot.routes().find(service, hash);
-		return Promise.of(Answers.ok(new OwnerAnswer(service.value(), "%08x".formatted(hash.point()),
+		return Promise.of(JsonResponses.ok(new OwnerAnswer(service.value(), "%08x".formatted(hash.point()),
 				found.map((assignment) -> assignment.range().toString()).orElse(""),
 				found.map((assignment) -> assignment.owner().value()).orElse(""),
 				found.map((assignment) -> assignment.fence().value()).orElse(0L),
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/DaemonGauges.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/DaemonGauges.java
@@ -22,53 +22,54 @@
 
 	private final DaemonContext context;
 
-	private final Supplier<OwnershipSnapshot> ownership;
+	private final Supplier<OwnershipSnapshot> ownershipSnapshot;
 
-	private final Supplier<CellView> cell;
+	private final Supplier<CellView> cellView;
 
-	private final Supplier<GateView> gate;
+	private final Supplier<GateView> gateView;
 
-	DaemonGauges(DaemonContext context, Supplier<OwnershipSnapshot> ownership, Supplier<CellView> cell,
-			Supplier<GateView> gate) {
-		this.gate = gate;
+	DaemonGauges(DaemonContext context, Supplier<OwnershipSnapshot> ownershipSnapshot, Supplier<CellView> cellView,
+			Supplier<GateView> gateView) {
+		this.gateView = gateView;
 		this.context = context;
-		this.ownership = ownership;
-		this.cell = cell;
+		this.ownershipSnapshot = ownershipSnapshot;
+		this.cellView = cellView;
 	}
 
 	@Override
 	public Map<String, Metric> getMetrics() {
-		Map<String, Metric> gauges = new TreeMap<>(DutyTimes.gauges());
+		Map<String, Metric> gauges = new TreeMap<>(DutyCpuTimes.gauges());
 		gauges.put("document_version", gauge(() -> this.context.documents().inForce().version()));
 		gauges.put("document_read", gauge(() -> (this.context.documents().inForce().known()) ? 1 : 0));
 		gauges.put("events_lost", gauge(() -> this.context.events().lostInAll()));
 		gauges.put("lease_millis_left", gauge(this::leaseMillisLeft));
-		gauges.put("cell_members", gauge(() -> this.cell.get().members().size()));
+		gauges.put("cell_members", gauge(() -> this.cellView.get().members().size()));
 		gauges.put("cell_ranges_without_owner", gauge(this::rangesWithoutOwner));
-		gauges.put("requests_running", gauge(() -> sum(GateView.Load::running)));
-		gauges.put("requests_waiting", gauge(() -> sum(GateView.Load::waiting)));
+		gauges.put("requests_running", gauge(() -> sumOverClasses(GateView.Load::running)));
+		gauges.put("requests_waiting", gauge(() -> sumOverClasses(GateView.Load::waiting)));
 		gauges.put("heap_used_bytes", gauge(DaemonGauges::heapUsedBytes));
-		gauges.put("process_cpu_millis", gauge(DaemonGauges::cpuMillis));
+		gauges.put("process_cpu_millis", gauge(DaemonGauges::processCpuMillis));
 		return gauges;
 	}
 
 	private long leaseMillisLeft() {
-		return Math.max(0, TimeUnit.NANOSECONDS.toMillis(this.ownership.get().leaseEndNanos() - System.nanoTime()));
+		return Math.max(0,
+				TimeUnit.NANOSECONDS.toMillis(this.ownershipSnapshot.get().leaseEndNanos() - System.nanoTime()));
 	}
 
 	private long rangesWithoutOwner() {
-		return this.cell.get().ranges().stream().filter((range) -> range.owner().isEmpty()).count();
+		return this.cellView.get().ranges().stream().filter((range) -> range.owner().isEmpty()).count();
 	}
 
-	private int sum(ToIntFunction<GateView.Load> count) {
-		return this.gate.get().classes().stream().mapToInt(count).sum();
+	private int sumOverClasses(ToIntFunction<GateView.Load> count) {
+		return this.gateView.get().classes().stream().mapToInt(count).sum();
 	}
 
 	private static long heapUsedBytes() {
 		return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
 	}
 
-	private static long cpuMillis() {
+	private static long processCpuMillis() {
 		return ProcessHandle.current().info().totalCpuDuration().map(Duration::toMillis).orElse(0L);
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/DocumentCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/DocumentRequestHandler.java
@@ -28,7 +28,7 @@
 /**
  * The calls about the document. Belongs to the thread of operators.
  */
-final class DocumentCalls {
+final class DocumentRequestHandler {
 
 	private static final int MAX_BODY_BYTES = 4 << 20;
 
@@ -36,58 +36,63 @@
 
 	private final DocumentHolder holder;
 
-	private final DocumentService documents;
+	private final DocumentService documentService;
 
 	private final EventLog events;
 
-	DocumentCalls(DocumentHolder holder, DocumentService documents, EventLog events) {
+	DocumentRequestHandler(DocumentHolder holder, DocumentService documentService, EventLog events) {
 		this.holder = holder;
-		this.documents = documents;
+		this.documentService = documentService;
 		this.events = events;
 	}
 
 	Promise<HttpResponse> inForce(HttpRequest request) {
-		return Promise.of(Answers.ok(this.holder.held().map(DocumentCalls::render).orElse(DocumentAnswer.NONE)));
+		return Promise
+			.of(JsonResponses.ok(this.holder.held().map(DocumentRequestHandler::render).orElse(DocumentAnswer.NONE)));
 	}
 
 	Promise<HttpResponse> history(HttpRequest request) {
-		int count = Query.of(request).number("count").map(Long::intValue).orElse(10);
-		return this.documents.history(Math.clamp(count, 1, MAX_HISTORY))
-			.map((versions) -> Answers.ok(new HistoryAnswer(versions.stream().map(DocumentCalls::render).toList())));
+		int count = QueryParameters.of(request).number("count").map(Long::intValue).orElse(10);
+		return this.documentService.history(Math.clamp(count, 1, MAX_HISTORY))
+			.map((versions) -> JsonResponses
+				.ok(new HistoryAnswer(versions.stream().map(DocumentRequestHandler::render).toList())));
 	}
 
 	Promise<HttpResponse> check(HttpRequest request) {
-		return submitted(request).map((read) -> read.flatMap((submit) -> document(submit))
-			.fold(Answers::failed, (document) -> Answers.ok(new FaultsAnswer(DocumentValidator.validate(document)))));
+		return readSubmitRequest(request)
+			.map((parsed) -> parsed.flatMap((submitRequest) -> decodeDocument(submitRequest))
+				.fold(JsonResponses::error,
+						(document) -> JsonResponses.ok(new FaultsAnswer(DocumentValidator.validate(document)))));
 	}
 
 	Promise<HttpResponse> submit(HttpRequest request) {
-		return submitted(request).then((read) -> read
-			.flatMap((submit) -> document(submit)
-				.map((document) -> new Submission(submit.submission(), submit.baseVersion(), document)))
-			.fold((failure) -> Promise.of(Answers.failed(failure)), (submission) -> submit(submission)));
+		return readSubmitRequest(request).then((parsed) -> parsed
+			.flatMap((submitRequest) -> decodeDocument(submitRequest)
+				.map((document) -> new Submission(submitRequest.submission(), submitRequest.baseVersion(), document)))
+			.fold((failure) -> Promise.of(JsonResponses.error(failure)), (submission) -> submit(submission)));
 	}
 
 	private Promise<HttpResponse> submit(Submission submission) {
 		this.events.record(EventKind.OPERATOR_ORDER, submission.id(), "submit on version " + submission.baseVersion());
-		return this.documents.submit(submission).map(DocumentCalls::render);
+		return this.documentService.submit(submission).map(DocumentRequestHandler::render);
 	}
 
 	private static HttpResponse render(SubmitOutcome outcome) {
 		return switch (outcome) {
-			case SubmitOutcome.Accepted accepted -> Answers.ok(new SubmitAnswer(accepted.version(), accepted.hash()));
-			case SubmitOutcome.Invalid invalid -> Answers.failed(error(ErrorKind.DOCUMENT_INVALID,
+			case SubmitOutcome.Accepted accepted ->
+				JsonResponses.ok(new SubmitAnswer(accepted.version(), accepted.hash()));
+			case SubmitOutcome.Invalid invalid -> JsonResponses.error(errorAnswer(ErrorKind.DOCUMENT_INVALID,
 					"the document has %d faults (see TROUBLESHOOTING.md#document-invalid)"
 						.formatted(invalid.faults().size()))
 				.withFaults(invalid.faults()));
-			case SubmitOutcome.Conflict conflict -> Answers.failed(error(ErrorKind.DOCUMENT_CONFLICT,
+			case SubmitOutcome.Conflict conflict -> JsonResponses.error(errorAnswer(ErrorKind.DOCUMENT_CONFLICT,
 					"another version is in force than the draft began from (see TROUBLESHOOTING.md#document-conflict)")
-				.withPresent(conflict.present().map(DocumentCalls::render).orElse(DocumentAnswer.NONE)));
-			case SubmitOutcome.Failed failed -> Answers.failed(failed.failure());
+				.withPresent(conflict.present().map(DocumentRequestHandler::render).orElse(DocumentAnswer.NONE)));
+			case SubmitOutcome.Failed failed -> JsonResponses.error(failed.failure());
 		};
 	}
 
-	private static ErrorAnswer error(ErrorKind kind, String detail) {
+	private static ErrorAnswer errorAnswer(ErrorKind kind, String detail) {
 		return ErrorAnswer.of(Failure.of(kind, detail));
 	}
 
@@ -95,14 +100,14 @@
 		return DocumentAnswer.of(held.hash(), held.stored());
 	}
 
-	private static Promise<Either<Failure, SubmitRequest>> submitted(HttpRequest request) {
+	private static Promise<Either<Failure, SubmitRequest>> readSubmitRequest(HttpRequest request) {
 		return request.loadBody(MAX_BODY_BYTES)
 			.map((body) -> OperatorJson.read(body.getString(StandardCharsets.UTF_8), SubmitRequest.class));
 	}
 
-	private static Either<Failure, Document> document(SubmitRequest submit) {
+	private static Either<Failure, Document> decodeDocument(SubmitRequest submitRequest) {
 		try {
-			return Either.right(DocumentCodec.document(submit.fields()));
+			return Either.right(DocumentCodec.document(submitRequest.fields()));
 		}
 		catch (IllegalArgumentException ex) {
 			return Either.left(Failure.of(ErrorKind.BAD_REQUEST, String.valueOf(ex.getMessage())));
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/DutyTimes.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/DutyCpuTimes.java
@@ -18,30 +18,31 @@
  * What the process takes beyond these is the virtual machine's own: its compiler, its
  * collector. Stateless and thread-safe.
  */
-final class DutyTimes {
+final class DutyCpuTimes {
 
 	/** One series each, so their number is bounded; docs/DESIGN.md names the threads. */
-	private static final List<String> DUTIES = List.of("requests", "ownership", "operators", "events");
+	private static final List<String> DUTY_THREAD_NAMES = List.of("requests", "ownership", "operators", "events");
 
-	private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
+	private static final ThreadMXBean THREAD_BEAN = ManagementFactory.getThreadMXBean();
 
-	private DutyTimes() {
+	private DutyCpuTimes() {
 	}
 
 	static Map<String, Metric> gauges() {
-		return DUTIES.stream().collect(Collectors.toMap((duty) -> "duty_cpu_millis_" + duty, DutyTimes::gauge));
+		return DUTY_THREAD_NAMES.stream()
+			.collect(Collectors.toMap((duty) -> "duty_cpu_millis_" + duty, DutyCpuTimes::gauge));
 	}
 
 	private static Gauge<Number> gauge(String duty) {
-		return () -> TimeUnit.NANOSECONDS.toMillis(nanos(duty));
+		return () -> TimeUnit.NANOSECONDS.toMillis(cpuNanos(duty));
 	}
 
-	private static long nanos(String duty) {
-		return Arrays.stream(THREADS.getThreadInfo(THREADS.getAllThreadIds()))
+	private static long cpuNanos(String duty) {
+		return Arrays.stream(THREAD_BEAN.getThreadInfo(THREAD_BEAN.getAllThreadIds()))
 			.filter(Objects::nonNull)
 			.filter((thread) -> thread.getThreadName().equals(duty))
 			.mapToLong(ThreadInfo::getThreadId)
-			.map(THREADS::getThreadCpuTime)
+			.map(THREAD_BEAN::getThreadCpuTime)
 			.filter((nanos) -> nanos > 0)
 			.sum();
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/EventCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/EventRequestHandler.java
@@ -19,7 +19,7 @@
  * The time line of this daemon, filtered as an operator asks. Belongs to the thread of
  * operators.
  */
-final class EventCalls {
+final class EventRequestHandler {
 
 	/** Some 500 KB of JSON: enough for a page, bounded for the daemon's small heap. */
 	private static final int MAX_EVENTS = 2000;
@@ -28,51 +28,52 @@
 
 	private final EventLog events;
 
-	EventCalls(InstanceId self, EventLog events) {
+	EventRequestHandler(InstanceId self, EventLog events) {
 		this.self = self;
 		this.events = events;
 	}
 
 	Promise<HttpResponse> events(HttpRequest request) {
-		Query query = Query.of(request);
-		List<Event> all = this.events.after(query.number("after").orElse(0L));
-		List<Event> page = all.stream().filter(filter(query)).toList();
-		List<Event> latest = page.subList(Math.max(0, page.size() - MAX_EVENTS), page.size());
-		long last = (all.isEmpty()) ? query.number("after").orElse(0L) : all.getLast().number();
-		return Promise.of(Answers.ok(new EventsAnswer(this.self.value(), last, this.events.lostInAll(),
+		QueryParameters query = QueryParameters.of(request);
+		List<Event> newEvents = this.events.after(query.number("after").orElse(0L));
+		List<Event> matching = newEvents.stream().filter(filter(query)).toList();
+		List<Event> latest = matching.subList(Math.max(0, matching.size() - MAX_EVENTS), matching.size());
+		long lastNumber = (newEvents.isEmpty()) ? query.number("after").orElse(0L) : newEvents.getLast().number();
+		return Promise.of(JsonResponses.ok(new EventsAnswer(this.self.value(), lastNumber, this.events.lostInAll(),
 				this.events.pushedOutUntil().orElse(0L), latest.stream().map((event) -> render(event)).toList())));
 	}
 
-	private static Predicate<Event> filter(Query query) {
-		Predicate<Event> wanted = (event) -> true;
+	private static Predicate<Event> filter(QueryParameters query) {
+		Predicate<Event> conditions = (event) -> true;
 		Optional<String> kind = query.text("kind");
 		if (kind.isPresent()) {
-			wanted = wanted.and((event) -> event.kind().name().equalsIgnoreCase(kind.get())
+			conditions = conditions.and((event) -> event.kind().name().equalsIgnoreCase(kind.get())
 					|| Integer.toString(event.kind().number()).equals(kind.get()));
 		}
 		Optional<String> request = query.text("request");
 		if (request.isPresent()) {
-			wanted = wanted.and((event) -> event.subject().request().equals(request));
+			conditions = conditions.and((event) -> event.subject().request().equals(request));
 		}
 		Optional<String> instance = query.text("instance");
 		if (instance.isPresent()) {
-			wanted = wanted
+			conditions = conditions
 				.and((event) -> event.subject().instance().equals(instance) || event.detail().contains(instance.get()));
 		}
 		Optional<String> key = query.text("key");
 		if (key.isPresent()) {
-			wanted = wanted.and((event) -> touches(event.subject(), key.get()));
+			conditions = conditions.and((event) -> concernsKey(event.subject(), key.get()));
 		}
-		Optional<KeyRange> range = query.text("range").map(Ranges::parse);
-		return (range.isPresent()) ? wanted.and((event) -> overlaps(event.subject(), range.get())) : wanted;
+		Optional<KeyRange> range = query.text("range").map(KeyRangeParser::parse);
+		return (range.isPresent()) ? conditions.and((event) -> concernsRange(event.subject(), range.get()))
+				: conditions;
 	}
 
-	private static boolean touches(EventSubject subject, String key) {
+	private static boolean concernsKey(EventSubject subject, String key) {
 		return subject.key().filter(key::equals).isPresent()
 				|| subject.range().filter((range) -> range.contains(KeyHash.of(key))).isPresent();
 	}
 
-	private static boolean overlaps(EventSubject subject, KeyRange range) {
+	private static boolean concernsRange(EventSubject subject, KeyRange range) {
 		return subject.range().filter((other) -> other.low() < range.high() && range.low() < other.high()).isPresent()
 				|| subject.key().filter((key) -> range.contains(KeyHash.of(key))).isPresent();
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/Answers.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/JsonResponses.java
@@ -11,24 +11,24 @@
 /**
  * Renders answers of the operator port. Stateless and thread-safe.
  */
-final class Answers {
+final class JsonResponses {
 
-	private Answers() {
+	private JsonResponses() {
 	}
 
 	static HttpResponse ok(Object message) {
 		return HttpResponse.ok200().withJson(OperatorJson.write(message)).build();
 	}
 
-	static HttpResponse failed(Failure failure) {
-		return failed(ErrorAnswer.of(failure), failure.retryAfter());
+	static HttpResponse error(Failure failure) {
+		return error(ErrorAnswer.of(failure), failure.retryAfter());
 	}
 
-	static HttpResponse failed(ErrorAnswer error) {
-		return failed(error, Duration.ZERO);
+	static HttpResponse error(ErrorAnswer error) {
+		return error(error, Duration.ZERO);
 	}
 
-	private static HttpResponse failed(ErrorAnswer error, Duration retryAfter) {
+	private static HttpResponse error(ErrorAnswer error, Duration retryAfter) {
 		HttpResponse.Builder builder = HttpResponse.ofCode(error.error().status());
 		if (!retryAfter.isZero()) {
 			builder.withHeader(HttpHeaders.RETRY_AFTER, Long.toString(Math.max(1, retryAfter.toSeconds())));
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/Ranges.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/KeyRangeParser.java
@@ -8,13 +8,13 @@
 /**
  * Reads ranges as operators write them. Stateless and thread-safe.
  */
-final class Ranges {
+final class KeyRangeParser {
 
 	private static final Pattern RANGE = Pattern.compile("([0-9a-fA-F]{1,8})-([0-9a-fA-F]{1,8})");
 
 	private static final int HEXADECIMAL = 16;
 
-	private Ranges() {
+	private KeyRangeParser() {
 	}
 
 	/**
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/MetricHelp.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/MetricHelp.java
@@ -9,11 +9,11 @@
  */
 final class MetricHelp {
 
-	private static final String FAILED = "requests.failed.";
+	private static final String FAILED_REQUESTS_PREFIX = "requests.failed.";
 
-	private static final String EVENTS = "events.";
+	private static final String EVENTS_PREFIX = "events.";
 
-	private static final String DUTY = "duty_cpu_millis_";
+	private static final String DUTY_CPU_PREFIX = "duty_cpu_millis_";
 
 	private static final Map<String, String> TEXTS = Map.ofEntries(
 			Map.entry("document_version", "version of the configuration document in force in this daemon"),
@@ -55,16 +55,16 @@
 	}
 
 	static Optional<String> of(String metric) {
-		if (metric.startsWith(DUTY)) {
+		if (metric.startsWith(DUTY_CPU_PREFIX)) {
 			return Optional.of("processor time of the thread of %s since the start, in milliseconds"
-				.formatted(metric.substring(DUTY.length())));
+				.formatted(metric.substring(DUTY_CPU_PREFIX.length())));
 		}
-		if (metric.startsWith(EVENTS)) {
+		if (metric.startsWith(EVENTS_PREFIX)) {
 			return Optional.of("events of the kind %s; docs/OPERATIONS.md lists them"
-				.formatted(metric.substring(EVENTS.length())));
+				.formatted(metric.substring(EVENTS_PREFIX.length())));
 		}
-		return (metric.startsWith(FAILED))
-				? Optional.of("requests of callers that ended with the error " + metric.substring(FAILED.length()))
+		return (metric.startsWith(FAILED_REQUESTS_PREFIX)) ? Optional
+			.of("requests of callers that ended with the error " + metric.substring(FAILED_REQUESTS_PREFIX.length()))
 				: Optional.ofNullable(TEXTS.get(metric));
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/MetricsText.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/MetricsText.java
@@ -40,15 +40,15 @@
 	 */
 	public String text() {
 		StringBuilder text = new StringBuilder();
-		int kept = 0;
+		int written = 0;
 		int dropped = 0;
 		// Sorted, so that each scrape keeps the same series.
 		for (Map.Entry<String, Metric> entry : new TreeMap<>(this.metrics.getMetrics()).entrySet()) {
 			Family family = family(entry.getKey(), entry.getValue());
-			boolean room = kept + family.series().size() <= MAX_SERIES;
-			kept += (room) ? family.series().size() : 0;
-			dropped += (room) ? 0 : family.series().size();
-			text.append((room) ? family.text() : "");
+			boolean fits = written + family.series().size() <= MAX_SERIES;
+			written += (fits) ? family.series().size() : 0;
+			dropped += (fits) ? 0 : family.series().size();
+			text.append((fits) ? family.text() : "");
 		}
 		// What the bound leaves out is said rather than missed.
 		return text
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/OperatorPort.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/OperatorPort.java
@@ -23,39 +23,39 @@
 
 	private static final String BEARER = "Bearer ";
 
-	private final AsyncServlet calls;
+	private final AsyncServlet routes;
 
 	private final OperatorSecrets secrets;
 
 	private final EventLog events;
 
-	private OperatorPort(AsyncServlet calls, OperatorSecrets secrets, EventLog events) {
-		this.calls = calls;
+	private OperatorPort(AsyncServlet routes, OperatorSecrets secrets, EventLog events) {
+		this.routes = routes;
 		this.secrets = secrets;
 		this.events = events;
 	}
 
-	static OperatorPort create(NioReactor reactor, Calls calls, OperatorSecrets secrets, EventLog events) {
+	static OperatorPort create(NioReactor reactor, Handlers handlers, OperatorSecrets secrets, EventLog events) {
 		RoutingServlet routes = RoutingServlet.builder(reactor)
-			.with(HttpMethod.GET, "/v1/document", calls.documents()::inForce)
-			.with(HttpMethod.GET, "/v1/document/history", calls.documents()::history)
-			.with(HttpMethod.POST, "/v1/document/check", calls.documents()::check)
-			.with(HttpMethod.POST, "/v1/document", calls.documents()::submit)
-			.with(HttpMethod.GET, "/v1/status", calls.cell()::status)
-			.with(HttpMethod.GET, "/v1/cell", calls.cell()::cell)
-			.with(HttpMethod.GET, "/v1/owner", calls.cell()::owner)
-			.with(HttpMethod.GET, "/v1/events", calls.events()::events)
-			.with(HttpMethod.GET, "/v1/measures", calls.measures()::measures)
-			.with(HttpMethod.POST, "/v1/drain", calls.orders()::drain)
-			.with(HttpMethod.POST, "/v1/undrain", calls.orders()::undrain)
-			.with(HttpMethod.POST, "/v1/move", calls.orders()::move)
-			.with(HttpMethod.POST, "/v1/declare-lost", calls.orders()::declareLost)
+			.with(HttpMethod.GET, "/v1/document", handlers.documents()::inForce)
+			.with(HttpMethod.GET, "/v1/document/history", handlers.documents()::history)
+			.with(HttpMethod.POST, "/v1/document/check", handlers.documents()::check)
+			.with(HttpMethod.POST, "/v1/document", handlers.documents()::submit)
+			.with(HttpMethod.GET, "/v1/status", handlers.cell()::status)
+			.with(HttpMethod.GET, "/v1/cell", handlers.cell()::cell)
+			.with(HttpMethod.GET, "/v1/owner", handlers.cell()::owner)
+			.with(HttpMethod.GET, "/v1/events", handlers.events()::events)
+			.with(HttpMethod.GET, "/v1/measures", handlers.measures()::measures)
+			.with(HttpMethod.POST, "/v1/drain", handlers.orders()::drain)
+			.with(HttpMethod.POST, "/v1/undrain", handlers.orders()::undrain)
+			.with(HttpMethod.POST, "/v1/move", handlers.orders()::move)
+			.with(HttpMethod.POST, "/v1/declare-lost", handlers.orders()::declareLost)
 			.with(HttpMethod.GET, "/metrics",
-					(request) -> HttpResponse.ok200().withPlainText(calls.metrics().text()).toPromise())
-			.with(HttpMethod.GET, PeerCalls.DOCUMENT, calls.peers().document())
-			.with(HttpMethod.GET, PeerCalls.MEASURES, calls.peers().measures())
+					(request) -> HttpResponse.ok200().withPlainText(handlers.metrics().text()).toPromise())
+			.with(HttpMethod.GET, PeerRequestHandler.DOCUMENT_PATH, handlers.peers().document())
+			.with(HttpMethod.GET, PeerRequestHandler.MEASURES_PATH, handlers.peers().measures())
 			.with("/*",
-					(request) -> Promise.of(Answers.failed(Failure.of(ErrorKind.BAD_REQUEST,
+					(request) -> Promise.of(JsonResponses.error(Failure.of(ErrorKind.BAD_REQUEST,
 							"the operator port has no %s %s (see TROUBLESHOOTING.md#bad-operator-request)"
 								.formatted(request.getMethod(), request.getPath())))))
 			.build();
@@ -64,37 +64,37 @@
 
 	@Override
 	public Promise<HttpResponse> serve(HttpRequest request) {
-		if (!provedByPeer(request) && !authorized(request)) {
+		if (!isPeerRequest(request) && !isAuthorized(request)) {
 			this.events.record(EventKind.OPERATOR_REFUSED, request.getPath(),
 					"from " + request.getRemoteAddress().getHostAddress());
-			return Promise.of(Answers.failed(Failure.of(ErrorKind.UNAUTHORIZED,
+			return Promise.of(JsonResponses.error(Failure.of(ErrorKind.UNAUTHORIZED,
 					"the operators' secret is missing or wrong (see TROUBLESHOOTING.md#operator-secret)")));
 		}
 		try {
-			return this.calls.serve(request).then((response, ex) -> Promise.of((ex != null) ? failed(ex) : response));
+			return this.routes.serve(request)
+				.then((response, ex) -> Promise.of((ex != null) ? errorResponse(ex) : response));
 		}
 		catch (Exception ex) {
-			return Promise.of(failed(ex));
+			return Promise.of(errorResponse(ex));
 		}
 	}
 
 	// These two calls check the shared key's proof themselves.
-	private static boolean provedByPeer(HttpRequest request) {
-		return request.getMethod() == HttpMethod.GET
-				&& (request.getPath().equals(PeerCalls.DOCUMENT) || request.getPath().equals(PeerCalls.MEASURES));
+	private static boolean isPeerRequest(HttpRequest request) {
+		return request.getMethod() == HttpMethod.GET && (request.getPath().equals(PeerRequestHandler.DOCUMENT_PATH)
+				|| request.getPath().equals(PeerRequestHandler.MEASURES_PATH));
 	}
 
-	private boolean authorized(HttpRequest request) {
-		String offered = request.getHeader(HttpHeaders.AUTHORIZATION);
-		return offered != null && offered.startsWith(BEARER)
-				&& this.secrets.accepts(offered.substring(BEARER.length()));
+	private boolean isAuthorized(HttpRequest request) {
+		String header = request.getHeader(HttpHeaders.AUTHORIZATION);
+		return header != null && header.startsWith(BEARER) && this.secrets.accepts(header.substring(BEARER.length()));
 	}
 
-	private static HttpResponse failed(Exception ex) {
-		return Answers.failed(switch (ex) {
-			case StoreException store -> store.failure();
-			case IllegalArgumentException refused ->
-				Failure.of(ErrorKind.BAD_REQUEST, String.valueOf(refused.getMessage()));
+	private static HttpResponse errorResponse(Exception ex) {
+		return JsonResponses.error(switch (ex) {
+			case StoreException storeException -> storeException.failure();
+			case IllegalArgumentException invalidRequest ->
+				Failure.of(ErrorKind.BAD_REQUEST, String.valueOf(invalidRequest.getMessage()));
 			default -> Failure.of(ErrorKind.INTERNAL_ERROR, "the call failed: " + ex);
 		});
 	}
@@ -110,8 +110,8 @@
 	 * @param metrics the metrics as text
 	 * @param peers what other daemons ask for
 	 */
-	record Calls(DocumentCalls documents, CellCalls cell, OrderCalls orders, EventCalls events, MeasureCalls measures,
-			MetricsText metrics, PeerCalls peers) {
+	record Handlers(DocumentRequestHandler documents, CellRequestHandler cell, OrderRequestHandler orders,
+			EventRequestHandler events, MeasureRequestHandler measures, MetricsText metrics, PeerRequestHandler peers) {
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/OperatorSecrets.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/OperatorSecrets.java
@@ -36,9 +36,9 @@
 	 * @throws IllegalArgumentException if one is too short; the present ones stay
 	 */
 	public boolean replace(List<String> lines) {
-		List<Secret> fresh = parse(SecretLines.checkedOperatorSecrets(lines));
-		boolean changed = !fresh.equals(this.secrets);
-		this.secrets = fresh;
+		List<Secret> replacement = parse(SecretLines.checkedOperatorSecrets(lines));
+		boolean changed = !replacement.equals(this.secrets);
+		this.secrets = replacement;
 		return changed;
 	}
 
@@ -48,27 +48,27 @@
 
 	/**
 	 * Whether somebody knows one of the secrets.
-	 * @param offered what was offered
+	 * @param candidate what was offered
 	 * @return true if it's one of those accepted
 	 */
-	public boolean accepts(String offered) {
-		boolean known = false;
+	public boolean accepts(String candidate) {
+		boolean matches = false;
 		// All are compared, each in constant time, so that the time tells nothing.
-		for (Secret secret : accepted()) {
-			known |= MessageDigest.isEqual(secret.bytes(), offered.getBytes(StandardCharsets.UTF_8));
+		for (Secret secret : acceptedSecrets()) {
+			matches |= MessageDigest.isEqual(secret.bytes(), candidate.getBytes(StandardCharsets.UTF_8));
 		}
-		return known;
+		return matches;
 	}
 
-	private List<Secret> accepted() {
-		List<Secret> present = this.secrets;
-		List<String> names = this.acceptedNames.get();
-		List<Secret> listed = present.stream()
-			.filter((secret) -> secret.name().isEmpty() || names.contains(secret.name()))
+	private List<Secret> acceptedSecrets() {
+		List<Secret> current = this.secrets;
+		List<String> listedNames = this.acceptedNames.get();
+		List<Secret> listed = current.stream()
+			.filter((secret) -> secret.name().isEmpty() || listedNames.contains(secret.name()))
 			.toList();
 		// A document whose names no file has would lock out every operator, and with
 		// them whoever could mend it.
-		return (names.isEmpty() || listed.isEmpty()) ? present : listed;
+		return (listedNames.isEmpty() || listed.isEmpty()) ? current : listed;
 	}
 
 	@Override
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/OperatorsDuty.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/OperatorsDuty.java
@@ -41,43 +41,43 @@
 
 	private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
-	private static final Duration TICK = Duration.ofMillis(200);
+	private static final Duration TICK_PERIOD = Duration.ofMillis(200);
 
-	private static final Duration SLOW_TICK = Duration.ofSeconds(1);
+	private static final Duration SLOW_TICK_PERIOD = Duration.ofSeconds(1);
 
 	/** A heartbeat from each member of a cell, some times over. */
-	private static final int SEEN = 128;
+	private static final int MAX_QUEUED_VERSIONS = 128;
 
 	private final Duty duty = new Duty("operators");
 
-	private final Ring<SeenVersion> seen = new Ring<>(SEEN, this.duty, this::take);
+	private final Ring<PeerVersion> peerVersions = new Ring<>(MAX_QUEUED_VERSIONS, this.duty, this::deliver);
 
 	private final DaemonContext context;
 
-	private final Supplier<OwnershipSnapshot> ownership;
+	private final Supplier<OwnershipSnapshot> ownershipSnapshot;
 
-	private final Supplier<CellView> cell;
+	private final Supplier<CellView> cellView;
 
-	private final Supplier<GateView> gate;
+	private final Supplier<GateView> gateView;
 
 	private final OwnershipOrders orders;
 
-	private Optional<DocumentService> documents = Optional.empty();
+	private Optional<DocumentService> documentService = Optional.empty();
 
 	/**
 	 * Creates the duty; it does nothing until it is started.
 	 * @param context what every duty needs
-	 * @param ownership what this instance holds and knows now
-	 * @param cell what this daemon knows of its cell now
-	 * @param gate what runs and waits at the gate to the backend server now
+	 * @param ownershipSnapshot what this instance holds and knows now
+	 * @param cellView what this daemon knows of its cell now
+	 * @param gateView what runs and waits at the gate to the backend server now
 	 * @param orders who carries out orders about ownership
 	 */
-	public OperatorsDuty(DaemonContext context, Supplier<OwnershipSnapshot> ownership, Supplier<CellView> cell,
-			Supplier<GateView> gate, OwnershipOrders orders) {
+	public OperatorsDuty(DaemonContext context, Supplier<OwnershipSnapshot> ownershipSnapshot,
+			Supplier<CellView> cellView, Supplier<GateView> gateView, OwnershipOrders orders) {
 		this.context = context;
-		this.ownership = ownership;
-		this.cell = cell;
-		this.gate = gate;
+		this.ownershipSnapshot = ownershipSnapshot;
+		this.cellView = cellView;
+		this.gateView = gateView;
 		this.orders = orders;
 	}
 
@@ -98,52 +98,54 @@
 			.build();
 		HttpPlatform platform = new HttpPlatform(http, settings.platform().table(), settings.platform().objectStore(),
 				this.context.secrets());
-		PeerClient peers = new PeerClient(http, this.context, this.cell);
+		PeerClient peers = new PeerClient(http, this.context, this.cellView);
 		DocumentService service = new DocumentService(platform, platform, this.context.documents(), peers,
-				this.context.events(), this::managing);
-		MeasureRecorder keeper = new MeasureRecorder(platform, settings.cell(), peers, this.context.events(),
+				this.context.events(), this::isManager);
+		MeasureRecorder recorder = new MeasureRecorder(platform, settings.cell(), peers, this.context.events(),
 				System::currentTimeMillis);
 		OperatorSecrets secrets = new OperatorSecrets(settings.secrets().operatorSecrets(),
 				() -> this.context.documents().inForce().document().acceptedSecrets());
-		OperatorPort.Calls calls = new OperatorPort.Calls(
-				new DocumentCalls(this.context.documents(), service, this.context.events()),
-				new CellCalls(this.context, this.ownership, this.cell, this.gate),
-				new OrderCalls(this.orders, this.context.events()),
-				new EventCalls(settings.instance(), this.context.events()), new MeasureCalls(this.context, keeper),
-				new MetricsText(this.context.metrics()), new PeerCalls(this.context));
-		HttpServer.builder(reactor, OperatorPort.create(reactor, calls, secrets, this.context.events()))
+		OperatorPort.Handlers handlers = new OperatorPort.Handlers(
+				new DocumentRequestHandler(this.context.documents(), service, this.context.events()),
+				new CellRequestHandler(this.context, this.ownershipSnapshot, this.cellView, this.gateView),
+				new OrderRequestHandler(this.orders, this.context.events()),
+				new EventRequestHandler(settings.instance(), this.context.events()),
+				new MeasureRequestHandler(this.context, recorder), new MetricsText(this.context.metrics()),
+				new PeerRequestHandler(this.context));
+		HttpServer.builder(reactor, OperatorPort.create(reactor, handlers, secrets, this.context.events()))
 			.withListenAddress(settings.listen().operators())
 			.build()
 			.listen();
-		this.documents = Optional.of(service);
-		this.context.metrics().registerAll(new DaemonGauges(this.context, this.ownership, this.cell, this.gate));
-		repeat(reactor, TICK, service::tick);
-		repeat(reactor, SLOW_TICK, () -> keeper.tick(this.cell.get(), primary()));
+		this.documentService = Optional.of(service);
+		this.context.metrics()
+			.registerAll(new DaemonGauges(this.context, this.ownershipSnapshot, this.cellView, this.gateView));
+		runPeriodically(reactor, TICK_PERIOD, service::tick);
+		runPeriodically(reactor, SLOW_TICK_PERIOD, () -> recorder.tick(this.cellView.get(), isPrimaryManager()));
 		Settings.SecretFiles files = settings.secrets().files();
-		follow(files.operatorSecrets(), "operators", secrets::replace);
-		follow(files.sharedKeys(), "peers", this.context.secrets()::replaceSharedKeys);
-		follow(files.platformTokens(), "platform", this.context.secrets()::replacePlatformTokens);
+		watchSecretsFile(files.operatorSecrets(), "operators", secrets::replace);
+		watchSecretsFile(files.sharedKeys(), "peers", this.context.secrets()::replaceSharedKeys);
+		watchSecretsFile(files.platformTokens(), "platform", this.context.secrets()::replacePlatformTokens);
 	}
 
-	private void follow(Optional<Path> file, String whose, Predicate<List<String>> replace) {
-		file.map((path) -> new SecretsFile(path, whose, replace, this.context.events()))
-			.ifPresent((reader) -> repeat(this.duty.reactor(), SLOW_TICK, reader::readAnew));
+	private void watchSecretsFile(Optional<Path> file, String subject, Predicate<List<String>> replace) {
+		file.map((path) -> new SecretsFileReader(path, subject, replace, this.context.events()))
+			.ifPresent((reader) -> runPeriodically(this.duty.reactor(), SLOW_TICK_PERIOD, reader::readIfChanged));
 	}
 
-	private static void repeat(NioReactor reactor, Duration period, Runnable task) {
+	private static void runPeriodically(NioReactor reactor, Duration period, Runnable task) {
 		task.run();
-		reactor.delayBackground(period, () -> repeat(reactor, period, task));
+		reactor.delayBackground(period, () -> runPeriodically(reactor, period, task));
 	}
 
-	private boolean primary() {
-		return self(this.cell.get().primary());
+	private boolean isPrimaryManager() {
+		return isSelf(this.cellView.get().primary());
 	}
 
-	private boolean managing() {
-		return primary() || self(this.cell.get().secondary());
+	private boolean isManager() {
+		return isPrimaryManager() || isSelf(this.cellView.get().secondary());
 	}
 
-	private boolean self(Optional<InstanceId> instance) {
+	private boolean isSelf(Optional<InstanceId> instance) {
 		return instance.filter((name) -> name.equals(this.context.settings().instance())).isPresent();
 	}
 
@@ -155,14 +157,14 @@
 	@Override
 	public void onPeerVersion(InstanceId peer, long version) {
 		// A full ring loses nothing: the next heartbeat tells the version again.
-		boolean taken = this.seen.offer(new SeenVersion(peer, version));
-		if (!taken) {
+		boolean queued = this.peerVersions.offer(new PeerVersion(peer, version));
+		if (!queued) {
 			this.context.metrics().counter("document_versions_skipped").inc();
 		}
 	}
 
-	private void take(SeenVersion version) {
-		this.documents.ifPresent((service) -> service.seen(version.peer(), version.version()));
+	private void deliver(PeerVersion reported) {
+		this.documentService.ifPresent((service) -> service.seen(reported.peer(), reported.version()));
 	}
 
 	/**
@@ -179,7 +181,7 @@
 	 * @param peer whose version it is
 	 * @param version the version
 	 */
-	private record SeenVersion(InstanceId peer, long version) {
+	private record PeerVersion(InstanceId peer, long version) {
 
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/OrderCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/OrderRequestHandler.java
@@ -22,7 +22,7 @@
 /**
  * The operators' orders about ownership. Belongs to the thread of operators.
  */
-final class OrderCalls {
+final class OrderRequestHandler {
 
 	private static final int MAX_BODY_BYTES = 4096;
 
@@ -30,47 +30,48 @@
 
 	private final EventLog events;
 
-	OrderCalls(OwnershipOrders orders, EventLog events) {
+	OrderRequestHandler(OwnershipOrders orders, EventLog events) {
 		this.orders = orders;
 		this.events = events;
 	}
 
 	Promise<HttpResponse> drain(HttpRequest request) {
-		return order(request, "drain", (orders, order) -> orders.drain(new InstanceId(order.instance())));
+		return execute(request, "drain", (orders, order) -> orders.drain(new InstanceId(order.instance())));
 	}
 
 	Promise<HttpResponse> undrain(HttpRequest request) {
-		return order(request, "undrain", (orders, order) -> orders.undrain(new InstanceId(order.instance())));
+		return execute(request, "undrain", (orders, order) -> orders.undrain(new InstanceId(order.instance())));
 	}
 
 	Promise<HttpResponse> move(HttpRequest request) {
-		return order(request, "move", (orders, order) -> orders.move(new ServiceName(order.service()),
-				Ranges.parse(order.range()), new InstanceId(order.instance())));
+		return execute(request, "move", (orders, order) -> orders.move(new ServiceName(order.service()),
+				KeyRangeParser.parse(order.range()), new InstanceId(order.instance())));
 	}
 
 	Promise<HttpResponse> declareLost(HttpRequest request) {
-		return order(request, "declare-lost", (orders, order) -> (order
-			.confirmed()) ? orders.declareLost(new InstanceId(order.instance())) : refused(ErrorKind.BAD_REQUEST,
+		return execute(request, "declare-lost", (orders, order) -> (order
+			.confirmed()) ? orders.declareLost(new InstanceId(order.instance())) : refusal(ErrorKind.BAD_REQUEST,
 					"declare-lost breaks sole ownership if the instance still runs, so it must be confirmed (see TROUBLESHOOTING.md#declare-lost)"));
 	}
 
-	private static CompletableFuture<Either<Failure, String>> refused(ErrorKind kind, String detail) {
+	private static CompletableFuture<Either<Failure, String>> refusal(ErrorKind kind, String detail) {
 		return CompletableFuture.completedFuture(Either.left(Failure.of(kind, detail)));
 	}
 
-	private Promise<HttpResponse> order(HttpRequest request, String name,
-			BiFunction<OwnershipOrders, OrderRequest, CompletableFuture<Either<Failure, String>>> carryOut) {
+	private Promise<HttpResponse> execute(HttpRequest request, String name,
+			BiFunction<OwnershipOrders, OrderRequest, CompletableFuture<Either<Failure, String>>> action) {
 		return request.loadBody(MAX_BODY_BYTES)
 			.map((body) -> OperatorJson.read(body.getString(StandardCharsets.UTF_8), OrderRequest.class))
-			.then((read) -> {
-				if (read.isLeft()) {
-					return Promise.of(Answers.failed(read.getLeft()));
+			.then((parsed) -> {
+				if (parsed.isLeft()) {
+					return Promise.of(JsonResponses.error(parsed.getLeft()));
 				}
-				OrderRequest order = read.get();
+				OrderRequest order = parsed.get();
 				this.events.record(EventKind.OPERATOR_ORDER, new InstanceId(order.instance()),
 						"%s %s %s".formatted(name, order.service(), order.range()).strip());
-				return Promise.ofCompletionStage(carryOut.apply(this.orders, order))
-					.map((done) -> done.fold(Answers::failed, (result) -> Answers.ok(new OrderAnswer(result))));
+				return Promise.ofCompletionStage(action.apply(this.orders, order))
+					.map((outcome) -> outcome.fold(JsonResponses::error,
+							(result) -> JsonResponses.ok(new OrderAnswer(result))));
 			});
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerClient.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerClient.java
@@ -37,64 +37,64 @@
 
 	private final DaemonContext context;
 
-	private final Supplier<CellView> cell;
+	private final Supplier<CellView> cellView;
 
-	PeerClient(HttpClient http, DaemonContext context, Supplier<CellView> cell) {
+	PeerClient(HttpClient http, DaemonContext context, Supplier<CellView> cellView) {
 		this.http = http;
 		this.context = context;
-		this.cell = cell;
+		this.cellView = cellView;
 	}
 
 	@Override
 	public Promise<byte[]> fetch(InstanceId peer) {
-		return this.cell.get()
+		return this.cellView.get()
 			.members()
 			.stream()
 			.filter((member) -> member.instance().equals(peer))
 			.findFirst()
-			.map((member) -> ask(member.address(), PeerCalls.DOCUMENT))
+			.map((member) -> get(member.address(), PeerRequestHandler.DOCUMENT_PATH))
 			.orElseGet(() -> Promise.ofException(new IOException("peer %s has no known address".formatted(peer))));
 	}
 
 	@Override
 	public Promise<List<MinuteReport>> after(long afterMinute) {
 		InstanceId self = this.context.settings().instance();
-		Stream<Promise<List<MinuteReport>>> others = this.cell.get()
+		Stream<Promise<List<MinuteReport>>> otherReports = this.cellView.get()
 			.members()
 			.stream()
 			.filter((member) -> !member.instance().equals(self))
-			.map((member) -> reports(member.address(), afterMinute));
-		Promise<List<MinuteReport>> own = Promise.of(this.context.outcomes().after(afterMinute));
-		return Promises.toList(Stream.concat(Stream.of(own), others))
+			.map((member) -> fetchReports(member.address(), afterMinute));
+		Promise<List<MinuteReport>> ownReports = Promise.of(this.context.outcomes().after(afterMinute));
+		return Promises.toList(Stream.concat(Stream.of(ownReports), otherReports))
 			.map((lists) -> lists.stream().flatMap(List::stream).toList());
 	}
 
-	private Promise<List<MinuteReport>> reports(PeerAddress address, long afterMinute) {
+	private Promise<List<MinuteReport>> fetchReports(PeerAddress address, long afterMinute) {
 		// A member that doesn't answer must not keep the others' measures from being
 		// kept.
-		return ask(address, PeerCalls.MEASURES + "?after=" + afterMinute)
+		return get(address, PeerRequestHandler.MEASURES_PATH + "?after=" + afterMinute)
 			.map((body) -> OperatorJson.read(new String(body, StandardCharsets.UTF_8), MinuteReports.class)
 				.map(MinuteReports::read)
 				.getOrElse(List.of()))
 			.map((reports) -> reports, (ex) -> List.of());
 	}
 
-	private Promise<byte[]> ask(PeerAddress address, String path) {
+	private Promise<byte[]> get(PeerAddress address, String path) {
 		SharedKeys keys = this.context.secrets().sharedKeys();
 		String nonce = PeerProof.nonce();
 		HttpRequest request = HttpRequest.get("http://%s:%d%s".formatted(address.host(), address.operatorPort(), path))
-			.withHeader(PeerCalls.NONCE, nonce)
-			.withHeader(PeerCalls.PROOF, PeerProof.proveRequest(keys, path, nonce))
+			.withHeader(PeerRequestHandler.NONCE_HEADER, nonce)
+			.withHeader(PeerRequestHandler.PROOF_HEADER, PeerProof.proveRequest(keys, path, nonce))
 			.withHeader(HttpHeaders.ACCEPT_ENCODING, "gzip")
 			.build();
 		return this.http.request(request)
 			.then((response) -> response.loadBody(MAX_BODY_BYTES)
 				.map(ByteBuf::getArray)
-				.then((body) -> checked(keys, nonce, response, body)));
+				.then((body) -> verifyBody(keys, nonce, response, body)));
 	}
 
-	private static Promise<byte[]> checked(SharedKeys keys, String nonce, HttpResponse response, byte[] body) {
-		String proof = response.getHeader(PeerCalls.PROOF);
+	private static Promise<byte[]> verifyBody(SharedKeys keys, String nonce, HttpResponse response, byte[] body) {
+		String proof = response.getHeader(PeerRequestHandler.PROOF_HEADER);
 		boolean proved = response.getCode() == 200 && proof != null
 				&& PeerProof.verifyResponse(keys, nonce, body, proof);
 		return (proved) ? Promise.of(body)
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerCalls.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerRequestHandler.java
@@ -22,24 +22,24 @@
  * What other daemons ask this one for, each question proved by the shared key. Belongs to
  * the thread of operators.
  */
-final class PeerCalls {
+final class PeerRequestHandler {
 
-	static final String DOCUMENT = "/peer/document";
+	static final String DOCUMENT_PATH = "/peer/document";
 
-	static final String MEASURES = "/peer/measures";
+	static final String MEASURES_PATH = "/peer/measures";
 
-	static final HttpHeader NONCE = HttpHeaders.of("Brasspier-Nonce");
+	static final HttpHeader NONCE_HEADER = HttpHeaders.of("Brasspier-Nonce");
 
-	static final HttpHeader PROOF = HttpHeaders.of("Brasspier-Proof");
+	static final HttpHeader PROOF_HEADER = HttpHeaders.of("Brasspier-Proof");
 
 	private final DaemonContext context;
 
-	PeerCalls(DaemonContext context) {
+	PeerRequestHandler(DaemonContext context) {
 		this.context = context;
 	}
 
 	AsyncServlet document() {
-		return (request) -> proved(request,
+		return (request) -> serveIfProved(request,
 				() -> this.context.documents()
 					.held()
 					.map(DocumentHolder.Held::bytes)
@@ -47,23 +47,25 @@
 	}
 
 	AsyncServlet measures() {
-		return (request) -> proved(request, () -> OperatorJson
-			.write(MinuteReports.of(this.context.outcomes().after(Query.of(request).number("after").orElse(0L))))
-			.getBytes(StandardCharsets.UTF_8));
+		return (request) -> serveIfProved(request,
+				() -> OperatorJson
+					.write(MinuteReports
+						.of(this.context.outcomes().after(QueryParameters.of(request).number("after").orElse(0L))))
+					.getBytes(StandardCharsets.UTF_8));
 	}
 
-	private Promise<HttpResponse> proved(HttpRequest request, java.util.function.Supplier<byte[]> answer) {
+	private Promise<HttpResponse> serveIfProved(HttpRequest request, java.util.function.Supplier<byte[]> bodySupplier) {
 		SharedKeys keys = this.context.secrets().sharedKeys();
-		String nonce = request.getHeader(NONCE);
-		String proof = request.getHeader(PROOF);
+		String nonce = request.getHeader(NONCE_HEADER);
+		String proof = request.getHeader(PROOF_HEADER);
 		if (nonce == null || proof == null || !PeerProof.verifyRequest(keys, request.getPathAndQuery(), nonce, proof)) {
 			this.context.events().record(EventKind.PEER_REFUSED, request.getPath(), "without the shared key's proof");
-			return Promise.of(Answers.failed(Failure.of(ErrorKind.UNAUTHORIZED,
+			return Promise.of(JsonResponses.error(Failure.of(ErrorKind.UNAUTHORIZED,
 					"this call needs the shared key's proof (see TROUBLESHOOTING.md#shared-key)")));
 		}
-		byte[] body = answer.get();
+		byte[] body = bodySupplier.get();
 		return HttpResponse.ok200()
-			.withHeader(PROOF, PeerProof.proveResponse(keys, nonce, body))
+			.withHeader(PROOF_HEADER, PeerProof.proveResponse(keys, nonce, body))
 			.withBody(body)
 			.withBodyGzipCompression()
 			.toPromise();
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/Query.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/QueryParameters.java
@@ -9,17 +9,17 @@
  *
  * @param request the request
  */
-record Query(HttpRequest request) {
+record QueryParameters(HttpRequest request) {
 
-	static Query of(HttpRequest request) {
-		return new Query(request);
+	static QueryParameters of(HttpRequest request) {
+		return new QueryParameters(request);
 	}
 
 	Optional<String> text(String name) {
 		return Optional.ofNullable(this.request.getQueryParameter(name)).filter((value) -> !value.isEmpty());
 	}
 
-	String needed(String name) {
+	String requiredText(String name) {
 		return text(name).orElseThrow(() -> new IllegalArgumentException(
 				"parameter %s is missing (see TROUBLESHOOTING.md#bad-operator-request)".formatted(name)));
 	}
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/SecretsFile.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/SecretsFileReader.java
@@ -14,38 +14,39 @@
  * or holds one that's unfit leaves the secrets as they are: a slip while it's replaced
  * must lock out neither operators nor daemons. Belongs to the thread of operators.
  */
-final class SecretsFile {
+final class SecretsFileReader {
 
 	private final Path file;
 
-	private final String whose;
+	private final String subject;
 
-	private final Predicate<List<String>> replace;
+	private final Predicate<List<String>> replaceSecrets;
 
 	private final EventLog events;
 
-	private List<String> latest = List.of();
+	private List<String> lastLines = List.of();
 
 	/**
 	 * Creates a reader that has read nothing yet.
 	 * @param file the file
-	 * @param whose whose secrets they are, for the time line
-	 * @param replace takes over the secrets read, and tells whether anything changed
+	 * @param subject whose secrets they are, for the time line
+	 * @param replaceSecrets takes over the secrets read, and tells whether anything
+	 * changed
 	 * @param events the time line
 	 */
-	SecretsFile(Path file, String whose, Predicate<List<String>> replace, EventLog events) {
+	SecretsFileReader(Path file, String subject, Predicate<List<String>> replaceSecrets, EventLog events) {
 		this.file = file;
-		this.whose = whose;
-		this.replace = replace;
+		this.subject = subject;
+		this.replaceSecrets = replaceSecrets;
 		this.events = events;
 	}
 
-	void readAnew() {
+	void readIfChanged() {
 		try {
 			List<String> lines = SecretLines.read(this.file);
-			if (!lines.equals(this.latest)) {
-				this.latest = lines;
-				takeOver(lines);
+			if (!lines.equals(this.lastLines)) {
+				this.lastLines = lines;
+				apply(lines);
 			}
 		}
 		catch (IOException | IllegalArgumentException ex) {
@@ -53,14 +54,14 @@
 		}
 	}
 
-	private void takeOver(List<String> lines) {
+	private void apply(List<String> lines) {
 		try {
-			if (this.replace.test(lines)) {
-				this.events.record(EventKind.SECRETS_READ, this.whose, lines.size() + " accepted");
+			if (this.replaceSecrets.test(lines)) {
+				this.events.record(EventKind.SECRETS_READ, this.subject, lines.size() + " accepted");
 			}
 		}
 		catch (IllegalArgumentException ex) {
-			this.events.record(EventKind.SECRETS_REFUSED, this.whose, String.valueOf(ex.getMessage()));
+			this.events.record(EventKind.SECRETS_REFUSED, this.subject, String.valueOf(ex.getMessage()));
 		}
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/platform/HttpPlatform.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/platform/HttpPlatform.java
@@ -47,28 +47,29 @@
 	 * @param storeAddress where the object store is, as IP:PORT
 	 * @param secrets the platform's bearer token as it is now
 	 */
-	public HttpPlatform(HttpClient http, String tableAddress, String storeAddress, CurrentSecrets secrets) {
+	public HttpPlatform(HttpClient http, String tableAddress, String objectStoreAddress, CurrentSecrets secrets) {
 		this.http = http;
 		this.tableUrl = "http://" + tableAddress + "/table/";
-		this.objectUrl = "http://" + storeAddress + "/objects/";
+		this.objectUrl = "http://" + objectStoreAddress + "/objects/";
 		this.secrets = secrets;
 	}
 
 	@Override
 	public Promise<Optional<Row>> read(String key) {
-		return call(request(HttpMethod.GET, this.tableUrl + key)).then(HttpPlatform::row);
+		return call(request(HttpMethod.GET, this.tableUrl + key)).then(HttpPlatform::toRow);
 	}
 
 	@Override
-	public Promise<ReadResult> readUnless(String key, long known) {
-		return call(request(HttpMethod.GET, this.tableUrl + key).withHeader(UNLESS_VERSION, Long.toString(known)))
-			.then((answer) -> (answer.code() == NOT_MODIFIED) ? Promise.of(new ReadResult.Unchanged())
-					: row(answer).map(ReadResult.Found::new));
+	public Promise<ReadResult> readUnless(String key, long knownVersion) {
+		return call(
+				request(HttpMethod.GET, this.tableUrl + key).withHeader(UNLESS_VERSION, Long.toString(knownVersion)))
+			.then((reply) -> (reply.code() == NOT_MODIFIED) ? Promise.of(new ReadResult.Unchanged())
+					: toRow(reply).map(ReadResult.Found::new));
 	}
 
-	private static Promise<Optional<Row>> row(Reply answer) {
-		return (answer.code() == 200) ? Promise.of(Optional.of(new Row(answer.version(), answer.body())))
-				: absent(answer);
+	private static Promise<Optional<Row>> toRow(Reply reply) {
+		return (reply.code() == 200) ? Promise.of(Optional.of(new Row(reply.version(), reply.body())))
+				: absentOrRefused(reply);
 	}
 
 	@Override
@@ -76,39 +77,39 @@
 		HttpRequest.Builder request = request(HttpMethod.PUT, this.tableUrl + key)
 			.withHeader(IF_VERSION, Long.toString(expectedVersion))
 			.withBody(value);
-		return send(request).then((answer, ex) -> (ex != null) ? lost(ex) : written(answer));
+		return send(request).then((reply, ex) -> (ex != null) ? failedWrite(ex) : toWriteResult(reply));
 	}
 
-	private static Promise<WriteResult> lost(Exception ex) {
+	private static Promise<WriteResult> failedWrite(Exception ex) {
 		// A refused connection cannot have carried the write; anything else may have.
 		return (ex instanceof ConnectException) ? Promise.ofException(unavailable(ex.toString()))
 				: Promise.of(new WriteResult.Unknown(ex.toString()));
 	}
 
-	private static Promise<WriteResult> written(Reply answer) {
-		return switch (answer.code()) {
-			case 200 -> Promise.of(new WriteResult.Written(answer.version()));
-			case 412 -> Promise.of(new WriteResult.Conflict(answer.version()));
+	private static Promise<WriteResult> toWriteResult(Reply reply) {
+		return switch (reply.code()) {
+			case 200 -> Promise.of(new WriteResult.Written(reply.version()));
+			case 412 -> Promise.of(new WriteResult.Conflict(reply.version()));
 			// Throttled or down: the service answers so only before it begins a write.
-			case 429, 503 -> Promise.ofException(refused(answer));
-			default -> Promise.of(new WriteResult.Unknown("status " + answer.code()));
+			case 429, 503 -> Promise.ofException(refusal(reply));
+			default -> Promise.of(new WriteResult.Unknown("status " + reply.code()));
 		};
 	}
 
 	@Override
 	public Promise<Void> put(String name, byte[] body) {
 		return call(request(HttpMethod.PUT, this.objectUrl + name).withBody(body))
-			.then((answer) -> (answer.code() == 200) ? Promise.complete() : Promise.ofException(refused(answer)));
+			.then((reply) -> (reply.code() == 200) ? Promise.complete() : Promise.ofException(refusal(reply)));
 	}
 
 	@Override
 	public Promise<Optional<byte[]>> get(String name) {
 		return call(request(HttpMethod.GET, this.objectUrl + name))
-			.then((answer) -> (answer.code() == 200) ? Promise.of(Optional.of(answer.body())) : absent(answer));
+			.then((reply) -> (reply.code() == 200) ? Promise.of(Optional.of(reply.body())) : absentOrRefused(reply));
 	}
 
-	private static <T> Promise<Optional<T>> absent(Reply answer) {
-		return (answer.code() == 404) ? Promise.of(Optional.empty()) : Promise.ofException(refused(answer));
+	private static <T> Promise<Optional<T>> absentOrRefused(Reply reply) {
+		return (reply.code() == 404) ? Promise.of(Optional.empty()) : Promise.ofException(refusal(reply));
 	}
 
 	private HttpRequest.Builder request(HttpMethod method, String url) {
@@ -118,9 +119,9 @@
 	private Promise<Reply> send(HttpRequest.Builder request) {
 		String token = this.secrets.platformToken();
 		return this.http.request(request.withHeader(HttpHeaders.AUTHORIZATION, "Bearer " + token).build())
-			.then((response) -> whole(response))
-			.whenResult((answer) -> {
-				if (answer.code() == UNAUTHORIZED) {
+			.then((response) -> readReply(response))
+			.whenResult((reply) -> {
+				if (reply.code() == UNAUTHORIZED) {
 					this.secrets.platformRefused(token);
 				}
 			});
@@ -130,16 +131,16 @@
 		return send(request).mapException((ex) -> (ex instanceof StoreException) ? ex : unavailable(ex.toString()));
 	}
 
-	private static Promise<Reply> whole(HttpResponse response) {
+	private static Promise<Reply> readReply(HttpResponse response) {
 		String version = response.getHeader(VERSION);
 		return response.loadBody(MAX_VALUE_BYTES)
 			.map((body) -> new Reply(response.getCode(), (version != null) ? Long.parseLong(version) : 0,
 					body.getArray()));
 	}
 
-	private static StoreException refused(Reply answer) {
-		return unavailable((answer.code() == UNAUTHORIZED)
-				? "it refuses the token (see TROUBLESHOOTING.md#platform-token)" : "status " + answer.code());
+	private static StoreException refusal(Reply reply) {
+		return unavailable((reply.code() == UNAUTHORIZED)
+				? "it refuses the token (see TROUBLESHOOTING.md#platform-token)" : "status " + reply.code());
 	}
 
 	private static StoreException unavailable(String detail) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/platform/TableService.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/platform/TableService.java
@@ -20,12 +20,12 @@
 	 * Reads a row if it has another version than the one that is known, which spares the
 	 * bytes of one that rarely changes.
 	 * @param key the row's key
-	 * @param known the version that is known, at least 1
+	 * @param knownVersion the version that is known, at least 1
 	 * @return the row as it is now, which may have the known version all the same; a
 	 * {@link ReadResult.Unchanged} if it still has the known version; or a
 	 * {@link StoreException}
 	 */
-	Promise<ReadResult> readUnless(String key, long known);
+	Promise<ReadResult> readUnless(String key, long knownVersion);
 
 	/**
 	 * Writes a row if it still has the expected version.
--- a/daemon/src/test/java/org/brasspier/daemon/internal/operator/MetricsTextTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/operator/MetricsTextTests.java
@@ -14,7 +14,7 @@
 	private final MetricRegistry metrics = new MetricRegistry();
 
 	@Test
-	void eachMetricIsOneSeriesOrAFew() {
+	void eachMetricIsWrittenAsOneOrMoreSeries() {
 		this.metrics.counter("requests.refused").inc(3);
 		this.metrics.register("queue", (Gauge<Integer>) () -> 7);
 		this.metrics.histogram("wait").update(5);
@@ -33,7 +33,7 @@
 	}
 
 	@Test
-	void theNumberOfSeriesIsBoundedAndWhatIsLeftOutIsSaid() {
+	void seriesBeyondTheLimitAreDroppedAndCounted() {
 		for (int i = 0; i < MetricsText.MAX_SERIES + 5; i++) {
 			this.metrics.counter("c" + i);
 		}
--- a/daemon/src/test/java/org/brasspier/daemon/internal/operator/OperatorSecretsTests.java
+++ b/daemon/src/test/java/org/brasspier/daemon/internal/operator/OperatorSecretsTests.java
@@ -22,7 +22,7 @@
 			() -> this.listed);
 
 	@Test
-	void eachSecretIsAcceptedAndNothingElse() {
+	void onlyTheConfiguredSecretsAreAccepted() {
 		assertThat(this.secrets.accepts("spring-secret")).isTrue();
 		assertThat(this.secrets.accepts("summer-secret")).isTrue();
 		assertThat(this.secrets.accepts("spring")).isFalse();
@@ -45,23 +45,23 @@
 	}
 
 	@Test
-	void noSecretShowsInTexts() {
+	void toStringContainsNoSecret() {
 		assertThat(this.secrets.toString()).doesNotContain("secret-");
 		assertThat(this.secrets.toString()).isEqualTo("OperatorSecrets[2]");
 	}
 
 	@Test
-	void aChangedFileIsTakenOverAndAnEmptyOneIsNot(@TempDir Path folder) throws IOException {
+	void aChangedFileReplacesTheSecretsAndAnEmptyOneDoesNot(@TempDir Path folder) throws IOException {
 		Path file = folder.resolve("secrets");
-		SecretsFile reader = new SecretsFile(file, "operators", this.secrets::replace, new EventLog(10));
-		reader.readAnew();
+		SecretsFileReader reader = new SecretsFileReader(file, "operators", this.secrets::replace, new EventLog(10));
+		reader.readIfChanged();
 		assertThat(this.secrets.accepts("spring-secret")).isTrue();
 		Files.writeString(file, "autumn autumn-secret\n");
-		reader.readAnew();
+		reader.readIfChanged();
 		assertThat(this.secrets.accepts("autumn-secret")).isTrue();
 		assertThat(this.secrets.accepts("spring-secret")).isFalse();
 		Files.writeString(file, "\n");
-		reader.readAnew();
+		reader.readIfChanged();
 		assertThat(this.secrets.accepts("autumn-secret")).isTrue();
 	}
 
