--- a/daemon/src/main/java/org/brasspier/daemon/internal/Daemon.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/Daemon.java
@@ -13,11 +13,11 @@
 import org.brasspier.daemon.internal.settings.Settings;
 
 /**
- * One daemon: its duties, joined. Starting and leaving is thread-safe.
+ * A daemon: creates its duties and connects them. Starting and leaving is thread-safe.
  */
 public final class Daemon {
 
-	private static final int KEPT_EVENTS = 4096;
+	private static final int MAX_KEPT_EVENTS = 4096;
 
 	private final DaemonContext context;
 
@@ -29,10 +29,10 @@
 
 	/**
 	 * Creates a daemon that does not listen yet.
-	 * @param settings the checked settings
+	 * @param settings the validated settings
 	 */
 	public Daemon(Settings settings) {
-		this.context = new DaemonContext(settings, new EventLog(KEPT_EVENTS), new MetricRegistry());
+		this.context = new DaemonContext(settings, new EventLog(MAX_KEPT_EVENTS), new MetricRegistry());
 		this.ownership = new OwnershipDuty(this.context);
 		this.requests = new RequestsDuty(this.context, new RequestsDuty.SharedState(this.ownership::snapshot,
 				this.ownership::view, this.context.documents()::catalog));
@@ -43,7 +43,7 @@
 	}
 
 	/**
-	 * Opens all ports and begins to work.
+	 * Opens all ports and starts the duties.
 	 * @throws IOException if a port can't be opened
 	 */
 	public void start() throws IOException {
@@ -57,25 +57,25 @@
 	}
 
 	/**
-	 * Leaves: hands over what this instance owns, waits until nothing is in flight, or
-	 * for as long as the settings allow, then ends.
+	 * Shuts down: hands over the ranges that this instance owns, waits until no request
+	 * is in flight or the time limit of the settings has passed, then stops all duties.
 	 */
 	public void leave() {
 		this.context.events().record(EventKind.DAEMON_STOPPING, this.context.settings().instance(), "");
-		CountDownLatch left = new CountDownLatch(1);
+		CountDownLatch relinquished = new CountDownLatch(1);
 		long maxMillis = this.context.settings().limits().maxLeaveMillis();
-		long begunNanos = System.nanoTime();
+		long startedNanos = System.nanoTime();
 		this.requests.startDraining();
-		this.ownership.relinquish(left::countDown);
+		this.ownership.relinquish(relinquished::countDown);
 		try {
-			boolean clean = left.await(maxMillis, TimeUnit.MILLISECONDS);
-			long spentMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begunNanos);
-			this.requests.stop(Math.max(1, maxMillis - spentMillis));
+			boolean completed = relinquished.await(maxMillis, TimeUnit.MILLISECONDS);
+			long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
+			this.requests.stop(Math.max(1, maxMillis - elapsedMillis));
 			this.ownership.stop();
 			this.operators.stop();
 			this.context.events()
 				.record(EventKind.DAEMON_STOPPED, this.context.settings().instance(),
-						(clean) ? "nothing in flight" : "the time to leave ran out");
+						(completed) ? "nothing in flight" : "the time limit for leaving has passed");
 			this.context.events().stop();
 		}
 		catch (InterruptedException ex) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/Query.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/QueryParameters.java
@@ -5,21 +5,22 @@
 import io.activej.http.HttpRequest;
 
 /**
- * The parameters of a request to the operator port. Belongs to the thread of operators.
+ * The query parameters of a request to the operator port. Not thread-safe; confined to
+ * the operators thread.
  *
  * @param request the request
  */
-record Query(HttpRequest request) {
+record QueryParameters(HttpRequest request) {
 
-	static Query of(HttpRequest request) {
-		return new Query(request);
+	static QueryParameters of(HttpRequest request) {
+		return new QueryParameters(request);
 	}
 
 	Optional<String> text(String name) {
 		return Optional.ofNullable(this.request.getQueryParameter(name)).filter((value) -> !value.isEmpty());
 	}
 
-	String needed(String name) {
+	String requiredText(String name) {
 		return text(name).orElseThrow(() -> new IllegalArgumentException(
 				"parameter %s is missing (see TROUBLESHOOTING.md#bad-operator-request)".formatted(name)));
 	}
