--- a/cli/src/main/java/org/brasspier/cli/Main.java
+++ b/cli/src/main/java/org/brasspier/cli/Main.java
@@ -16,8 +16,8 @@
 	}
 
 	/**
-	 * Runs one command. The exit code is 0 on success, otherwise that of the error kind
-	 * as listed in docs/API.md.
+	 * Runs one command. Exits with code 0 on success, otherwise with the exit code of the
+	 * error kind, as listed in docs/API.md.
 	 * @param arguments the command line
 	 */
 	public static void main(String[] arguments) {
--- a/cli/src/main/java/org/brasspier/cli/internal/CommandLine.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/CommandLine.java
@@ -22,8 +22,8 @@
 import org.brasspier.wire.operator.OperatorJson;
 
 /**
- * Parses the command line, runs the command and prints its result. An object runs one
- * command line; not thread-safe.
+ * Parses the command line, runs the command and prints its result. Each instance runs one
+ * command line. Not thread-safe.
  */
 public final class CommandLine {
 
@@ -38,7 +38,7 @@
 	private final Map<String, Command> commands = new LinkedHashMap<>();
 
 	/**
-	 * Creates the tool with all its commands.
+	 * Creates a command line with all commands.
 	 * @param terminal the operator's terminal
 	 * @param environment environment variables
 	 */
@@ -94,7 +94,7 @@
 	private static void parseArguments(JCommander commander, String[] arguments) {
 		String[] expanded = FormCommand.expandFieldFlags(arguments);
 		commander.parse(expanded);
-		// JCommander would accept a mistyped flag as an operand of the command.
+		// JCommander itself accepts an unknown flag as an operand of the command.
 		Set<String> knownFlags = Stream.concat(Stream.of(commander), commander.getCommands().values().stream())
 			.flatMap((parser) -> parser.getParameters().stream())
 			.flatMap((parameter) -> Arrays.stream(parameter.getParameter().names()))
@@ -110,7 +110,7 @@
 	private Command findCommand(String name) {
 		Command command = this.commands.get(name);
 		if (command == null) {
-			throw new IllegalArgumentException("there is no command " + name);
+			throw new IllegalArgumentException("unknown command " + name);
 		}
 		return command;
 	}
@@ -142,7 +142,7 @@
 			return Files.readString(Path.of(this.flags.secretFile)).strip();
 		}
 		catch (IOException ex) {
-			throw new UncheckedIOException("the file of --secret-file can't be read", ex);
+			throw new UncheckedIOException("the file given by --secret-file can't be read", ex);
 		}
 	}
 
--- a/cli/src/main/java/org/brasspier/cli/internal/ConfigCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/ConfigCommand.java
@@ -17,33 +17,33 @@
 /**
  * Shows the versions of the configuration document.
  */
-@Parameters(commandDescription = "the document in force and the versions before it")
+@Parameters(commandDescription = "show the configuration document in force and earlier versions")
 final class ConfigCommand implements Command {
 
 	@Parameter(description = """
 			show [VERSION] | history | diff [OLD [NEW]] | status
 
-			  show     each field of a version, else of the one in force
+			  show     all fields of a version (default: the version in force)
 			  history  the latest versions, newest first
-			  diff     what changed from one version to another, else by the latest one
+			  diff     changes from OLD to NEW (default: from the previous version to the one in force)
 			  status   the version in force on each daemon""")
 	private List<String> operands = new ArrayList<>();
 
-	@Parameter(names = "--count", description = "how many versions to look back, up to 100")
+	@Parameter(names = "--count", description = "number of latest versions to list or search, up to 100")
 	private int count = 100;
 
 	@Override
 	public Either<ErrorAnswer, Report> run(Session session) {
 		String action = (this.operands.isEmpty()) ? "" : this.operands.getFirst();
 		if (this.operands.stream().skip(1).anyMatch((operand) -> !operand.matches("[0-9]{1,18}"))) {
-			return Session.badRequest("a version is a whole number");
+			return Session.badRequest("a version must be a whole number of at most 18 digits");
 		}
 		return switch (action) {
 			case "show" -> fetchVersion(session, 1).map(ConfigCommand::versionReport);
 			case "history" -> fetchHistory(session).map(ConfigCommand::historyReport);
 			case "diff" -> diffReport(session);
 			case "status" -> Either.right(daemonVersionsReport(session));
-			default -> Session.badRequest("say one of config show, history, diff or status");
+			default -> Session.badRequest("config needs one of show, history, diff or status");
 		};
 	}
 
--- a/cli/src/main/java/org/brasspier/cli/internal/DeclareLostCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/DeclareLostCommand.java
@@ -13,13 +13,13 @@
 /**
  * Declares an instance permanently lost.
  */
-@Parameters(commandDescription = "state that an instance is gone for good (dangerous: asks first)")
+@Parameters(commandDescription = "declare an instance permanently lost (dangerous: asks for confirmation)")
 final class DeclareLostCommand implements Command {
 
 	@Parameter(description = "INSTANCE")
 	private List<String> operands = new ArrayList<>();
 
-	@Parameter(names = "--yes", description = "confirm the danger without being asked")
+	@Parameter(names = "--yes", description = "skip the confirmation prompt")
 	private boolean yes;
 
 	@Override
@@ -29,11 +29,13 @@
 		}
 		String instance = this.operands.getFirst();
 		session.terminal()
-			.printProgress("DANGER: what %s owned moves at once. If its daemon or backend server still runs anywhere, "
-				.formatted(instance)
-					+ "two servers may own the same keys: bookings may run twice. Make sure that both are gone for good.");
-		if (!this.yes && !session.terminal().confirm("Is %s gone for good?".formatted(instance))) {
-			return Session.badRequest("not confirmed; nothing was done (see TROUBLESHOOTING.md#declare-lost)");
+			.printProgress(
+					"DANGER: the ranges of %s are reassigned immediately. If its daemon or backend server still runs anywhere, "
+						.formatted(instance)
+							+ "two servers may own the same keys, and bookings may run twice. Make sure that both have stopped for good.");
+		if (!this.yes && !session.terminal().confirm("Is %s permanently lost?".formatted(instance))) {
+			return Session
+				.badRequest("not confirmed; no instance was declared lost (see TROUBLESHOOTING.md#declare-lost)");
 		}
 		return session.client()
 			.post("/v1/declare-lost", new OrderRequest(instance, "", "", true), OrderAnswer.class, true)
--- a/cli/src/main/java/org/brasspier/cli/internal/DraftCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/DraftCommand.java
@@ -22,17 +22,17 @@
 /**
  * Shows, checks, submits, rebases or discards the draft.
  */
-@Parameters(commandDescription = "show, check, submit, rebase or discard the draft that forms fill in")
+@Parameters(commandDescription = "show, check, submit, rebase or discard the draft that `form` fills in")
 final class DraftCommand implements Command {
 
 	@Parameter(description = """
 			show|check|submit|rebase|discard
 
-			  show     what the draft changes, and the version it began from
-			  check    all faults of the whole document, each with its remedy
-			  submit   bring it into force, if the version it began from still is
+			  show     the changes in the draft and the version it is based on
+			  check    all faults of the complete document, each with its remedy
+			  submit   put the draft into force, if the version it is based on is still in force
 			  rebase   move its changes onto the version in force, after a conflict
-			  discard  throw it away""")
+			  discard  delete the draft""")
 	private List<String> operands = new ArrayList<>();
 
 	@Parameter(names = "--no-wait", description = "don't wait until the version is in force on every daemon")
@@ -43,7 +43,7 @@
 		String action = (this.operands.size() == 1) ? this.operands.getFirst() : "";
 		Optional<DraftFile.StoredDraft> storedDraft = session.draftFile().read();
 		if (storedDraft.isEmpty() && Stream.of("check", "submit", "rebase").anyMatch(action::equals)) {
-			return Session.badRequest("there is no draft: fill in a form first (see TROUBLESHOOTING.md#draft-file)");
+			return Session.badRequest("no draft exists: fill in a form first (see TROUBLESHOOTING.md#draft-file)");
 		}
 		return switch (action) {
 			case "show" -> session.storedOrNewDraft().map(DraftCommand::draftReport);
@@ -52,15 +52,15 @@
 			case "rebase" ->
 				session.documentInForce().map((current) -> rebase(session, storedDraft.orElseThrow().draft(), current));
 			case "discard" ->
-				Either.right(Report.of(new DiscardMessage(session.draftFile().delete()), "the draft is gone"));
-			default -> Session.badRequest("say one of draft show, check, submit, rebase or discard");
+				Either.right(Report.of(new DiscardMessage(session.draftFile().delete()), "the draft is discarded"));
+			default -> Session.badRequest("draft needs one of show, check, submit, rebase or discard");
 		};
 	}
 
 	private static Report draftReport(Draft draft) {
 		DocumentDiff diff = DocumentDiff.between(draft.base(), draft.document());
 		List<String> lines = new ArrayList<>();
-		lines.add("draft on version %d, %d changes".formatted(draft.baseVersion(), diff.differences().size()));
+		lines.add("draft based on version %d, %d changes".formatted(draft.baseVersion(), diff.differences().size()));
 		diff.differences().forEach((difference) -> lines.add("  " + difference));
 		return new Report(new DraftMessage(draft.baseVersion(), Differences.of(diff)), lines);
 	}
@@ -68,8 +68,7 @@
 	private static Either<ErrorAnswer, Report> check(Session session, DraftFile.StoredDraft storedDraft) {
 		return session.client()
 			.post("/v1/document/check", submitRequest(storedDraft), FaultsAnswer.class, true)
-			.flatMap((answer) -> (answer.faults().isEmpty())
-					? Either.right(Report.of(answer, "the document may take effect"))
+			.flatMap((answer) -> (answer.faults().isEmpty()) ? Either.right(Report.of(answer, "the document is valid"))
 					: Either.left(ErrorAnswer.of(org.brasspier.core.Failure.of(ErrorKind.DOCUMENT_INVALID,
 							"the document has %d faults (see TROUBLESHOOTING.md#document-invalid)"
 								.formatted(answer.faults().size())))
@@ -96,17 +95,17 @@
 
 	private static void offerRebase(Session session, Draft draft, DocumentAnswer current) {
 		Terminal terminal = session.terminal();
-		terminal.printProgress("version %d is in force, the draft began from %d; in between changed:"
+		terminal.printProgress("version %d is in force, but the draft is based on version %d; changed since then:"
 			.formatted(current.version(), draft.baseVersion()));
 		DocumentDiff.between(draft.base(), Session.toDocument(current))
 			.differences()
 			.forEach((difference) -> terminal.printProgress("  " + difference));
-		if (terminal.confirm("Move the draft's changes onto version %d?".formatted(current.version()))) {
+		if (terminal.confirm("Rebase the draft onto version %d?".formatted(current.version()))) {
 			rebase(session, draft, current).lines().forEach(terminal::printProgress);
-			terminal.printProgress("Look at it with `brasspier draft show`, then submit it again.");
+			terminal.printProgress("Review the draft with `brasspier draft show`, then submit it again.");
 		}
 		else {
-			terminal.printProgress("`brasspier draft rebase` moves the draft's changes onto it.");
+			terminal.printProgress("To rebase the draft onto this version, run `brasspier draft rebase`.");
 		}
 	}
 
@@ -117,7 +116,7 @@
 		lines.add("the draft is on version %d now, with %d changes".formatted(current.version(),
 				rebased.draft().changes().size()));
 		rebased.overlaps()
-			.forEach((overlap) -> lines.add("  both changed %s; the draft's value stays".formatted(overlap)));
+			.forEach((overlap) -> lines.add("  both changed %s; the draft's value is kept".formatted(overlap)));
 		return new Report(new RebaseMessage(current.version(), Differences.of(new DocumentDiff(rebased.overlaps()))),
 				lines);
 	}
@@ -154,7 +153,7 @@
 	/**
 	 * JSON output: result of discarding the draft.
 	 *
-	 * @param discarded whether a draft existed
+	 * @param discarded whether a draft file existed
 	 */
 	private record DiscardMessage(boolean discarded) {
 
--- a/cli/src/main/java/org/brasspier/cli/internal/DraftFile.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/DraftFile.java
@@ -19,9 +19,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Stores the draft on the operator's machine together with its submission id, so that a
- * draft submitted again after a lost response counts as the same submission. Not
- * thread-safe.
+ * Stores the draft on the operator's machine together with its submission id. The id
+ * makes a submission idempotent: a draft that is submitted again after a lost response
+ * counts as the same submission. Not thread-safe.
  */
 final class DraftFile {
 
@@ -32,7 +32,7 @@
 	}
 
 	/**
-	 * Returns the path of the draft file if no flag sets one.
+	 * Returns the path of the draft file that is used if {@code --draft} is not given.
 	 * @param environment environment variables
 	 * @return path of the draft file
 	 */
@@ -101,7 +101,8 @@
 	}
 
 	/**
-	 * JSON content of the draft file.
+	 * JSON content of the draft file. Fields that may be missing in a damaged file are
+	 * nullable.
 	 */
 	private record DraftJson(long baseVersion, @Nullable String submission, @Nullable Map<String, String> base,
 			@Nullable List<ChangeJson> changes) {
@@ -118,7 +119,8 @@
 
 		StoredDraft toStoredDraft() {
 			if (this.submission == null || this.base == null || this.changes == null) {
-				throw new IllegalArgumentException("the draft's file lacks a part (see TROUBLESHOOTING.md#draft-file)");
+				throw new IllegalArgumentException(
+						"a required field is missing in the draft file (see TROUBLESHOOTING.md#draft-file)");
 			}
 			return new StoredDraft(new Draft(this.baseVersion, DocumentCodec.document(this.base),
 					this.changes.stream().map(ChangeJson::toFieldChange).toList()), this.submission);
--- a/cli/src/main/java/org/brasspier/cli/internal/DrainCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/DrainCommand.java
@@ -16,9 +16,9 @@
 import org.brasspier.wire.operator.OrderRequest;
 
 /**
- * Drains an instance of all its ranges and shows how many it still owns.
+ * Drains an instance: its ranges move to other instances. Reports how many it still owns.
  */
-@Parameters(commandDescription = "take all ranges from an instance, cutting off nothing")
+@Parameters(commandDescription = "move all ranges off an instance without interrupting requests")
 final class DrainCommand implements Command {
 
 	/** Equals the time allowed for a planned stop of a daemon. */
@@ -29,7 +29,7 @@
 	@Parameter(description = "INSTANCE")
 	private List<String> operands = new ArrayList<>();
 
-	@Parameter(names = "--no-wait", description = "don't wait until nothing is owned any more")
+	@Parameter(names = "--no-wait", description = "don't wait until the instance owns no range")
 	private boolean noWait;
 
 	@Override
--- a/cli/src/main/java/org/brasspier/cli/internal/FormCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/FormCommand.java
@@ -22,10 +22,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Shows a form, and fills it in from flags or prompts. The values go into the draft;
- * nothing takes effect before {@code draft submit}.
+ * Shows a form and fills it in from flags or prompts. The values are stored in the draft
+ * and take effect only after {@code draft submit}.
  */
-@Parameters(commandDescription = "show a form, or fill it in for the draft")
+@Parameters(commandDescription = "show a form, or change its fields in the draft")
 final class FormCommand implements Command {
 
 	@Parameter(description = "service|limits SERVICE, or domains|targets|weights|secrets")
@@ -34,10 +34,11 @@
 	@DynamicParameter(names = "--set", description = "FIELD=VALUE; the same as --FIELD VALUE")
 	private Map<String, String> valuesToSet = new LinkedHashMap<>();
 
-	@Parameter(names = "--unset", description = "FIELD to take out, so that its usual value holds; several by comma")
+	@Parameter(names = "--unset",
+			description = "FIELD to remove, so that its default applies; separate several by commas")
 	private List<String> fieldsToUnset = new ArrayList<>();
 
-	@Parameter(names = "--ask", description = "ask for each field, showing its present value")
+	@Parameter(names = "--ask", description = "prompt for each field, showing its current value")
 	private boolean interactive;
 
 	/**
@@ -123,8 +124,8 @@
 		}
 		List<String> lines = new ArrayList<>(table.lines());
 		lines.add("");
-		lines.add("A value in brackets is the usual one, which holds as long as the document says nothing.");
-		lines.add("%d changes in the draft on version %d; `brasspier draft submit` brings them into force."
+		lines.add("A value in parentheses is the default, which applies while the document sets none.");
+		lines.add("%d changes in the draft based on version %d; `brasspier draft submit` puts them into force."
 			.formatted(draft.changes().size(), draft.baseVersion()));
 		return new Report(new FormMessage(form.name().toLowerCase(Locale.ROOT), subject, fieldValues,
 				DocumentCodec.fields(draft.document())), lines);
--- a/cli/src/main/java/org/brasspier/cli/internal/FormDialog.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/FormDialog.java
@@ -10,7 +10,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Prompts for each field of a form, and repeats the prompt after an invalid value. Not
+ * Prompts for each field of a form and repeats the prompt after an invalid value. Not
  * thread-safe.
  */
 final class FormDialog {
@@ -30,7 +30,8 @@
 	}
 
 	Draft fill(Draft draft) {
-		this.terminal.printProgress("Enter keeps a value, - takes it out so that the usual one holds.");
+		this.terminal
+			.printProgress("Press Enter to keep a value, or type - to remove it, so that the default applies.");
 		Draft filled = draft;
 		for (Field field : this.form.fields()) {
 			filled = promptForField(filled, field);
--- a/cli/src/main/java/org/brasspier/cli/internal/HelpText.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/HelpText.java
@@ -20,7 +20,9 @@
  */
 final class HelpText {
 
-	/** Error kinds that an operator can get; callers get the others. */
+	/**
+	 * Error kinds that an operator can receive. The others are returned only to callers.
+	 */
 	private static final List<ErrorKind> OPERATOR_ERROR_KINDS = List.of(ErrorKind.INTERNAL_ERROR, ErrorKind.BAD_REQUEST,
 			ErrorKind.UNAUTHORIZED, ErrorKind.DOCUMENT_INVALID, ErrorKind.DOCUMENT_CONFLICT,
 			ErrorKind.STORE_OUTCOME_UNKNOWN, ErrorKind.STORE_UNAVAILABLE, ErrorKind.STATE_UNREADABLE,
@@ -30,22 +32,22 @@
 	}
 
 	static String overview(JCommander commander) {
-		StringBuilder text = new StringBuilder("Usage: brasspier [FLAGS] COMMAND [WORDS AND FLAGS]\n\nCommands:\n");
+		StringBuilder text = new StringBuilder("Usage: brasspier [FLAGS] COMMAND [OPERANDS AND FLAGS]\n\nCommands:\n");
 		commander.getCommands()
 			.forEach((name, command) -> text
 				.append("  %-14s%s%n".formatted(name, commander.getUsageFormatter().getCommandDescription(name))));
-		text.append("\n`brasspier COMMAND --help` explains a command.\n\nFlags, before the command:\n");
+		text.append("\n`brasspier COMMAND --help` shows the help of a command.\n\nFlags, before the command:\n");
 		// JCommander loads the descriptions of flags only when it formats its own usage
 		// text.
 		commander.getUsageFormatter().usage(new StringBuilder());
 		appendFlags(text, commander);
-		text.append("\nA first session:\n")
+		text.append("\nExample of a first session:\n")
 			.append("  export BRASSPIER_DAEMON=127.0.0.1:7004 BRASSPIER_OPERATOR_SECRET=...\n")
 			.append("  brasspier status\n")
 			.append("  brasspier form service hullbook --divided-by-key yes\n")
 			.append("  brasspier form domains --regions duluth=great-lakes,milwaukee=great-lakes\n")
 			.append("  brasspier draft check && brasspier draft submit\n")
-			.append("\nExit codes: 0 if it worked, else that of the error:\n");
+			.append("\nExit codes: 0 on success, otherwise that of the error:\n");
 		exitCodes().forEach((code, kinds) -> text.append("  %2d  %s%n".formatted(code, String.join(", ", kinds))));
 		return text.toString();
 	}
@@ -82,7 +84,7 @@
 	private static String defaultSuffix(ParameterDescription flag) {
 		String defaultValue = String.valueOf(flag.getDefault());
 		boolean isShown = !Stream.of("", "false", "null", "[]", "{}", "0").anyMatch(defaultValue::equals);
-		return (isShown) ? " (usually %s)".formatted(defaultValue) : "";
+		return (isShown) ? " (default: %s)".formatted(defaultValue) : "";
 	}
 
 	private static void appendForm(StringBuilder text, Form form) {
@@ -92,7 +94,7 @@
 
 	private static void appendField(StringBuilder text, Field field) {
 		String unit = (field.unit().isEmpty()) ? "" : " in " + field.unit();
-		String defaultValue = (field.defaultValue().isEmpty()) ? "" : ", usually " + field.defaultValue();
+		String defaultValue = (field.defaultValue().isEmpty()) ? "" : ", default: " + field.defaultValue();
 		text.append("  --%s%n      %s%n      %s%s%s%n".formatted(field.name(), field.meaning(),
 				field.rule().description(), unit, defaultValue));
 	}
--- a/cli/src/main/java/org/brasspier/cli/internal/InForceWaiter.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/InForceWaiter.java
@@ -18,7 +18,10 @@
  */
 final class InForceWaiter {
 
-	/** A change is in force on all daemons within 9 s, or later if a daemon is gone. */
+	/**
+	 * A change is in force on all daemons within 9 s, or later if a daemon is
+	 * unavailable.
+	 */
 	private static final Duration WAIT_TIMEOUT = Duration.ofSeconds(30);
 
 	private static final Duration POLL_INTERVAL = Duration.ofMillis(200);
@@ -36,11 +39,11 @@
 		int lastReported = -1;
 		while (!pendingDaemons.isEmpty() && System.nanoTime() - deadlineNanos < 0) {
 			pendingDaemons.removeIf((daemon) -> isInForceOn(daemon, accepted.version()));
-			int daemonsInForce = daemons.size() - pendingDaemons.size();
-			if (daemonsInForce != lastReported) {
+			int inForceCount = daemons.size() - pendingDaemons.size();
+			if (inForceCount != lastReported) {
 				this.session.terminal()
-					.printProgress("in force on %d of %d daemons".formatted(daemonsInForce, daemons.size()));
-				lastReported = daemonsInForce;
+					.printProgress("in force on %d of %d daemons".formatted(inForceCount, daemons.size()));
+				lastReported = inForceCount;
 			}
 			if (!pendingDaemons.isEmpty()) {
 				LockSupport.parkNanos(POLL_INTERVAL.toNanos());
--- a/cli/src/main/java/org/brasspier/cli/internal/MeasuresCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/MeasuresCommand.java
@@ -17,14 +17,13 @@
 /**
  * Shows imbalance, churn and unavailable time compared with the targets.
  */
-@Parameters(commandDescription = "imbalance, churn and unavailable time against the targets")
+@Parameters(commandDescription = "compare imbalance, churn and unavailable time with the targets")
 final class MeasuresCommand implements Command {
 
-	@Parameter(names = "--from",
-			description = "YYYY-MM-DD or YYYY-MM-DDTHH:MM:SSZ; the start of the quarter if not given")
+	@Parameter(names = "--from", description = "YYYY-MM-DD or YYYY-MM-DDTHH:MM:SSZ (default: the start of the quarter)")
 	private String from = "";
 
-	@Parameter(names = "--to", description = "as --from; now if not given")
+	@Parameter(names = "--to", description = "same format as --from (default: now)")
 	private String to = "";
 
 	@Override
@@ -37,7 +36,7 @@
 		}
 		catch (DateTimeParseException ex) {
 			return Session.badRequest(
-					"\"%s\" is no time such as 2026-10-01 or 2026-10-01T06:00:00Z".formatted(ex.getParsedString()));
+					"\"%s\" is not a time such as 2026-10-01 or 2026-10-01T06:00:00Z".formatted(ex.getParsedString()));
 		}
 	}
 
--- a/cli/src/main/java/org/brasspier/cli/internal/MoveCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/MoveCommand.java
@@ -18,7 +18,7 @@
 
 	private static final int OPERAND_COUNT = 3;
 
-	@Parameter(description = "SERVICE RANGE INSTANCE\n\nThe RANGE as `status --ranges` shows it.")
+	@Parameter(description = "SERVICE RANGE INSTANCE\n\nRANGE as shown by `status --ranges`.")
 	private List<String> operands = new ArrayList<>();
 
 	@Override
--- a/cli/src/main/java/org/brasspier/cli/internal/OperatorClient.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/OperatorClient.java
@@ -25,11 +25,12 @@
 import org.brasspier.wire.operator.OperatorJson;
 
 /**
- * HTTP client of the daemons' operator ports, one call at a time. Not thread-safe.
+ * HTTP client of the daemons' operator ports. Each call blocks until it completes. Not
+ * thread-safe.
  */
 public final class OperatorClient {
 
-	/** Placeholder: every address is an IP address, so no name is ever looked up. */
+	/** Required by the HTTP client but never queried: all addresses are IP addresses. */
 	private static final InetSocketAddress NO_NAME_SERVER = new InetSocketAddress("127.0.0.1", 53);
 
 	private static final int MAX_BODY_BYTES = 64 << 20;
@@ -102,7 +103,8 @@
 	}
 
 	private <T> Either<ErrorAnswer, T> tryInOrder(Function<String, Either<ErrorAnswer, T>> call, boolean idempotent) {
-		Either<ErrorAnswer, T> lastResult = unreachable("no daemon was named (see TROUBLESHOOTING.md#no-daemon)");
+		Either<ErrorAnswer, T> lastResult = unreachable(
+				"no daemon address is configured (see TROUBLESHOOTING.md#no-daemon)");
 		for (String daemon : this.daemons) {
 			lastResult = call.apply(daemon);
 			boolean shouldTryNext = lastResult.isLeft() && lastResult.getLeft().error() == ErrorKind.DAEMON_UNREACHABLE
@@ -126,7 +128,7 @@
 			.withReadWriteTimeout(this.timeout)
 			.build();
 		AtomicReference<Either<ErrorAnswer, T>> result = new AtomicReference<>(
-				Either.left(unansweredError(true, "the call did not end")));
+				Either.left(unansweredError(true, "the call did not complete")));
 		client.request(builder.withHeader(HttpHeaders.AUTHORIZATION, "Bearer " + this.secret).build())
 			.then((response) -> readAnswer(response, type))
 			.whenComplete((answer, ex) -> result.set((ex != null)
--- a/cli/src/main/java/org/brasspier/cli/internal/OwnerCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/OwnerCommand.java
@@ -14,7 +14,7 @@
 /**
  * Shows the owner of a key.
  */
-@Parameters(commandDescription = "who owns a key")
+@Parameters(commandDescription = "show the owner of a key")
 final class OwnerCommand implements Command {
 
 	@Parameter(description = "SERVICE KEY")
--- a/cli/src/main/java/org/brasspier/cli/internal/StatusCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/StatusCommand.java
@@ -19,7 +19,7 @@
  * Shows the state of the cell: services, failure domains, instances, leases, owners and
  * queues.
  */
-@Parameters(commandDescription = "services, failure domains, instances, leases, owners and queues")
+@Parameters(commandDescription = "show services, failure domains, instances, leases, owners and queues")
 final class StatusCommand implements Command {
 
 	@Parameter(names = "--ranges", description = "list each range with its owner")
--- a/cli/src/main/java/org/brasspier/cli/internal/Terminal.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/Terminal.java
@@ -38,10 +38,10 @@
 	/**
 	 * Asks the operator to confirm an action.
 	 * @param question prompt text
-	 * @return whether the answer was yes; false if the terminal is not interactive
+	 * @return whether the operator typed yes; false if the terminal is not interactive
 	 */
 	boolean confirm(String question) {
-		return this.interactive && "yes".equalsIgnoreCase(prompt(question + " Type yes to go on: "));
+		return this.interactive && "yes".equalsIgnoreCase(prompt(question + " Type yes to continue: "));
 	}
 
 	void printProgress(String line) {
--- a/cli/src/main/java/org/brasspier/cli/internal/TimelineCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/TimelineCommand.java
@@ -21,7 +21,7 @@
 /**
  * Shows the events of all daemons merged in causal order.
  */
-@Parameters(commandDescription = "the events of all daemons in one order")
+@Parameters(commandDescription = "show the events of all daemons merged in causal order")
 final class TimelineCommand implements Command {
 
 	private static final Duration POLL_INTERVAL = Duration.ofMillis(500);
@@ -46,13 +46,13 @@
 	@Parameter(names = "--kind", description = "only events of this kind, by name or number")
 	private String kind = "";
 
-	@Parameter(names = "--count", description = "how many of the latest events to show first")
+	@Parameter(names = "--count", description = "number of latest events to show first")
 	private int count = 200;
 
-	@Parameter(names = "--follow", description = "go on showing events as they happen")
+	@Parameter(names = "--follow", description = "continue to show events as they occur")
 	private boolean follow;
 
-	@Parameter(names = "--for-seconds", description = "with --follow, end after this time; until Ctrl-C if not given")
+	@Parameter(names = "--for-seconds", description = "with --follow, stop after this time (default: run until Ctrl-C)")
 	private int forSeconds;
 
 	private final Map<String, Long> lastNumberByDaemon = new HashMap<>();
@@ -104,9 +104,9 @@
 	Stream<MissingEvents> newlyMissingEvents(EventsAnswer answer) {
 		long lossesReportedBefore = this.reportedLossesByInstance.getOrDefault(answer.instance(), 0L);
 		this.reportedLossesByInstance.put(answer.instance(), answer.lost());
-		boolean isFirstRead = lossesReportedBefore == 0 && !this.follow;
+		boolean shouldReportEvicted = lossesReportedBefore == 0 && !this.follow;
 		MissingEvents missing = new MissingEvents(answer.instance(), Math.max(0, answer.lost() - lossesReportedBefore),
-				(isFirstRead) ? answer.pushedOutUntil() : 0);
+				(shouldReportEvicted) ? answer.pushedOutUntil() : 0);
 		return (missing.isEmpty()) ? Stream.empty() : Stream.of(missing);
 	}
 
@@ -126,7 +126,7 @@
 			List<MissingEvents> missingEvents = answers.stream()
 				.flatMap((answer) -> newlyMissingEvents(answer))
 				.toList();
-			// Holds the events of one poll until the next one, since another daemon may
+			// Delays the events of a poll until the next one, because another daemon may
 			// still report an earlier event.
 			long releaseBeforeMillis = System.currentTimeMillis() - POLL_INTERVAL.toMillis();
 			pending.addAll(merge(answers));
@@ -141,7 +141,8 @@
 		return Either.right(Report.of(new FollowMessage(true)));
 	}
 
-	// One line for each entry, also as JSON, so that programs can read them as a stream.
+	// Prints one line per entry in both formats, so that programs can parse JSON as a
+	// stream.
 	private static void printEvents(Session session, List<MissingEvents> missingEvents,
 			List<EventsAnswer.Entry> entries) {
 		missingEvents.forEach((missing) -> session.terminal()
--- a/cli/src/main/java/org/brasspier/cli/internal/UndrainCommand.java
+++ b/cli/src/main/java/org/brasspier/cli/internal/UndrainCommand.java
@@ -11,9 +11,9 @@
 import org.brasspier.wire.operator.OrderRequest;
 
 /**
- * Ends the drain of an instance, so that it can own ranges again.
+ * Ends the drain of an instance, which can then own ranges again.
  */
-@Parameters(commandDescription = "let a drained instance own ranges again")
+@Parameters(commandDescription = "end the drain of an instance, so that it can own ranges again")
 final class UndrainCommand implements Command {
 
 	@Parameter(description = "INSTANCE")
--- a/cli/src/test/java/org/brasspier/cli/internal/FormCommandTests.java
+++ b/cli/src/test/java/org/brasspier/cli/internal/FormCommandTests.java
@@ -21,7 +21,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Forms are filled in from flags or prompts; no daemon is needed once a draft exists.
+ * Tests the commands that need no daemon: forms filled in from flags or prompts, the
+ * draft file, help texts and invalid command lines.
  */
 class FormCommandTests {
 
@@ -93,8 +94,11 @@
 		assertThat(standardOutput()).contains("--guard-millis");
 	}
 
-	// Guards against help that a new operator cannot use: lines over 120 columns, fields
-	// without meaning or default, and empty defaults printed as such.
+	/**
+	 * Guards against help that a new operator cannot use: lines over 120 columns, fields
+	 * without description or default, and empty defaults printed as
+	 * {@code <empty string>}.
+	 */
 	@Test
 	void helpIsReadable() {
 		for (String command : List.of("", "form", "draft", "config", "status", "owner", "measures", "timeline", "drain",
@@ -105,7 +109,7 @@
 		assertThat(standardOutput()).doesNotContain("<empty string>");
 		assertThat(standardOutput()).contains("--secret-file");
 		assertThat(standardOutput()).contains("11  DOCUMENT_CONFLICT");
-		assertThat(standardOutput()).contains("a whole number from 10 to 5000 in ms, usually 200");
+		assertThat(standardOutput()).contains("a whole number from 10 to 5000 in ms, default: 200");
 		assertThat(standardOutput()).contains("rebase   move its changes onto the version in force");
 	}
 
--- a/cli/src/test/java/org/brasspier/cli/internal/TimelineCommandTests.java
+++ b/cli/src/test/java/org/brasspier/cli/internal/TimelineCommandTests.java
@@ -8,7 +8,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests the merged order of events and the report of missing ones.
+ * Tests the merged order of events and the reports of missing events.
  */
 class TimelineCommandTests {
 
@@ -21,8 +21,10 @@
 			.map((entry) -> entry.instance() + entry.number())).containsExactly("a1", "b8", "a2", "b9").inOrder();
 	}
 
-	// Guards against a time line that looks complete although a burst filled a daemon's
-	// ring buffer: each new gap is reported once.
+	/**
+	 * Guards against a time line that looks complete although a burst of events filled a
+	 * daemon's ring buffer. Each new gap is reported once.
+	 */
 	@Test
 	void eventsLostByAFullRingAreReportedOnce() {
 		TimelineCommand command = new TimelineCommand();
