--- a/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
+++ b/core/src/main/java/org/brasspier/core/ownership/LeaseManager.java
@@ -265,8 +265,8 @@
 		}
 	}
 
-	// A lease that expired some time ago by the peer's clock expired a little later by
-	// this clock.
+	// A lease that expired some time ago by the peer's clock may have expired a little
+	// later by this clock.
 	private long leaseLeftWithDrift(long leaseLeft) {
 		return (leaseLeft < 0) ? 2 * leaseLeft + withDrift(-leaseLeft) : withDrift(leaseLeft);
 	}
@@ -329,7 +329,8 @@
 		return peerPromised && ownRenewalsExpired && haveEarlierRenewalsEnded(member.key(), row, now - guardMillis);
 	}
 
-	// Whether no lease manager of an earlier epoch can still be renewing a member.
+	// Returns whether no lease manager of an earlier epoch can still be renewing a
+	// member.
 	private boolean haveEarlierRenewalsEnded(MemberKey member, CellRow row, long now) {
 		long ackedEpoch = memberRecord(member).map(MemberRecord::ackedEpoch).orElse(0L);
 		if (ackedEpoch >= epoch() || !this.guards.isEnabled(Guard.OLD_AUTHORITY_ENDS)) {
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerChoice.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerChoice.java
@@ -66,7 +66,7 @@
 			.or(() -> candidates.stream().findFirst());
 	}
 
-	// The other manager in the next epoch: the current one if it is heard again,
+	// Returns the other manager of the next epoch: the current one if it is heard again,
 	// otherwise another member.
 	Optional<MemberInfo> successor(CellRow row, long now) {
 		return this.manager.peer()
--- a/core/src/main/java/org/brasspier/core/ownership/ManagerRole.java
+++ b/core/src/main/java/org/brasspier/core/ownership/ManagerRole.java
@@ -12,10 +12,13 @@
  */
 final class ManagerRole {
 
+	/** Minimum time between two planned changes of the lease managers. */
 	private static final long EPOCH_RETRY_INTERVAL_MILLIS = 500;
 
+	/** Interval at which owners are asked to release ranges that are to be moved. */
 	private static final long RELEASE_REQUEST_INTERVAL_MILLIS = 100;
 
+	/** Maximum age of the last answered read when owners are asked to release ranges. */
 	private static final long MAX_READ_AGE_MILLIS = 1000;
 
 	private final ProcessParts parts;
@@ -39,9 +42,9 @@
 		if (this.parts.manager.peer().isPresent() && this.parts.timers.beatDue(now, beatInterval())) {
 			sendBeatWithHeartbeat(now);
 		}
-		// A manager that has stopped confirming, and whose write then failed, does not
-		// confirm again in this epoch, even if the peer is heard again: only a new epoch
-		// helps.
+		// A manager that has stopped confirming does not confirm again in this epoch,
+		// even if its write failed and the peer is heard again. Only a new epoch restores
+		// the pair.
 		boolean stopped = this.parts.manager.peer().isPresent()
 				&& this.parts.manager.authority().hasStoppedConfirming();
 		if (stopped || choice().isPeerSilent(row, now)) {
@@ -119,8 +122,8 @@
 		requestReleases(now);
 	}
 
-	// A planned change of managers: this one leaves, the other one leaves, or there is no
-	// other one yet.
+	// Returns the row in the next epoch if the managers should change: this one leaves,
+	// the other one leaves, or there is no other one yet.
 	Optional<CellRow> plannedEpochChange(CellRow row, long now) {
 		Optional<MemberInfo> peer = this.parts.manager.peer().flatMap((key) -> row.member(key.instance()));
 		if (!this.parts.rowAccess.isFast()) {
@@ -167,7 +170,7 @@
 
 	void requestReleases(long now) {
 		// While the table is down, no member could be assigned a released range, so the
-		// table must have answered a moment ago.
+		// table must have answered a read recently.
 		if (this.parts.primaryState.moves().isEmpty() || !this.parts.rowAccess.hasReadWithin(MAX_READ_AGE_MILLIS, now)
 				|| !this.parts.timers.releaseDue(now, RELEASE_REQUEST_INTERVAL_MILLIS)) {
 			return;
--- a/core/src/main/java/org/brasspier/core/ownership/MemberRole.java
+++ b/core/src/main/java/org/brasspier/core/ownership/MemberRole.java
@@ -12,13 +12,18 @@
  */
 final class MemberRole {
 
+	/**
+	 * Interval at which announcements and released ranges are sent until the row shows
+	 * them.
+	 */
 	private static final long REPEAT_INTERVAL_MILLIS = 200;
 
+	/** Minimum time between two attempts to take over from the lease managers. */
 	private static final long TAKEOVER_RETRY_INTERVAL_MILLIS = 300;
 
 	/**
-	 * Some tens of network delays between instances of a region, and half a heartbeat
-	 * interval.
+	 * Time after which a heartbeat counts as unanswered: some tens of network delays
+	 * between instances of a region, and half a heartbeat interval.
 	 */
 	private static final long HEARTBEAT_ANSWER_TIMEOUT_MILLIS = 100;
 
@@ -47,9 +52,9 @@
 		}
 		boolean hasPeer = this.parts.manager.peer().isPresent();
 		heartbeatIfDue(row, (hasPeer) ? -this.parts.timing.beat() / 2 : 0, now);
-		// For a member that reaches only one manager, or one manager of a pair whose
-		// other manager is lost: every second heartbeat would be lost, and a pause of 200
-		// ms would cost the member its lease.
+		// Needed if the member reaches only one manager, or if one manager is lost: every
+		// second heartbeat would be lost, and a pause of 200 ms would then cost the
+		// member its lease.
 		if (row.has(this.parts.me.key())
 				&& this.parts.timers.heartbeatMissed(this.parts.managerHeardAt, HEARTBEAT_ANSWER_TIMEOUT_MILLIS, now)) {
 			sendHeartbeat(row, now);
@@ -60,8 +65,8 @@
 		}
 	}
 
-	// A manager sends its heartbeat together with a beat, a little early, and on its own
-	// only if no beat was due.
+	// A manager sends its heartbeat together with a beat, up to half a beat interval
+	// early. It sends a separate one, half a beat interval late, only if no beat was due.
 	void heartbeatIfDue(CellRow row, long earlyMillis, long now) {
 		if (row.has(this.parts.me.key())
 				&& this.parts.timers.heartbeatDue(now, this.parts.timing.heartbeat() - earlyMillis)) {
--- a/core/src/main/java/org/brasspier/core/ownership/RowAccess.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowAccess.java
@@ -12,7 +12,10 @@
  */
 final class RowAccess {
 
-	/** Calls that take longer count as slow: half of the manager authority. */
+	/**
+	 * Calls that take longer count as slow. The limit is half of the time for which a
+	 * manager may renew leases after it was last confirmed.
+	 */
 	private static final long FAST_CALL_LIMIT_MILLIS = 300;
 
 	/**
--- a/core/src/main/java/org/brasspier/core/ownership/RowHandler.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowHandler.java
@@ -21,9 +21,13 @@
 	 */
 	private static final long MANAGER_READ_INTERVAL_MILLIS = 4000;
 
-	/** While ranges are to be released, see {@link ManagerRole#requestReleases}. */
+	/**
+	 * While ranges are to be released: {@link ManagerRole#requestReleases} needs a read
+	 * from the last second.
+	 */
 	private static final long MOVE_READ_INTERVAL_MILLIS = 500;
 
+	/** For a member that is not a manager and does not get the row from one. */
 	private static final long MEMBER_READ_INTERVAL_MILLIS = 500;
 
 	/**
@@ -32,6 +36,10 @@
 	 */
 	private static final long RELEASE_READ_INTERVAL_MILLIS = 50;
 
+	/**
+	 * Minimum time between two whole rows sent to one member, and between two requests
+	 * for one.
+	 */
 	private static final long MIN_PUSH_INTERVAL_MILLIS = 100;
 
 	private final ProcessParts parts;
@@ -132,8 +140,8 @@
 					before.row().has(member.key()) ? update : wholeRow));
 	}
 
-	// Otherwise a heartbeat that was sent before the member received the new row would
-	// make it get the whole row although the difference is in transit.
+	// Prevents the whole row from being sent to a member whose heartbeat still reports
+	// the previous version because the difference is in transit.
 	private void recordPushTimes(CellRow row, long now) {
 		row.members().forEach((member) -> this.parts.timers.pushDue(member.instance(), now, 0));
 	}
--- a/core/src/main/java/org/brasspier/core/ownership/Takeover.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Takeover.java
@@ -24,7 +24,10 @@
 	/** Maximum age of a probe answer. */
 	private static final long MAX_ANSWER_AGE_MILLIS = 300;
 
-	/** Head start of the member with the lowest name among those that agree. */
+	/**
+	 * Additional delay before a takeover, except for the member with the lowest name
+	 * among those that agree, so that usually only one of them writes.
+	 */
 	private static final long STAGGER_MILLIS = 300;
 
 	/** Time without a lease after which a member challenges the managers. */
@@ -79,7 +82,8 @@
 		}
 	}
 
-	// Time without a message from a manager after which the other members are probed.
+	// Returns the time without a message from a manager after which the other members are
+	// probed.
 	long silenceTimeout() {
 		return this.timing.peerSilence() + this.timing.memberSilence() / 2;
 	}
@@ -107,8 +111,8 @@
 		return (silentMillis > CHALLENGE_AFTER_MILLIS) ? challengeOrTakeOver(row, pair, now) : Optional.empty();
 	}
 
-	// Whether a manager's process has certainly ended: its instance runs another process
-	// at the same address.
+	// Returns whether a manager's process has certainly ended, because its instance runs
+	// another process at the same address.
 	private boolean hasEnded(MemberKey manager, long now) {
 		if (manager.instance().equals(this.self.instance())) {
 			return manager.incarnation() != this.self.incarnation();
--- a/core/src/main/java/org/brasspier/core/ownership/Timers.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Timers.java
@@ -9,7 +9,8 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * Records when periodic work was last done. Not thread-safe.
+ * Records when periodic work was last done. A method whose name ends with Due returns
+ * true if its interval has passed, and then starts the next interval. Not thread-safe.
  */
 final class Timers {
 
@@ -21,7 +22,10 @@
 
 	private boolean wasLeaseValid;
 
-	/** Index of the manager that gets the next heartbeat; 0 for all. */
+	/**
+	 * The manager that gets the next heartbeat: 1 for the second, 2 for the first; 0 for
+	 * all.
+	 */
 	private int nextReceiver;
 
 	Timers copy() {
--- a/core/src/main/java/org/brasspier/core/ownership/WarmUp.java
+++ b/core/src/main/java/org/brasspier/core/ownership/WarmUp.java
@@ -17,7 +17,7 @@
 	 */
 	private static final int NEW_PROCESS_MILLIS = 5000;
 
-	/** Initial share, enough for some requests to reach the new member. */
+	/** Initial share, large enough that some requests reach the new member. */
 	private static final double MIN_SHARE = 0.1;
 
 	private SortedMap<MemberKey, Long> activeSince = TreeMap.empty();
--- a/core/src/test/java/org/brasspier/core/ownership/CellModel.java
+++ b/core/src/test/java/org/brasspier/core/ownership/CellModel.java
@@ -25,6 +25,7 @@
  */
 final class CellModel {
 
+	/** Interval of the periodic work of each process. */
 	static final long TICK_MILLIS = 25;
 
 	final Setup setup;
@@ -33,6 +34,10 @@
 
 	final Map<InstanceId, ModelProcess> processes = new TreeMap<>();
 
+	/**
+	 * Broken connections, each as sender, {@code >} and receiver; the table is
+	 * {@code store}.
+	 */
 	final Set<String> brokenLinks = new HashSet<>();
 
 	final List<String> violations = new ArrayList<>();
@@ -55,8 +60,13 @@
 
 	long storeDelay = 3;
 
+	/** Number of further writes whose answers are lost. */
 	int answersToLose;
 
+	/**
+	 * Whether writes whose answers are lost take effect immediately; else half are
+	 * delayed.
+	 */
 	boolean lostWritesTakeEffect;
 
 	int messagesLostPermille;
--- a/core/src/test/java/org/brasspier/core/ownership/FaultSchedule.java
+++ b/core/src/test/java/org/brasspier/core/ownership/FaultSchedule.java
@@ -120,7 +120,7 @@
 	}
 
 	/**
-	 * Ends all faults and starts the missing processes.
+	 * Waits until ended processes have been restarted, then ends all other faults.
 	 */
 	void endFaults() {
 		this.cell.run(5000);
--- a/core/src/test/java/org/brasspier/core/ownership/GuardTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/GuardTests.java
@@ -86,7 +86,7 @@
 		return cell.processes.values().stream().filter((process) -> !group.contains(process)).toList();
 	}
 
-	// A network switch fails: the primary and one member reach only each other. The
+	// A network switch fails, and the primary and one member reach only each other. The
 	// primary continues to renew the member for as long as its authority allows, while
 	// the others replace the primary and reassign the member's ranges.
 	private static List<String> primaryAndOneMemberCutOff(EnabledGuards guards) {
--- a/core/src/test/java/org/brasspier/core/ownership/OwnershipMachineTests.java
+++ b/core/src/test/java/org/brasspier/core/ownership/OwnershipMachineTests.java
@@ -20,7 +20,7 @@
 
 	private static final int RANGES = 8;
 
-	/** Longer than the silence after which a manager suspects the other one. */
+	/** Longer than the silence after which a lease manager suspects the other one. */
 	private static final long PARTITION_MILLIS = 400;
 
 	private static final long ONE_SECOND = 1000;
@@ -96,7 +96,8 @@
 		}
 	}
 
-	// The same for the loss of the primary, which the secondary first has to replace.
+	// Guards against requests that fail for more than a second after the primary is lost.
+	// The secondary first has to replace it.
 	@Test
 	void theRangesOfALostPrimaryAreServedAgainWithinASecond() {
 		this.cell.kill(this.cell.primary());
--- a/core/src/test/java/org/brasspier/core/ownership/SmallCell.java
+++ b/core/src/test/java/org/brasspier/core/ownership/SmallCell.java
@@ -14,6 +14,7 @@
  */
 final class SmallCell {
 
+	/** Time that one step represents. */
 	static final long STEP_MILLIS = 50;
 
 	/** Time limits of a few steps each, so that all of them expire within one path. */
