--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/DocumentRequestHandler.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/DocumentRequestHandler.java
@@ -48,8 +48,8 @@
 	}
 
 	Promise<HttpResponse> inForce(HttpRequest request) {
-		return Promise
-			.of(JsonResponses.ok(this.holder.storedVersion().map(DocumentRequestHandler::render).orElse(DocumentAnswer.NONE)));
+		return Promise.of(JsonResponses
+			.ok(this.holder.storedVersion().map(DocumentRequestHandler::render).orElse(DocumentAnswer.NONE)));
 	}
 
 	Promise<HttpResponse> history(HttpRequest request) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/EventRequestHandler.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/EventRequestHandler.java
@@ -42,8 +42,9 @@
 		List<Event> matching = newEvents.stream().filter(filter(query)).toList();
 		List<Event> latest = matching.subList(Math.max(0, matching.size() - MAX_EVENTS), matching.size());
 		long lastNumber = (newEvents.isEmpty()) ? query.number("after").orElse(0L) : newEvents.getLast().number();
-		return Promise.of(JsonResponses.ok(new EventsAnswer(this.self.value(), lastNumber, this.events.totalLostEvents(),
-				this.events.evictedUntil().orElse(0L), latest.stream().map((event) -> render(event)).toList())));
+		return Promise
+			.of(JsonResponses.ok(new EventsAnswer(this.self.value(), lastNumber, this.events.totalLostEvents(),
+					this.events.evictedUntil().orElse(0L), latest.stream().map((event) -> render(event)).toList())));
 	}
 
 	private static Predicate<Event> filter(QueryParameters query) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerRequestHandler.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/operator/PeerRequestHandler.java
@@ -47,11 +47,10 @@
 	}
 
 	AsyncServlet measures() {
-		return (request) -> serveIfProved(request,
-				() -> OperatorJson
-					.write(MinuteReports
-						.of(this.context.outcomes().reportsAfter(QueryParameters.of(request).number("after").orElse(0L))))
-					.getBytes(StandardCharsets.UTF_8));
+		return (request) -> serveIfProved(request, () -> OperatorJson
+			.write(MinuteReports
+				.of(this.context.outcomes().reportsAfter(QueryParameters.of(request).number("after").orElse(0L))))
+			.getBytes(StandardCharsets.UTF_8));
 	}
 
 	private Promise<HttpResponse> serveIfProved(HttpRequest request, java.util.function.Supplier<byte[]> bodySupplier) {
