--- a/bench/src/main/java/org/brasspier/bench/Bench.java
+++ b/bench/src/main/java/org/brasspier/bench/Bench.java
@@ -37,7 +37,7 @@
 			case "ownership" -> OwnershipBench.main(new String[0]);
 			case "recovery" -> RecoveryBench.main(new String[0]);
 			case "outage" -> OutageBench.main(new String[0]);
-			case "all" -> all();
+			case "all" -> runAll();
 			default -> {
 				System.err.println("unknown measurement \"%s\": %s or all".formatted(arguments[0],
 						"capacity, path, policy, document, ownership, recovery, outage"));
@@ -50,7 +50,7 @@
 	 * Recovery comes last, since it ends the process with its own verdict. The outage is
 	 * left out: it takes seven minutes by itself.
 	 */
-	private static void all() throws Exception {
+	private static void runAll() throws Exception {
 		CapacityBench.run(OUTPUT, CAPACITY_PAGE);
 		PathBench.run(OUTPUT);
 		PolicyBench.main(new String[] { OUTPUT.toString() });
--- a/bench/src/main/java/org/brasspier/bench/demo/Demo.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Demo.java
@@ -24,9 +24,9 @@
  */
 public final class Demo {
 
-	private static final int BROKEN = 1;
+	private static final int EXIT_VIOLATIONS = 1;
 
-	private static final int BAD_FLAGS = 2;
+	private static final int EXIT_BAD_FLAGS = 2;
 
 	private static final int MAX_EVENTS_SHOWN = 40;
 
@@ -53,62 +53,65 @@
 				return;
 			}
 			Demo demo = new Demo(flags.shape(), flags.checkedSeconds());
-			System.exit((demo.run()) ? 0 : BROKEN);
+			System.exit((demo.run()) ? 0 : EXIT_VIOLATIONS);
 		}
 		catch (ParameterException | IllegalArgumentException ex) {
 			System.err.println(ex.getMessage());
-			System.exit(BAD_FLAGS);
+			System.exit(EXIT_BAD_FLAGS);
 		}
 	}
 
 	private boolean run() {
-		say("starting %s: %d instances in %s", this.shape.name(),
+		print("starting %s: %d instances in %s", this.shape.name(),
 				this.shape.services().stream().mapToInt((service) -> service.servers()).sum(), this.shape.domains());
 		try (Deployment deployment = Deployment.start(this.shape); CallerFleet callers = deployment.newCallers()) {
 			deployment.awaitServed();
-			say("each service answers");
-			DocumentSubmission.submit(deployment).forEach((line) -> say("%s", line));
-			long since = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
+			print("each service answers");
+			DocumentSubmission.submit(deployment).forEach((line) -> print("%s", line));
+			long trafficStartMicros = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
 			callers.setTraffic(Traffic.of(this.shape));
-			watch(callers, this.seconds / 2);
-			InstanceLoss loss = lose(deployment, callers);
-			watch(callers, this.seconds - this.seconds / 2);
+			printOutcomes(callers, this.seconds / 2);
+			InstanceLoss loss = killInstance(deployment, callers);
+			printOutcomes(callers, this.seconds - this.seconds / 2);
 			callers.finish();
-			return close(Summary.of(deployment, callers.records(), loss, since));
+			return printSummary(Summary.of(deployment, callers.records(), loss, trafficStartMicros));
 		}
 	}
 
-	private InstanceLoss lose(Deployment deployment, CallerFleet callers) {
-		StandInInstance lost = deployment.instances().getFirst();
-		List<OwnedRange> ranges = deployment.ownedBy(lost);
-		String now = Instant.now().toString();
-		InstanceLoss loss = InstanceLoss.now(lost.name());
-		lost.kill();
-		say("lost %s in %s without warning; it owned %d ranges", lost.name(), lost.domain(), ranges.size());
+	private InstanceLoss killInstance(Deployment deployment, CallerFleet callers) {
+		StandInInstance instance = deployment.instances().getFirst();
+		List<OwnedRange> ranges = deployment.ownedBy(instance);
+		String lossTime = Instant.now().toString();
+		InstanceLoss loss = InstanceLoss.now(instance.name());
+		instance.kill();
+		print("lost %s in %s without warning; it owned %d ranges", instance.name(), instance.domain(), ranges.size());
 		try (RecoveryProbe probe = new RecoveryProbe(callers, ranges, deployment.shardedServices())) {
 			probe.await();
 		}
-		TimeLine.read(deployment, now).stream().limit(MAX_EVENTS_SHOWN).forEach((line) -> say("  %s", line));
+		EventTimeline.read(deployment, lossTime)
+			.stream()
+			.limit(MAX_EVENTS_SHOWN)
+			.forEach((line) -> print("  %s", line));
 		return loss;
 	}
 
-	private static void watch(CallerFleet callers, int seconds) {
-		int before = callers.records().size();
+	private static void printOutcomes(CallerFleet callers, int seconds) {
+		int recordsBefore = callers.records().size();
 		for (int i = 0; i < seconds; i++) {
 			LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(1));
 			List<CallerRecord> records = callers.records();
-			say("%d requests ended in this second; in all %s", records.size() - before,
+			print("%d requests ended in this second; in all %s", records.size() - recordsBefore,
 					HistoryMetrics.outcomes(records));
-			before = records.size();
+			recordsBefore = records.size();
 		}
 	}
 
-	private static boolean close(Summary summary) {
-		System.out.println(summary.line());
-		return summary.promisesKept();
+	private static boolean printSummary(Summary summary) {
+		System.out.println(summary.toJson());
+		return summary.guaranteesHeld();
 	}
 
-	private static void say(String format, Object... arguments) {
+	private static void print(String format, Object... arguments) {
 		System.out.println(String.format(format, arguments));
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/demo/DocumentSubmission.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/DocumentSubmission.java
@@ -27,7 +27,7 @@
 
 	private final Deployment deployment;
 
-	private final List<String> shown = new ArrayList<>();
+	private final List<String> outputLines = new ArrayList<>();
 
 	private DocumentSubmission(Deployment deployment) {
 		this.deployment = deployment;
@@ -36,22 +36,22 @@
 	static List<String> submit(Deployment deployment) {
 		DocumentSubmission submission = new DocumentSubmission(deployment);
 		submission.submit();
-		return submission.shown;
+		return submission.outputLines;
 	}
 
 	private void submit() {
 		boolean kliring = this.deployment.shape().name().equals(KLIRING);
 		for (ServiceShape service : this.deployment.shape().services()) {
-			run("form", "service", service.name(), "--divided-by-key", (service.sharded()) ? "yes" : "no");
+			runCommand("form", "service", service.name(), "--divided-by-key", (service.sharded()) ? "yes" : "no");
 		}
-		run("form", "domains", "--regions", regions((kliring) ? "jateng" : "great-lakes"));
-		run("form", "targets", "--imbalance-ratio", "1.3", "--churn-percent-a-day", "20", "--unavailable-seconds-a-day",
-				"5");
-		run("form", "weights", (kliring) ? "--imbalance" : "--unavailable", "3");
-		run("draft", "submit");
+		runCommand("form", "domains", "--regions", domainRegions((kliring) ? "jateng" : "great-lakes"));
+		runCommand("form", "targets", "--imbalance-ratio", "1.3", "--churn-percent-a-day", "20",
+				"--unavailable-seconds-a-day", "5");
+		runCommand("form", "weights", (kliring) ? "--imbalance" : "--unavailable", "3");
+		runCommand("draft", "submit");
 	}
 
-	private String regions(String region) {
+	private String domainRegions(String region) {
 		return this.deployment.shape()
 			.domains()
 			.stream()
@@ -59,27 +59,28 @@
 			.collect(Collectors.joining(","));
 	}
 
-	private void run(String... arguments) {
-		ByteArrayOutputStream printed = new ByteArrayOutputStream();
-		PrintStream stream = new PrintStream(printed, true, StandardCharsets.UTF_8);
+	private void runCommand(String... arguments) {
+		ByteArrayOutputStream output = new ByteArrayOutputStream();
+		PrintStream stream = new PrintStream(output, true, StandardCharsets.UTF_8);
 		Terminal terminal = new Terminal(new BufferedReader(new StringReader("")), stream, stream, false);
-		List<String> all = new ArrayList<>(
+		List<String> commandLine = new ArrayList<>(
 				List.of("--draft", this.deployment.folder().resolve("draft.json").toString()));
-		all.addAll(Arrays.asList(arguments));
-		int exit = new CommandLine(terminal,
-				Map.of("BRASSPIER_DAEMON", daemon(), "BRASSPIER_OPERATOR_SECRET", this.deployment.operatorSecret()))
-			.run(all.toArray(String[]::new));
-		String text = printed.toString(StandardCharsets.UTF_8);
-		if (exit != 0) {
-			throw new IllegalStateException("brasspier %s ended with %d: %s".formatted(all, exit, text));
+		commandLine.addAll(Arrays.asList(arguments));
+		int exitCode = new CommandLine(terminal, Map.of("BRASSPIER_DAEMON", operatorAddress(),
+				"BRASSPIER_OPERATOR_SECRET", this.deployment.operatorSecret()))
+			.run(commandLine.toArray(String[]::new));
+		String outputText = output.toString(StandardCharsets.UTF_8);
+		if (exitCode != 0) {
+			throw new IllegalStateException(
+					"brasspier %s ended with %d: %s".formatted(commandLine, exitCode, outputText));
 		}
-		this.shown.add("brasspier " + String.join(" ", arguments));
+		this.outputLines.add("brasspier " + String.join(" ", arguments));
 		if (arguments[0].equals("draft")) {
-			text.lines().forEach((line) -> this.shown.add("  " + line));
+			outputText.lines().forEach((line) -> this.outputLines.add("  " + line));
 		}
 	}
 
-	private String daemon() {
+	private String operatorAddress() {
 		return Ports.text(this.deployment.instances().getLast().ports().operators());
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/demo/TimeLine.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/EventTimeline.java
@@ -15,14 +15,14 @@
  * The events of all daemons, read from their logs and put in the order of time. Stateless
  * and thread-safe.
  */
-final class TimeLine {
+final class EventTimeline {
 
-	private static final String MARK = " brasspier.events ";
+	private static final String EVENT_LOGGER = " brasspier.events ";
 
 	/** Events of single requests would drown the others. */
 	private static final Pattern REQUEST_EVENT = Pattern.compile("brasspier\\.events \\S* ?3[0-9][0-9] ");
 
-	private TimeLine() {
+	private EventTimeline() {
 	}
 
 	/**
@@ -36,7 +36,7 @@
 			.stream()
 			.map(StandInInstance::daemon)
 			.flatMap((daemon) -> lines(daemon.log()))
-			.filter((line) -> line.contains(MARK) && !REQUEST_EVENT.matcher(line).find())
+			.filter((line) -> line.contains(EVENT_LOGGER) && !REQUEST_EVENT.matcher(line).find())
 			.filter((line) -> line.compareTo(since) >= 0)
 			.sorted()
 			.toList();
--- a/bench/src/main/java/org/brasspier/bench/demo/Fault.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Fault.java
@@ -12,9 +12,9 @@
 	 * A process or a whole instance is lost, and started again when the fault ends.
 	 *
 	 * @param instance which instance
-	 * @param what what of it
+	 * @param part what of it
 	 */
-	record Lost(int instance, Part what) implements Fault {
+	record Killed(int instance, Part part) implements Fault {
 
 	}
 
@@ -22,9 +22,9 @@
 	 * A process or a whole instance stands still until the fault ends.
 	 *
 	 * @param instance which instance
-	 * @param what what of it
+	 * @param part what of it
 	 */
-	record Paused(int instance, Part what) implements Fault {
+	record Paused(int instance, Part part) implements Fault {
 
 	}
 
@@ -50,11 +50,11 @@
 	/**
 	 * Two daemons don't reach each other.
 	 *
-	 * @param one an instance
-	 * @param other another
+	 * @param first an instance
+	 * @param second another
 	 * @param state how
 	 */
-	record Apart(int one, int other, LinkState state) implements Fault {
+	record Disconnected(int first, int second, LinkState state) implements Fault {
 
 	}
 
@@ -64,7 +64,7 @@
 	 * @param domain which failure domain
 	 * @param fromStore whether from the store too
 	 */
-	record DomainCut(int domain, boolean fromStore) implements Fault {
+	record DomainIsolated(int domain, boolean fromStore) implements Fault {
 
 	}
 
@@ -74,7 +74,7 @@
 	 * @param instance which instance
 	 * @param state how
 	 */
-	record StoreCut(int instance, LinkState state) implements Fault {
+	record StoreUnreachable(int instance, LinkState state) implements Fault {
 
 	}
 
@@ -99,7 +99,7 @@
 	 *
 	 * @param writes how many
 	 */
-	record StoreLoses(int writes) implements Fault {
+	record StoreAnswersLost(int writes) implements Fault {
 
 	}
 
@@ -109,7 +109,7 @@
 	 *
 	 * @param instance whose connections to others
 	 */
-	record Silenced(int instance) implements Fault {
+	record ConnectionsSilenced(int instance) implements Fault {
 
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/demo/FaultInjector.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/FaultInjector.java
@@ -34,24 +34,24 @@
 	 * @param schedule the schedule
 	 */
 	public void run(FaultSchedule schedule) {
-		long begin = System.nanoTime();
-		List<Step> steps = schedule.entries()
+		long startNanos = System.nanoTime();
+		List<ScheduledAction> actions = schedule.entries()
 			.stream()
-			.flatMap((entry) -> Stream.of(new Step(entry.startMillis(), () -> begin(entry.fault())),
-					new Step(entry.startMillis() + entry.lastsMillis(), () -> end(entry.fault()))))
-			.sorted(Comparator.comparingInt(Step::atMillis))
+			.flatMap((entry) -> Stream.of(new ScheduledAction(entry.startMillis(), () -> startFault(entry.fault())),
+					new ScheduledAction(entry.startMillis() + entry.durationMillis(), () -> endFault(entry.fault()))))
+			.sorted(Comparator.comparingInt(ScheduledAction::atMillis))
 			.toList();
-		steps.forEach((step) -> {
-			LockSupport.parkNanos(begin + TimeUnit.MILLISECONDS.toNanos(step.atMillis()) - System.nanoTime());
-			step.action().run();
+		actions.forEach((scheduled) -> {
+			LockSupport.parkNanos(startNanos + TimeUnit.MILLISECONDS.toNanos(scheduled.atMillis()) - System.nanoTime());
+			scheduled.action().run();
 		});
-		mend();
+		clearFaults();
 	}
 
 	/**
 	 * Ends every fault: all links whole, the store well, all processes running.
 	 */
-	public void mend() {
+	public void clearFaults() {
 		this.deployment.proxy().heal();
 		this.deployment.platform().faults(PlatformFaults.NONE);
 		this.deployment.instances().forEach((instance) -> {
@@ -60,50 +60,55 @@
 		});
 	}
 
-	private void begin(Fault fault) {
+	private void startFault(Fault fault) {
 		switch (fault) {
-			case Fault.Lost(int instance, Part part) ->
-				processes(at(instance), part).filter(ProgramProcess::isAlive).forEach(ProgramProcess::kill);
+			case Fault.Killed(int instance, Part part) ->
+				processes(instanceAt(instance), part).filter(ProgramProcess::isAlive).forEach(ProgramProcess::kill);
 			case Fault.Paused(int instance, Part part) ->
-				processes(at(instance), part).filter(ProgramProcess::isAlive).forEach(ProgramProcess::pause);
+				processes(instanceAt(instance), part).filter(ProgramProcess::isAlive).forEach(ProgramProcess::pause);
 			case Fault.Stopped(int instance) ->
-				processes(at(instance), Part.SERVER).filter(ProgramProcess::isAlive).forEach(ProgramProcess::terminate);
-			case Fault.Isolated(int instance, LinkState state) -> this.deployment.setPeerLinks(at(instance), state);
-			case Fault.Apart(int one, int other, LinkState state) ->
-				this.deployment.setLinksBetween(at(one), at(other), state);
-			case Fault.DomainCut(int domain, boolean fromStore) -> cut(domain, fromStore, LinkState.HELD);
-			case Fault.StoreCut(int instance, LinkState state) -> this.deployment.setStoreLink(at(instance), state);
+				processes(instanceAt(instance), Part.SERVER).filter(ProgramProcess::isAlive)
+					.forEach(ProgramProcess::terminate);
+			case Fault.Isolated(int instance, LinkState state) ->
+				this.deployment.setPeerLinks(instanceAt(instance), state);
+			case Fault.Disconnected(int first, int second, LinkState state) ->
+				this.deployment.setLinksBetween(instanceAt(first), instanceAt(second), state);
+			case Fault.DomainIsolated(int domain, boolean fromStore) ->
+				setDomainLinks(domain, fromStore, LinkState.HELD);
+			case Fault.StoreUnreachable(int instance, LinkState state) ->
+				this.deployment.setStoreLink(instanceAt(instance), state);
 			case Fault.StoreDown() -> this.deployment.platform().faults(PlatformFaults.OUTAGE);
 			case Fault.StoreSlow(int millis) -> this.deployment.platform().faults(PlatformFaults.slow(millis));
-			case Fault.StoreLoses(int writes) ->
+			case Fault.StoreAnswersLost(int writes) ->
 				this.deployment.platform().faults(PlatformFaults.losingAnswers(writes));
-			case Fault.Silenced(int instance) -> silence(at(instance));
+			case Fault.ConnectionsSilenced(int instance) -> silenceOpenConnections(instanceAt(instance));
 		}
 	}
 
-	private void end(Fault fault) {
+	private void endFault(Fault fault) {
 		switch (fault) {
-			case Fault.Lost(int instance, Part part) -> restart(at(instance), part);
+			case Fault.Killed(int instance, Part part) -> restart(instanceAt(instance), part);
 			case Fault.Paused(int instance, Part part) ->
-				processes(at(instance), part).filter(ProgramProcess::isAlive).forEach(ProgramProcess::resume);
-			case Fault.Stopped(int instance) -> restart(at(instance), Part.WHOLE);
+				processes(instanceAt(instance), part).filter(ProgramProcess::isAlive).forEach(ProgramProcess::resume);
+			case Fault.Stopped(int instance) -> restart(instanceAt(instance), Part.WHOLE);
 			case Fault.Isolated(int instance, LinkState state) ->
-				this.deployment.setPeerLinks(at(instance), LinkState.HEALTHY);
-			case Fault.Apart(int one, int other, LinkState state) ->
-				this.deployment.setLinksBetween(at(one), at(other), LinkState.HEALTHY);
-			case Fault.DomainCut(int domain, boolean fromStore) -> cut(domain, fromStore, LinkState.HEALTHY);
-			case Fault.StoreCut(int instance, LinkState state) ->
-				this.deployment.setStoreLink(at(instance), LinkState.HEALTHY);
+				this.deployment.setPeerLinks(instanceAt(instance), LinkState.HEALTHY);
+			case Fault.Disconnected(int first, int second, LinkState state) ->
+				this.deployment.setLinksBetween(instanceAt(first), instanceAt(second), LinkState.HEALTHY);
+			case Fault.DomainIsolated(int domain, boolean fromStore) ->
+				setDomainLinks(domain, fromStore, LinkState.HEALTHY);
+			case Fault.StoreUnreachable(int instance, LinkState state) ->
+				this.deployment.setStoreLink(instanceAt(instance), LinkState.HEALTHY);
 			case Fault.StoreDown() -> this.deployment.platform().faults(PlatformFaults.NONE);
 			case Fault.StoreSlow(int millis) -> this.deployment.platform().faults(PlatformFaults.NONE);
-			case Fault.StoreLoses(int writes) -> this.deployment.platform().faults(PlatformFaults.NONE);
-			case Fault.Silenced(int instance) -> {
+			case Fault.StoreAnswersLost(int writes) -> this.deployment.platform().faults(PlatformFaults.NONE);
+			case Fault.ConnectionsSilenced(int instance) -> {
 			}
 		}
 	}
 
-	private StandInInstance at(int place) {
-		return this.deployment.instances().get(place);
+	private StandInInstance instanceAt(int index) {
+		return this.deployment.instances().get(index);
 	}
 
 	private static Stream<ProgramProcess> processes(StandInInstance instance, Part part) {
@@ -118,14 +123,14 @@
 		processes(instance, part).filter((process) -> !process.isAlive()).forEach(ProgramProcess::start);
 	}
 
-	private void silence(StandInInstance instance) {
+	private void silenceOpenConnections(StandInInstance instance) {
 		this.deployment.proxy()
 			.links((name) -> name.startsWith(instance.name() + ">"))
 			.forEach((link) -> link.silenceOpenConnections());
 	}
 
-	private void cut(int place, boolean fromStore, LinkState state) {
-		String domain = this.deployment.shape().domains().get(place);
+	private void setDomainLinks(int domainIndex, boolean fromStore, LinkState state) {
+		String domain = this.deployment.shape().domains().get(domainIndex);
 		List<StandInInstance> inside = this.deployment.instances()
 			.stream()
 			.filter((instance) -> instance.domain().equals(domain))
@@ -147,7 +152,7 @@
 	 * @param atMillis when, in milliseconds after the beginning
 	 * @param action what
 	 */
-	private record Step(int atMillis, Runnable action) {
+	private record ScheduledAction(int atMillis, Runnable action) {
 
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/demo/FaultMix.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/FaultMix.java
@@ -19,7 +19,7 @@
 	private int seeds = 20;
 
 	@Parameter(names = "--first", description = "the first seed")
-	private long first = 1;
+	private long firstSeed = 1;
 
 	private FaultMix() {
 	}
@@ -31,15 +31,15 @@
 	public static void main(String[] arguments) {
 		FaultMix mix = new FaultMix();
 		JCommander.newBuilder().addObject(mix).programName("fault-mix").build().parse(arguments);
-		List<Long> broken = LongStream.range(mix.first, mix.first + mix.seeds)
-			.filter((seed) -> !kept(seed))
+		List<Long> failedSeeds = LongStream.range(mix.firstSeed, mix.firstSeed + mix.seeds)
+			.filter((seed) -> !runSeed(seed))
 			.boxed()
 			.toList();
-		System.out.println(new Gson().toJson(new Result(mix.seeds, mix.first, broken)));
-		System.exit((broken.isEmpty()) ? 0 : 1);
+		System.out.println(new Gson().toJson(new Result(mix.seeds, mix.firstSeed, failedSeeds)));
+		System.exit((failedSeeds.isEmpty()) ? 0 : 1);
 	}
 
-	private static boolean kept(long seed) {
+	private static boolean runSeed(long seed) {
 		try (FaultTrial trial = FaultTrial.start()) {
 			List<Violation> violations = trial.run(seed);
 			System.out.println("seed " + seed + ": " + violations);
@@ -55,7 +55,7 @@
 	 * The closing line.
 	 *
 	 * @param seeds how many were tried
-	 * @param first the first
+	 * @param firstSeed the first
 	 * @param broken those under which a promise was broken or a service not served again
 	 */
 	private record Result(int seeds, long first, List<Long> broken) {
--- a/bench/src/main/java/org/brasspier/bench/demo/FaultSchedule.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/FaultSchedule.java
@@ -20,11 +20,11 @@
 	private static final int MAX_START_MILLIS = 700;
 
 	/** From well below a lease of 600 ms to several of them. */
-	private static final int MIN_MILLIS = 200;
+	private static final int MIN_DURATION_MILLIS = 200;
 
-	private static final int MAX_MILLIS = 2500;
+	private static final int MAX_DURATION_MILLIS = 2500;
 
-	private static final int MAX_SLOW_MILLIS = 2000;
+	private static final int MAX_STORE_DELAY_MILLIS = 2000;
 
 	private static final int MAX_LOST_ANSWERS = 4;
 
@@ -46,49 +46,50 @@
 		SplittableRandom random = new SplittableRandom(seed);
 		int count = random.nextInt(2, 4);
 		List<Entry> entries = IntStream.range(0, count)
-			.mapToObj((i) -> new Entry(random.nextInt(MAX_START_MILLIS), random.nextInt(MIN_MILLIS, MAX_MILLIS),
-					fault(random, instances, domains)))
+			.mapToObj((i) -> new Entry(random.nextInt(MAX_START_MILLIS),
+					random.nextInt(MIN_DURATION_MILLIS, MAX_DURATION_MILLIS), randomFault(random, instances, domains)))
 			.sorted(Comparator.comparingInt(Entry::startMillis))
 			.toList();
 		return new FaultSchedule(seed, entries);
 	}
 
-	private static Fault fault(SplittableRandom random, int instances, int domains) {
+	private static Fault randomFault(SplittableRandom random, int instances, int domains) {
 		int instance = random.nextInt(instances);
 		return switch (random.nextInt(11)) {
-			case 0 -> new Fault.Lost(instance, part(random));
-			case 1 -> new Fault.Lost(instance, Part.WHOLE);
-			case 2 -> new Fault.Paused(instance, part(random));
+			case 0 -> new Fault.Killed(instance, randomPart(random));
+			case 1 -> new Fault.Killed(instance, Part.WHOLE);
+			case 2 -> new Fault.Paused(instance, randomPart(random));
 			case 3 -> new Fault.Stopped(instance);
-			case 4 -> new Fault.Isolated(instance, state(random));
-			case 5 ->
-				new Fault.Apart(instance, (instance + 1 + random.nextInt(instances - 1)) % instances, state(random));
-			case 6 -> new Fault.DomainCut(random.nextInt(domains), random.nextBoolean());
-			case 7 -> new Fault.StoreCut(instance, state(random));
+			case 4 -> new Fault.Isolated(instance, randomLinkState(random));
+			case 5 -> new Fault.Disconnected(instance, (instance + 1 + random.nextInt(instances - 1)) % instances,
+					randomLinkState(random));
+			case 6 -> new Fault.DomainIsolated(random.nextInt(domains), random.nextBoolean());
+			case 7 -> new Fault.StoreUnreachable(instance, randomLinkState(random));
 			case 8 -> new Fault.StoreDown();
-			case 9 -> (random.nextBoolean()) ? new Fault.StoreSlow(random.nextInt(MIN_MILLIS, MAX_SLOW_MILLIS))
-					: new Fault.StoreLoses(random.nextInt(1, MAX_LOST_ANSWERS));
-			default -> new Fault.Silenced(instance);
+			case 9 -> (random.nextBoolean())
+					? new Fault.StoreSlow(random.nextInt(MIN_DURATION_MILLIS, MAX_STORE_DELAY_MILLIS))
+					: new Fault.StoreAnswersLost(random.nextInt(1, MAX_LOST_ANSWERS));
+			default -> new Fault.ConnectionsSilenced(instance);
 		};
 	}
 
-	private static Part part(SplittableRandom random) {
+	private static Part randomPart(SplittableRandom random) {
 		return Part.values()[random.nextInt(Part.values().length)];
 	}
 
-	private static LinkState state(SplittableRandom random) {
-		LinkState[] faulty = { LinkState.RESET, LinkState.HELD, LinkState.HELD_FORTH, LinkState.HELD_BACK };
-		return faulty[random.nextInt(faulty.length)];
+	private static LinkState randomLinkState(SplittableRandom random) {
+		LinkState[] faultyStates = { LinkState.RESET, LinkState.HELD, LinkState.HELD_FORTH, LinkState.HELD_BACK };
+		return faultyStates[random.nextInt(faultyStates.length)];
 	}
 
 	/**
 	 * One fault and its time.
 	 *
 	 * @param startMillis when it begins, in milliseconds after the schedule
-	 * @param lastsMillis how long it lasts, in milliseconds
+	 * @param durationMillis how long it lasts, in milliseconds
 	 * @param fault the fault
 	 */
-	public record Entry(int startMillis, int lastsMillis, Fault fault) {
+	public record Entry(int startMillis, int durationMillis, Fault fault) {
 
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/demo/Managers.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/LeaseManagers.java
@@ -16,19 +16,19 @@
  * @param primary the primary
  * @param secondary the secondary
  */
-public record Managers(StandInInstance primary, StandInInstance secondary) {
+public record LeaseManagers(StandInInstance primary, StandInInstance secondary) {
 
 	/**
 	 * Waits until the row names two managers whose daemons run.
 	 * @param deployment the deployment
 	 * @return the managers
 	 */
-	public static Managers await(Deployment deployment) {
+	public static LeaseManagers await(Deployment deployment) {
 		Await.until("the cell has two lease managers", () -> read(deployment).isPresent());
 		return read(deployment).orElseThrow();
 	}
 
-	private static Optional<Managers> read(Deployment deployment) {
+	private static Optional<LeaseManagers> read(Deployment deployment) {
 		return deployment.platform()
 			.row("cell/" + deployment.shape().name())
 			.flatMap((value) -> CellRowCodec.decode(value).toJavaOptional())
@@ -38,8 +38,8 @@
 			.filter((managers) -> managers.primary().daemon().isAlive() && managers.secondary().daemon().isAlive());
 	}
 
-	private static Managers of(Deployment deployment, ManagerPair pair) {
-		return new Managers(deployment.instance(pair.primary().instance().value()),
+	private static LeaseManagers of(Deployment deployment, ManagerPair pair) {
+		return new LeaseManagers(deployment.instance(pair.primary().instance().value()),
 				deployment.instance(pair.secondary().orElseThrow().instance().value()));
 	}
 
@@ -48,7 +48,7 @@
 	 * @param instance the instance
 	 * @return true if it is
 	 */
-	public boolean include(StandInInstance instance) {
+	public boolean contains(StandInInstance instance) {
 		return instance.equals(this.primary) || instance.equals(this.secondary);
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/demo/OutageBench.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/OutageBench.java
@@ -32,7 +32,7 @@
 
 	private static final int SLOW_MILLIS = 2000;
 
-	private static final int MICROS = 1000;
+	private static final int MICROS_PER_MILLI = 1000;
 
 	@Parameter(names = "--seconds", description = "how long the store is down; a fifth of that it is slow")
 	private int seconds = 300;
@@ -53,30 +53,30 @@
 	private boolean run() {
 		DeploymentShape shape = DeploymentShape.small(new ServiceShape("hullbook", true, 4, 8, 60, true),
 				new ServiceShape("jobdesk", false, 2, 8, 60, false));
-		try (Deployment running = Deployment.start(shape); CallerFleet callers = running.newCallers()) {
-			running.awaitServed();
+		try (Deployment deployment = Deployment.start(shape); CallerFleet callers = deployment.newCallers()) {
+			deployment.awaitServed();
 			callers.setTraffic(Traffic.of(shape));
 			List<Figures> figures = new ArrayList<>();
-			figures.add(phase(running, callers, "well", PlatformFaults.NONE, this.seconds / 20));
-			figures.add(phase(running, callers, "down", PlatformFaults.OUTAGE, this.seconds));
-			figures.add(phase(running, callers, "slow", PlatformFaults.slow(SLOW_MILLIS), this.seconds / 5));
-			figures.add(phase(running, callers, "well again", PlatformFaults.NONE, this.seconds / 20));
+			figures.add(measurePhase(deployment, callers, "well", PlatformFaults.NONE, this.seconds / 20));
+			figures.add(measurePhase(deployment, callers, "down", PlatformFaults.OUTAGE, this.seconds));
+			figures.add(measurePhase(deployment, callers, "slow", PlatformFaults.slow(SLOW_MILLIS), this.seconds / 5));
+			figures.add(measurePhase(deployment, callers, "well again", PlatformFaults.NONE, this.seconds / 20));
 			callers.finish();
-			List<Violation> violations = HistoryChecker.check(running.serverRecords(), callers.records(),
-					running.shardedServices());
+			List<Violation> violations = HistoryChecker.check(deployment.serverRecords(), callers.records(),
+					deployment.shardedServices());
 			violations.forEach((violation) -> System.out.println("BROKEN " + violation));
 			System.out.println(new Gson().toJson(new Result(figures, violations.size())));
 			return violations.isEmpty();
 		}
 	}
 
-	private static Figures phase(Deployment running, CallerFleet callers, String store, PlatformFaults faults,
+	private static Figures measurePhase(Deployment deployment, CallerFleet callers, String store, PlatformFaults faults,
 			int seconds) {
-		int before = callers.records().size();
-		running.platform().faults(faults);
+		int recordsBefore = callers.records().size();
+		deployment.platform().faults(faults);
 		LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(seconds));
 		List<CallerRecord> all = callers.records();
-		Figures figures = Figures.of(store, seconds, all.subList(before, all.size()));
+		Figures figures = Figures.of(store, seconds, all.subList(recordsBefore, all.size()));
 		System.out.println(figures);
 		return figures;
 	}
@@ -96,28 +96,28 @@
 
 		static Figures of(String store, int seconds, List<CallerRecord> records) {
 			Map<Outcome, Long> outcomes = HistoryMetrics.outcomes(records);
-			long gap = records.stream()
-				.filter((done) -> done.outcome() == Outcome.ANSWERED)
-				.collect(Collectors.groupingBy((done) -> done.request().service()))
+			long gapMillis = records.stream()
+				.filter((record) -> record.outcome() == Outcome.ANSWERED)
+				.collect(Collectors.groupingBy((record) -> record.request().service()))
 				.values()
 				.stream()
-				.mapToLong(Figures::longestGap)
+				.mapToLong(Figures::longestGapMillis)
 				.max()
 				.orElse(-1);
 			return new Figures(store, seconds, outcomes.getOrDefault(Outcome.ANSWERED, 0L),
-					outcomes.getOrDefault(Outcome.REFUSED, 0L), outcomes.getOrDefault(Outcome.FAILED, 0L), gap);
+					outcomes.getOrDefault(Outcome.REFUSED, 0L), outcomes.getOrDefault(Outcome.FAILED, 0L), gapMillis);
 		}
 
-		private static long longestGap(List<CallerRecord> answered) {
-			List<Long> ends = answered.stream()
-				.map((done) -> done.lastAttempt().endMicros())
+		private static long longestGapMillis(List<CallerRecord> answered) {
+			List<Long> endTimes = answered.stream()
+				.map((record) -> record.lastAttempt().endMicros())
 				.sorted(Comparator.naturalOrder())
 				.toList();
-			long longest = 0;
-			for (int i = 1; i < ends.size(); i++) {
-				longest = Math.max(longest, ends.get(i) - ends.get(i - 1));
+			long longestMicros = 0;
+			for (int i = 1; i < endTimes.size(); i++) {
+				longestMicros = Math.max(longestMicros, endTimes.get(i) - endTimes.get(i - 1));
 			}
-			return longest / MICROS;
+			return longestMicros / MICROS_PER_MILLI;
 		}
 
 	}
--- a/bench/src/main/java/org/brasspier/bench/demo/RecoveryBench.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/RecoveryBench.java
@@ -39,12 +39,12 @@
 	@Parameter(names = "--deployment", description = "lakeshore or kliring")
 	private String deployment = "lakeshore";
 
-	private final Map<String, List<Long>> millis = new TreeMap<>();
+	private final Map<String, List<Long>> recoveryMillisByRole = new TreeMap<>();
 
-	private final Map<String, List<RecoveryStages>> stages = new TreeMap<>();
+	private final Map<String, List<RecoveryStages>> stagesByRole = new TreeMap<>();
 
 	/** Ranges that no caller asked for again before the next loss. */
-	private int unanswered;
+	private int unansweredRanges;
 
 	private RecoveryBench() {
 	}
@@ -62,69 +62,76 @@
 	private boolean run() {
 		DeploymentShape shape = (this.deployment.equals("kliring")) ? DeploymentShape.kliring()
 				: DeploymentShape.lakeshore();
-		try (Deployment running = Deployment.start(shape); CallerFleet callers = running.newCallers()) {
-			running.awaitServed();
+		try (Deployment runningDeployment = Deployment.start(shape);
+				CallerFleet callers = runningDeployment.newCallers()) {
+			runningDeployment.awaitServed();
 			callers.setTraffic(Traffic.of(shape));
 			for (int i = 0; i < this.losses; i++) {
-				lose(running, callers, Role.values()[i % Role.values().length], i / Role.values().length);
+				measureLoss(runningDeployment, callers, Role.values()[i % Role.values().length],
+						i / Role.values().length);
 			}
 			callers.finish();
-			List<Violation> violations = HistoryChecker.check(running.serverRecords(), callers.records(),
-					running.shardedServices());
+			List<Violation> violations = HistoryChecker.check(runningDeployment.serverRecords(), callers.records(),
+					runningDeployment.shardedServices());
 			violations.forEach((violation) -> System.out.println("BROKEN " + violation));
-			System.out
-				.println(new Gson().toJson(new Result(shape.name(), figures(), this.unanswered, violations.size())));
+			System.out.println(
+					new Gson().toJson(new Result(shape.name(), figures(), this.unansweredRanges, violations.size())));
 			return violations.isEmpty();
 		}
 	}
 
-	private void lose(Deployment running, CallerFleet callers, Role role, int turn) {
-		StandInInstance lost = choose(running, role, turn);
-		List<OwnedRange> ranges = running.ownedBy(lost);
-		Instant at = Instant.now();
-		InstanceLoss loss = InstanceLoss.now(lost.name());
-		lost.kill();
-		try (RecoveryProbe probe = new RecoveryProbe(callers, ranges, running.shardedServices())) {
+	private void measureLoss(Deployment runningDeployment, CallerFleet callers, Role role, int round) {
+		StandInInstance lostInstance = chooseInstance(runningDeployment, role, round);
+		List<OwnedRange> ranges = runningDeployment.ownedBy(lostInstance);
+		Instant lossTime = Instant.now();
+		InstanceLoss loss = InstanceLoss.now(lostInstance.name());
+		lostInstance.kill();
+		try (RecoveryProbe probe = new RecoveryProbe(callers, ranges, runningDeployment.shardedServices())) {
 			probe.await();
 		}
-		Collection<OptionalLong> measured = HistoryMetrics.recovery(running.serverRecords(), callers.records(), loss)
+		Collection<OptionalLong> measured = HistoryMetrics
+			.recovery(runningDeployment.serverRecords(), callers.records(), loss)
 			.values();
-		List<Long> times = measured.stream().flatMapToLong(OptionalLong::stream).boxed().toList();
-		RecoveryStages stage = RecoveryStages.of(TimeLine.read(running, at.toString()), lost.name(), at);
-		System.out.printf("%s %s: %d ranges, %s, ms %s%n", role, lost.name(), ranges.size(), stage, times);
+		List<Long> recoveryMillis = measured.stream().flatMapToLong(OptionalLong::stream).boxed().toList();
+		RecoveryStages recoveryStages = RecoveryStages.of(EventTimeline.read(runningDeployment, lossTime.toString()),
+				lostInstance.name(), lossTime);
+		System.out.printf("%s %s: %d ranges, %s, ms %s%n", role, lostInstance.name(), ranges.size(), recoveryStages,
+				recoveryMillis);
 		// The ranges of servers that check no fences rest a guard of 200 ms longer.
-		String part = (lost.service().checksFences()) ? role.name() : role + "_WITHOUT_FENCES";
-		this.millis.computeIfAbsent(part, (unused) -> new ArrayList<>()).addAll(times);
-		this.stages.computeIfAbsent(part, (unused) -> new ArrayList<>()).add(stage);
-		this.unanswered += measured.size() - times.size();
-		lost.start();
-		running.awaitServed();
-		Await.until(lost.name() + " owns something again", () -> !running.ownedBy(lost).isEmpty());
+		String figuresKey = (lostInstance.service().checksFences()) ? role.name() : role + "_WITHOUT_FENCES";
+		this.recoveryMillisByRole.computeIfAbsent(figuresKey, (unused) -> new ArrayList<>()).addAll(recoveryMillis);
+		this.stagesByRole.computeIfAbsent(figuresKey, (unused) -> new ArrayList<>()).add(recoveryStages);
+		this.unansweredRanges += measured.size() - recoveryMillis.size();
+		lostInstance.start();
+		runningDeployment.awaitServed();
+		Await.until(lostInstance.name() + " owns something again",
+				() -> !runningDeployment.ownedBy(lostInstance).isEmpty());
 	}
 
-	private static StandInInstance choose(Deployment running, Role role, int turn) {
-		Managers managers = Managers.await(running);
+	private static StandInInstance chooseInstance(Deployment runningDeployment, Role role, int round) {
+		LeaseManagers managers = LeaseManagers.await(runningDeployment);
 		return switch (role) {
 			case PRIMARY -> managers.primary();
 			case SECONDARY -> managers.secondary();
 			case MEMBER -> {
-				List<StandInInstance> plain = running.instances()
+				List<StandInInstance> members = runningDeployment.instances()
 					.stream()
-					.filter((instance) -> !managers.include(instance) && !running.ownedBy(instance).isEmpty())
+					.filter((instance) -> !managers.contains(instance)
+							&& !runningDeployment.ownedBy(instance).isEmpty())
 					.toList();
-				yield plain.get(turn % plain.size());
+				yield members.get(round % members.size());
 			}
 		};
 	}
 
 	private List<Figures> figures() {
-		Stream<Figures> roles = this.millis.entrySet()
+		Stream<Figures> roles = this.recoveryMillisByRole.entrySet()
 			.stream()
-			.map((entry) -> Figures.of(entry.getKey(), this.stages.getOrDefault(entry.getKey(), List.of()),
+			.map((entry) -> Figures.of(entry.getKey(), this.stagesByRole.getOrDefault(entry.getKey(), List.of()),
 					entry.getValue()));
-		List<Long> all = this.millis.values().stream().flatMap(List::stream).toList();
-		List<RecoveryStages> stagesOfAll = this.stages.values().stream().flatMap(List::stream).toList();
-		return Stream.concat(roles, Stream.of(Figures.of("ALL", stagesOfAll, all))).toList();
+		List<Long> allMillis = this.recoveryMillisByRole.values().stream().flatMap(List::stream).toList();
+		List<RecoveryStages> stagesOfAll = this.stagesByRole.values().stream().flatMap(List::stream).toList();
+		return Stream.concat(roles, Stream.of(Figures.of("ALL", stagesOfAll, allMillis))).toList();
 	}
 
 	/**
@@ -151,7 +158,7 @@
 	 * @param ranges how many ranges they owned
 	 * @param medianMs the median over the ranges, in milliseconds
 	 * @param maxMs the longest, in milliseconds
-	 * @param stages the median time of each stage
+	 * @param stagesByRole the median time of each stage
 	 */
 	private record Figures(String role, int losses, int ranges, long medianMs, long maxMs, RecoveryStages stages) {
 
@@ -169,8 +176,8 @@
 	 *
 	 * @param deployment the deployment's name
 	 * @param recovery the figures by role
-	 * @param unanswered how many ranges got no answer before the next loss, and are in no
-	 * figure: those of a few points, which only a hot key asks for
+	 * @param unansweredRanges how many ranges got no answer before the next loss, and are
+	 * in no figure: those of a few points, which only a hot key asks for
 	 * @param broken how many promises were broken
 	 */
 	private record Result(String deployment, List<Figures> recovery, int unanswered, int broken) {
--- a/bench/src/main/java/org/brasspier/bench/demo/RecoveryStages.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/RecoveryStages.java
@@ -21,37 +21,40 @@
  */
 record RecoveryStages(long suspected, long epoch, long lost, long granted) {
 
-	private static final int STAMP_LENGTH = 24;
+	private static final int TIMESTAMP_LENGTH = 24;
 
 	/**
 	 * Reads the stages.
 	 * @param events the time line
 	 * @param instance the lost instance
-	 * @param at when it was lost
+	 * @param lossTime when it was lost
 	 * @return the stages
 	 */
-	static RecoveryStages of(List<String> events, String instance, Instant at) {
-		long suspected = first(events, at,
-				(line) -> (is(line, EventKind.MEMBER_SUSPECTED) || is(line, EventKind.MANAGER_SUSPECTED))
+	static RecoveryStages of(List<String> events, String instance, Instant lossTime) {
+		long suspected = firstMillis(events, lossTime,
+				(line) -> (hasKind(line, EventKind.MEMBER_SUSPECTED) || hasKind(line, EventKind.MANAGER_SUSPECTED))
 						&& line.contains(" " + instance + " "));
-		long epoch = first(events, at, (line) -> is(line, EventKind.EPOCH_CHANGED));
-		long lost = first(events, at, (line) -> is(line, EventKind.MEMBER_LOST) && line.contains(" " + instance + " "));
-		long granted = times(events, at, (line) -> is(line, EventKind.RANGE_GRANTED)).max().orElse(-1);
+		long epoch = firstMillis(events, lossTime, (line) -> hasKind(line, EventKind.EPOCH_CHANGED));
+		long lost = firstMillis(events, lossTime,
+				(line) -> hasKind(line, EventKind.MEMBER_LOST) && line.contains(" " + instance + " "));
+		long granted = millisAfterLoss(events, lossTime, (line) -> hasKind(line, EventKind.RANGE_GRANTED)).max()
+			.orElse(-1);
 		return new RecoveryStages(suspected, epoch, lost, granted);
 	}
 
-	private static boolean is(String line, EventKind kind) {
+	private static boolean hasKind(String line, EventKind kind) {
 		return line.contains(" " + kind.name() + " ");
 	}
 
-	private static long first(List<String> events, Instant at, Predicate<String> wanted) {
-		return times(events, at, wanted).min().orElse(-1);
+	private static long firstMillis(List<String> events, Instant lossTime, Predicate<String> wanted) {
+		return millisAfterLoss(events, lossTime, wanted).min().orElse(-1);
 	}
 
-	private static LongStream times(List<String> events, Instant at, Predicate<String> wanted) {
+	private static LongStream millisAfterLoss(List<String> events, Instant lossTime, Predicate<String> wanted) {
 		return events.stream()
 			.filter(wanted)
-			.mapToLong((line) -> Duration.between(at, Instant.parse(line.substring(0, STAMP_LENGTH))).toMillis());
+			.mapToLong((line) -> Duration.between(lossTime, Instant.parse(line.substring(0, TIMESTAMP_LENGTH)))
+				.toMillis());
 	}
 
 	/**
--- a/bench/src/main/java/org/brasspier/bench/demo/Summary.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Summary.java
@@ -57,31 +57,31 @@
 		List<Violation> violations = HistoryChecker.check(servers, callers, keyedServices);
 		violations.forEach((violation) -> System.out.println("BROKEN " + violation));
 		long wrongOwner = count(violations, Invariant.ONE_OWNER) + count(violations, Invariant.NO_STALE_FENCE);
-		long twice = count(violations, Invariant.RUNS_ONCE);
-		long foreign = count(violations, Invariant.OWN_ANSWER);
+		long ranTwice = count(violations, Invariant.RUNS_ONCE);
+		long answeredToWrongCaller = count(violations, Invariant.OWN_ANSWER);
 		return new Summary(callers.size(), outcomes.getOrDefault(Outcome.ANSWERED, 0L),
 				outcomes.getOrDefault(Outcome.REFUSED, 0L), outcomes.getOrDefault(Outcome.FAILED, 0L), wrongOwner,
-				twice, foreign, violations.size() - wrongOwner - twice - foreign,
+				ranTwice, answeredToWrongCaller, violations.size() - wrongOwner - ranTwice - answeredToWrongCaller,
 				Recovery.of(HistoryMetrics.recovery(servers, callers, loss)),
 				rounded(HistoryMetrics.imbalance(servers, List.of(loss), sinceMicros)),
 				rounded(HistoryMetrics.churnPercent(servers, services, sinceMicros)),
 				rounded(HistoryMetrics.unavailableMillis(callers)));
 	}
 
-	private static long count(List<Violation> violations, Invariant promise) {
-		return violations.stream().filter((violation) -> violation.invariant() == promise).count();
+	private static long count(List<Violation> violations, Invariant invariant) {
+		return violations.stream().filter((violation) -> violation.invariant() == invariant).count();
 	}
 
 	private static double rounded(double value) {
 		return Math.round(value * 1000) / 1000.0;
 	}
 
-	boolean promisesKept() {
+	boolean guaranteesHeld() {
 		return this.wrongOwner + this.ranTwice + this.answeredToWrongCaller + this.otherViolations == 0
 				&& this.recoveryMs.unanswered == 0;
 	}
 
-	String line() {
+	String toJson() {
 		return GSON.toJson(this);
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/demo/Traffic.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Traffic.java
@@ -12,9 +12,9 @@
 final class Traffic {
 
 	/** A busy marina on a summer Saturday, a large bank at the end of a month. */
-	private static final double HOT_SHARE = 0.1;
+	private static final double HOT_KEY_SHARE = 0.1;
 
-	private static final int KEYS = 2000;
+	private static final int KEY_COUNT = 2000;
 
 	private Traffic() {
 	}
@@ -50,7 +50,7 @@
 
 	private static TrafficStream stream(String service, boolean keyed, String requestClass, double perSecond,
 			String path) {
-		return new TrafficStream(service, keyed, requestClass, perSecond, KEYS, HOT_SHARE, path, 0);
+		return new TrafficStream(service, keyed, requestClass, perSecond, KEY_COUNT, HOT_KEY_SHARE, path, 0);
 	}
 
 }
--- a/bench/src/main/java/org/brasspier/bench/document/DocumentBench.java
+++ b/bench/src/main/java/org/brasspier/bench/document/DocumentBench.java
@@ -37,14 +37,14 @@
  */
 public final class DocumentBench {
 
-	private static final int CHANGES = 200;
+	private static final int CHANGE_COUNT = 200;
 
 	/** Of ten changes six are made without fault, and one during each fault. */
-	private static final int CHANGES_A_ROUND = 10;
+	private static final int CHANGES_PER_ROUND = 10;
 
-	private static final Duration LIMIT = Duration.ofSeconds(30);
+	private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
-	private static final Duration POLL = Duration.ofMillis(5);
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(5);
 
 	private final Deployment deployment;
 
@@ -83,50 +83,51 @@
 		this.deployment.instances().forEach((instance) -> instance.daemon().start());
 		Await.until("all daemons know that there is no document",
 				() -> this.deployment.instances().stream().allMatch((instance) -> status(instance).documentRead()));
-		for (int i = 0; i < CHANGES; i++) {
-			int place = i % CHANGES_A_ROUND;
-			change(i, (place < Fault.values().length) ? Fault.values()[place] : Fault.NONE);
+		for (int i = 0; i < CHANGE_COUNT; i++) {
+			int indexInRound = i % CHANGES_PER_ROUND;
+			measureChange(i, (indexInRound < Fault.values().length) ? Fault.values()[indexInRound] : Fault.NONE);
 		}
 	}
 
-	private void change(int number, Fault fault) throws InterruptedException, ExecutionException {
-		StandInInstance afflicted = this.deployment.instances().get(number % this.deployment.instances().size());
-		begin(fault, afflicted);
+	private void measureChange(int number, Fault fault) throws InterruptedException, ExecutionException {
+		StandInInstance affected = this.deployment.instances().get(number % this.deployment.instances().size());
+		startFault(fault, affected);
 		long version = submit(number);
-		long accepted = System.nanoTime();
-		List<Future<Long>> arrivals = this.deployment.instances()
+		long acceptedNanos = System.nanoTime();
+		List<Future<Long>> inForceTimes = this.deployment.instances()
 			.stream()
-			.map((instance) -> this.watchers.submit(() -> arrival(instance, version)))
+			.map((instance) -> this.watchers.submit(() -> awaitVersion(instance, version)))
 			.toList();
-		long last = accepted;
-		for (Future<Long> arrival : arrivals) {
-			last = Math.max(last, arrival.get());
+		long lastInForceNanos = acceptedNanos;
+		for (Future<Long> inForceTime : inForceTimes) {
+			lastInForceNanos = Math.max(lastInForceNanos, inForceTime.get());
 		}
-		end(fault, afflicted);
-		this.changes.add(new Change(version, fault.name(), TimeUnit.NANOSECONDS.toMicros(last - accepted) / 1000.0));
+		endFault(fault, affected);
+		this.changes.add(new Change(version, fault.name(),
+				TimeUnit.NANOSECONDS.toMicros(lastInForceNanos - acceptedNanos) / 1000.0));
 	}
 
-	private void begin(Fault fault, StandInInstance afflicted) {
+	private void startFault(Fault fault, StandInInstance affected) {
 		switch (fault) {
 			case NONE -> {
 			}
 			case ANSWER_LOST -> this.deployment.platform().faults(PlatformFaults.losingAnswers(2));
 			case STORE_SLOW -> this.deployment.platform().faults(PlatformFaults.slow(500));
-			case PEERS_CUT -> this.deployment.setPeerLinks(afflicted, LinkState.HELD);
-			case STORE_CUT -> this.deployment.setStoreLink(afflicted, LinkState.HELD);
+			case PEERS_CUT -> this.deployment.setPeerLinks(affected, LinkState.HELD);
+			case STORE_CUT -> this.deployment.setStoreLink(affected, LinkState.HELD);
 		}
 	}
 
-	private void end(Fault fault, StandInInstance afflicted) {
+	private void endFault(Fault fault, StandInInstance affected) {
 		this.deployment.platform().faults(PlatformFaults.NONE);
-		this.deployment.setPeerLinks(afflicted, LinkState.HEALTHY);
-		this.deployment.setStoreLink(afflicted, LinkState.HEALTHY);
+		this.deployment.setPeerLinks(affected, LinkState.HEALTHY);
+		this.deployment.setStoreLink(affected, LinkState.HEALTHY);
 	}
 
 	private long submit(int number) {
 		StandInInstance instance = this.deployment.instances().get((number + 1) % this.deployment.instances().size());
 		SubmitRequest request = new SubmitRequest(number, UUID.randomUUID().toString(), fields(number));
-		return new OperatorClient(List.of(operators(instance)), this.deployment.operatorSecret(), LIMIT)
+		return new OperatorClient(List.of(operatorAddress(instance)), this.deployment.operatorSecret(), TIMEOUT)
 			.post("/v1/document", request, SubmitAnswer.class, true)
 			.getOrElseThrow((error) -> new IllegalStateException("change %d: %s".formatted(number, error)))
 			.version();
@@ -148,24 +149,24 @@
 		return fields;
 	}
 
-	private long arrival(StandInInstance instance, long version) {
-		long end = System.nanoTime() + LIMIT.toNanos();
-		while (System.nanoTime() - end < 0) {
+	private long awaitVersion(StandInInstance instance, long version) {
+		long deadlineNanos = System.nanoTime() + TIMEOUT.toNanos();
+		while (System.nanoTime() - deadlineNanos < 0) {
 			if (status(instance).documentVersion() >= version) {
 				return System.nanoTime();
 			}
-			LockSupport.parkNanos(POLL.toNanos());
+			LockSupport.parkNanos(POLL_INTERVAL.toNanos());
 		}
-		throw new IllegalStateException(
-				"version %d was not in force on %s within %d s".formatted(version, instance.name(), LIMIT.toSeconds()));
+		throw new IllegalStateException("version %d was not in force on %s within %d s".formatted(version,
+				instance.name(), TIMEOUT.toSeconds()));
 	}
 
 	private StatusAnswer status(StandInInstance instance) {
-		return this.client.get(operators(instance), "/v1/status", StatusAnswer.class)
+		return this.client.get(operatorAddress(instance), "/v1/status", StatusAnswer.class)
 			.getOrElse(new StatusAnswer(instance.name(), "", "", -1, false, 0, 0, 0, List.of()));
 	}
 
-	private static String operators(StandInInstance instance) {
+	private static String operatorAddress(StandInInstance instance) {
 		return Ports.text(instance.ports().operators());
 	}
 
@@ -174,7 +175,7 @@
 		summaries.add(Summary.of("all", this.changes));
 		this.changes.stream()
 			.collect(Collectors.groupingBy(Change::fault, TreeMap::new, Collectors.toList()))
-			.forEach((fault, some) -> summaries.add(Summary.of(fault, some)));
+			.forEach((fault, changesOfFault) -> summaries.add(Summary.of(fault, changesOfFault)));
 		Files.createDirectories(folder);
 		Files.writeString(folder.resolve("document.json"),
 				OperatorJson.pretty(new Result(this.deployment.instances().size(), summaries, this.changes)));
--- a/bench/src/main/java/org/brasspier/bench/ownership/OwnershipBench.java
+++ b/bench/src/main/java/org/brasspier/bench/ownership/OwnershipBench.java
@@ -34,22 +34,22 @@
 public final class OwnershipBench {
 
 	/** The compiler and first connections are most of a process's first minute. */
-	private static final Duration SETTLE = Duration.ofSeconds(75);
+	private static final Duration SETTLE_DURATION = Duration.ofSeconds(75);
 
-	private static final Duration WINDOW = Duration.ofSeconds(30);
+	private static final Duration WINDOW_DURATION = Duration.ofSeconds(30);
 
-	private static final int MOVES = 20;
+	private static final int MOVE_COUNT = 20;
 
 	/** The unit in which Linux counts processor time. */
-	private static final double TICKS_A_SECOND = 100;
+	private static final double TICKS_PER_SECOND = 100;
 
-	private static final double MILLIS_A_SECOND = 1000;
+	private static final double MILLIS_PER_SECOND = 1000;
 
 	private final HttpClient http = HttpClient.newHttpClient();
 
 	private final Deployment deployment;
 
-	private final OperatorClient operators;
+	private final OperatorClient operatorClient;
 
 	private OwnershipBench(Deployment deployment) {
 		this.deployment = deployment;
@@ -57,7 +57,7 @@
 			.stream()
 			.map((instance) -> Ports.text(instance.ports().operators()))
 			.toList();
-		this.operators = new OperatorClient(daemons, deployment.operatorSecret(), Duration.ofSeconds(10));
+		this.operatorClient = new OperatorClient(daemons, deployment.operatorSecret(), Duration.ofSeconds(10));
 	}
 
 	/**
@@ -72,46 +72,46 @@
 	}
 
 	private void run() throws IOException, InterruptedException {
-		Await.until("each service has owners", this::owned);
-		pause(SETTLE);
+		Await.until("each service has owners", this::allRangesOwned);
+		sleep(SETTLE_DURATION);
 		Map<StandInInstance, Reading> before = readings();
-		pause(WINDOW);
-		report("idle, a second", before, readings(), WINDOW.toMillis() / 1000.0);
-		Map<StandInInstance, Reading> still = readings();
-		long begun = System.nanoTime();
-		for (int i = 0; i < MOVES; i++) {
+		sleep(WINDOW_DURATION);
+		report("idle, a second", before, readings(), WINDOW_DURATION.toMillis() / 1000.0);
+		Map<StandInInstance, Reading> beforeMoves = readings();
+		long startNanos = System.nanoTime();
+		for (int i = 0; i < MOVE_COUNT; i++) {
 			move(i);
 		}
-		double seconds = (System.nanoTime() - begun) / 1e9;
-		report("%d moves one by one in %.1f s, in all".formatted(MOVES, seconds), still, readings(), 1);
+		double seconds = (System.nanoTime() - startNanos) / 1e9;
+		report("%d moves one by one in %.1f s, in all".formatted(MOVE_COUNT, seconds), beforeMoves, readings(), 1);
 	}
 
-	private boolean owned() {
-		return this.operators.get("/v1/cell", CellAnswer.class)
+	private boolean allRangesOwned() {
+		return this.operatorClient.get("/v1/cell", CellAnswer.class)
 			.map((cell) -> cell.members().size() == this.deployment.instances().size()
 					&& cell.ranges().stream().noneMatch((range) -> range.owner().isEmpty()))
 			.getOrElse(false);
 	}
 
-	private static void pause(Duration time) {
+	private static void sleep(Duration time) {
 		LockSupport.parkNanos(time.toNanos());
 	}
 
 	private CellAnswer cell() {
-		return this.operators.get("/v1/cell", CellAnswer.class)
+		return this.operatorClient.get("/v1/cell", CellAnswer.class)
 			.getOrElseThrow((error) -> new IllegalStateException(error.toString()));
 	}
 
-	private void move(int number) {
+	private void move(int rangeIndex) {
 		CellAnswer cell = cell();
-		CellAnswer.Range range = cell.ranges().get(number);
+		CellAnswer.Range range = cell.ranges().get(rangeIndex);
 		String to = cell.members()
 			.stream()
 			.filter((member) -> member.service().equals(range.service()) && !member.instance().equals(range.owner()))
 			.map(CellAnswer.Member::instance)
 			.findFirst()
 			.orElseThrow();
-		Either<ErrorAnswer, OrderAnswer> answer = this.operators.post("/v1/move",
+		Either<ErrorAnswer, OrderAnswer> answer = this.operatorClient.post("/v1/move",
 				new OrderRequest(to, range.service(), range.range(), true), OrderAnswer.class, true);
 		if (answer.isLeft()) {
 			throw new IllegalStateException(answer.getLeft().toString());
@@ -119,8 +119,8 @@
 		Await.until("range " + range.range() + " is with " + to,
 				() -> cell().ranges()
 					.stream()
-					.anyMatch((now) -> now.range().equals(range.range()) && now.service().equals(range.service())
-							&& now.owner().equals(to)));
+					.anyMatch((current) -> current.range().equals(range.range())
+							&& current.service().equals(range.service()) && current.owner().equals(to)));
 	}
 
 	private Map<StandInInstance, Reading> readings() throws IOException, InterruptedException {
@@ -139,21 +139,22 @@
 		String metrics = this.http.send(request, HttpResponse.BodyHandlers.ofString()).body();
 		String[] stat = Files.readString(Path.of("/proc/" + instance.daemon().pid() + "/stat")).split("\\) ", 2)[1]
 			.split(" ");
-		double cpuSeconds = (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) / TICKS_A_SECOND;
-		return new Reading(total(metrics, "control_bytes"), total(metrics, "table_reads"),
-				total(metrics, "table_writes"), cpuSeconds, duty(metrics, "ownership"), duty(metrics, "requests"),
-				duty(metrics, "operators") + duty(metrics, "events"));
+		double cpuSeconds = (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) / TICKS_PER_SECOND;
+		return new Reading(counterTotal(metrics, "control_bytes"), counterTotal(metrics, "table_reads"),
+				counterTotal(metrics, "table_writes"), cpuSeconds, dutyCpuSeconds(metrics, "ownership"),
+				dutyCpuSeconds(metrics, "requests"),
+				dutyCpuSeconds(metrics, "operators") + dutyCpuSeconds(metrics, "events"));
 	}
 
-	private static double duty(String metrics, String name) {
-		return number(metrics, "duty_cpu_millis_" + name + " ") / MILLIS_A_SECOND;
+	private static double dutyCpuSeconds(String metrics, String name) {
+		return metricValue(metrics, "duty_cpu_millis_" + name + " ") / MILLIS_PER_SECOND;
 	}
 
-	private static double total(String metrics, String name) {
-		return number(metrics, name + "_total ");
+	private static double counterTotal(String metrics, String name) {
+		return metricValue(metrics, name + "_total ");
 	}
 
-	private static double number(String metrics, String name) {
+	private static double metricValue(String metrics, String name) {
 		return metrics.lines()
 			.filter((line) -> !line.startsWith("#") && line.contains(name))
 			.mapToDouble((line) -> Double.parseDouble(line.substring(line.lastIndexOf(' ') + 1)))
@@ -161,21 +162,22 @@
 			.orElseThrow(() -> new IllegalStateException("no " + name + " in " + metrics));
 	}
 
-	private void report(String what, Map<StandInInstance, Reading> before, Map<StandInInstance, Reading> after,
-			double per) {
+	private void report(String title, Map<StandInInstance, Reading> before, Map<StandInInstance, Reading> after,
+			double divisor) {
 		CellAnswer cell = cell();
 		Map<String, List<Reading>> roles = new LinkedHashMap<>();
 		after.forEach((instance, reading) -> roles.computeIfAbsent(role(cell, instance), (role) -> new ArrayList<>())
-			.add(reading.since(before.getOrDefault(instance, reading), per)));
+			.add(reading.difference(before.getOrDefault(instance, reading), divisor)));
 		System.out
-			.println("| " + what + " | control bytes sent | table reads | table writes | processor seconds | ownership"
+			.println("| " + title + " | control bytes sent | table reads | table writes | processor seconds | ownership"
 					+ " | requests | operators, events |");
 		System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-		roles.forEach((role, each) -> System.out
-			.println("| %s (mean of %d) | %.0f | %.2f | %.2f | %.4f | %.4f | %.4f | %.4f |".formatted(role, each.size(),
-					mean(each, Reading::controlBytes), mean(each, Reading::reads), mean(each, Reading::writes),
-					mean(each, Reading::cpuSeconds), mean(each, Reading::ownership), mean(each, Reading::requests),
-					mean(each, Reading::operators))));
+		roles.forEach((role,
+				readings) -> System.out.println("| %s (mean of %d) | %.0f | %.2f | %.2f | %.4f | %.4f | %.4f | %.4f |"
+					.formatted(role, readings.size(), mean(readings, Reading::controlBytes),
+							mean(readings, Reading::reads), mean(readings, Reading::writes),
+							mean(readings, Reading::cpuSeconds), mean(readings, Reading::ownership),
+							mean(readings, Reading::requests), mean(readings, Reading::operators))));
 	}
 
 	private static double mean(List<Reading> readings, ToDoubleFunction<Reading> value) {
@@ -198,16 +200,17 @@
 	 * @param cpuSeconds processor time of the whole process
 	 * @param ownership processor time of the duty of ownership, in seconds
 	 * @param requests processor time of the duty of requests, in seconds
-	 * @param operators processor time of the duties of operators and events, in seconds
+	 * @param operatorClient processor time of the duties of operators and events, in
+	 * seconds
 	 */
 	private record Reading(double controlBytes, double reads, double writes, double cpuSeconds, double ownership,
 			double requests, double operators) {
 
-		Reading since(Reading before, double per) {
-			return new Reading((this.controlBytes - before.controlBytes) / per, (this.reads - before.reads) / per,
-					(this.writes - before.writes) / per, (this.cpuSeconds - before.cpuSeconds) / per,
-					(this.ownership - before.ownership) / per, (this.requests - before.requests) / per,
-					(this.operators - before.operators) / per);
+		Reading difference(Reading before, double divisor) {
+			return new Reading((this.controlBytes - before.controlBytes) / divisor,
+					(this.reads - before.reads) / divisor, (this.writes - before.writes) / divisor,
+					(this.cpuSeconds - before.cpuSeconds) / divisor, (this.ownership - before.ownership) / divisor,
+					(this.requests - before.requests) / divisor, (this.operators - before.operators) / divisor);
 		}
 
 	}
--- a/bench/src/main/java/org/brasspier/bench/path/PathBench.java
+++ b/bench/src/main/java/org/brasspier/bench/path/PathBench.java
@@ -21,13 +21,13 @@
 
 	private static final int ROUNDS = 8;
 
-	private static final Duration ROUND = Duration.ofSeconds(1);
+	private static final Duration ROUND_DURATION = Duration.ofSeconds(1);
 
-	private static final Duration IDLE = Duration.ofSeconds(3);
+	private static final Duration IDLE_DURATION = Duration.ofSeconds(3);
 
-	private static final Duration WARM_UP = Duration.ofSeconds(3);
+	private static final Duration WARM_UP_DURATION = Duration.ofSeconds(3);
 
-	private static final Duration SATURATION = Duration.ofSeconds(8);
+	private static final Duration SATURATION_DURATION = Duration.ofSeconds(8);
 
 	private static final int SATURATING_CALLERS = 32;
 
@@ -50,42 +50,44 @@
 	}
 
 	private static Result measure() throws IOException, InterruptedException {
-		try (PathStage stage = PathStage.start(); PathLoad load = new PathLoad()) {
-			List<PathLoad.Way> ways = List.of(stage.direct(), stage.local(load), stage.hop(load));
-			Thread.sleep(IDLE);
-			long idleKilobytes = stage.residentKilobytes();
-			List<Histogram> latencies = ways.stream().map((way) -> PathLoad.histogram()).toList();
-			ways.forEach((way) -> load.run(way, 1, WARM_UP, PathLoad.histogram()));
-			ways.forEach((way) -> load.run(way, SATURATING_CALLERS, WARM_UP, PathLoad.histogram()));
+		try (PathDeployment deployment = PathDeployment.start(); PathLoad load = new PathLoad()) {
+			List<PathLoad.RequestPath> paths = List.of(deployment.direct(), deployment.local(load),
+					deployment.hop(load));
+			Thread.sleep(IDLE_DURATION);
+			long idleKilobytes = deployment.entryResidentKilobytes();
+			List<Histogram> latencies = paths.stream().map((path) -> PathLoad.histogram()).toList();
+			paths.forEach((path) -> load.run(path, 1, WARM_UP_DURATION, PathLoad.histogram()));
+			paths.forEach((path) -> load.run(path, SATURATING_CALLERS, WARM_UP_DURATION, PathLoad.histogram()));
 			for (int round = 0; round < ROUNDS; round++) {
-				for (int way = 0; way < ways.size(); way++) {
-					load.run(ways.get(way), 1, ROUND, latencies.get(way));
+				for (int path = 0; path < paths.size(); path++) {
+					load.run(paths.get(path), 1, ROUND_DURATION, latencies.get(path));
 				}
 			}
 			List<Throughput> throughputs = new ArrayList<>();
-			for (PathLoad.Way way : ways) {
-				throughputs.add(saturate(stage, load, way));
+			for (PathLoad.RequestPath path : paths) {
+				throughputs.add(measureThroughput(deployment, load, path));
 			}
 			return new Result(latency(latencies.get(0)), latency(latencies.get(1)), latency(latencies.get(2)),
 					throughputs.get(0), throughputs.get(1), throughputs.get(2), idleKilobytes,
-					stage.residentKilobytes());
+					deployment.entryResidentKilobytes());
 		}
 	}
 
-	private static Throughput saturate(PathStage stage, PathLoad load, PathLoad.Way way) {
+	private static Throughput measureThroughput(PathDeployment deployment, PathLoad load, PathLoad.RequestPath path) {
 		Histogram histogram = PathLoad.histogram();
-		Duration cpuBefore = stage.daemonCpu();
-		Duration ownersBefore = stage.ownerCpu();
-		long begun = System.nanoTime();
-		load.run(way, SATURATING_CALLERS, SATURATION, histogram);
-		double seconds = (System.nanoTime() - begun) / (double) TimeUnit.SECONDS.toNanos(1);
+		Duration entryCpuBefore = deployment.entryCpu();
+		Duration ownerCpuBefore = deployment.ownerCpu();
+		long startNanos = System.nanoTime();
+		load.run(path, SATURATING_CALLERS, SATURATION_DURATION, histogram);
+		double seconds = (System.nanoTime() - startNanos) / (double) TimeUnit.SECONDS.toNanos(1);
 		long count = histogram.getTotalCount();
-		return new Throughput(Math.round(count / seconds), micros(stage.daemonCpu().minus(cpuBefore), count),
-				micros(stage.ownerCpu().minus(ownersBefore), count), histogram.getValueAtPercentile(50),
-				histogram.getValueAtPercentile(99), load.failures());
+		return new Throughput(Math.round(count / seconds),
+				cpuMicrosPerRequest(deployment.entryCpu().minus(entryCpuBefore), count),
+				cpuMicrosPerRequest(deployment.ownerCpu().minus(ownerCpuBefore), count),
+				histogram.getValueAtPercentile(50), histogram.getValueAtPercentile(99), load.failures());
 	}
 
-	private static double micros(Duration cpu, long count) {
+	private static double cpuMicrosPerRequest(Duration cpu, long count) {
 		return Math.round(cpu.toNanos() / 1e9 * MICROS_PER_SECOND / Math.max(1, count) * 10) / 10.0;
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/path/PathStage.java
+++ b/bench/src/main/java/org/brasspier/bench/path/PathDeployment.java
@@ -20,7 +20,7 @@
  * Two instances without a proxy between anything: processes on this machine's loopback
  * interface.
  */
-final class PathStage implements AutoCloseable {
+final class PathDeployment implements AutoCloseable {
 
 	private static final String TOKEN = "bench-platform-token";
 
@@ -32,51 +32,51 @@
 
 	private final Instance owner;
 
-	private PathStage(Path folder, PlatformStandIn platform, Instance entry, Instance owner) {
+	private PathDeployment(Path folder, PlatformStandIn platform, Instance entry, Instance owner) {
 		this.folder = folder;
 		this.platform = platform;
 		this.entry = entry;
 		this.owner = owner;
 	}
 
-	static PathStage start() throws IOException {
+	static PathDeployment start() throws IOException {
 		Path folder = Files.createTempDirectory("brasspier-path-");
 		PlatformStandIn platform = new PlatformStandIn(Ports.free(), TOKEN);
 		Instance entry = Instance.start("one", "duluth", platform.address(), folder);
 		Instance owner = Instance.start("two", "kingston", platform.address(), folder);
-		return new PathStage(folder, platform, entry, owner);
+		return new PathDeployment(folder, platform, entry, owner);
 	}
 
-	PathLoad.Way direct() {
-		return new PathLoad.Way("http://" + Ports.text(this.entry.serverAt) + "/x?work=0", "any");
+	PathLoad.RequestPath direct() {
+		return new PathLoad.RequestPath("http://" + Ports.text(this.entry.serverAt) + "/x?work=0", "any");
 	}
 
 	// A key that the entry daemon owns itself.
-	PathLoad.Way local(PathLoad load) {
-		return way(load, this.entry);
+	PathLoad.RequestPath local(PathLoad load) {
+		return findPath(load, this.entry);
 	}
 
 	// A key that is one hop away.
-	PathLoad.Way hop(PathLoad load) {
-		return way(load, this.owner);
+	PathLoad.RequestPath hop(PathLoad load) {
+		return findPath(load, this.owner);
 	}
 
-	private PathLoad.Way way(PathLoad load, Instance wanted) {
+	private PathLoad.RequestPath findPath(PathLoad load, Instance keyOwner) {
 		String url = "http://" + Ports.text(this.entry.callers) + "/v1/hullbook/x?work=0";
-		String owner = Ports.text(wanted.callers);
-		PathLoad.Way[] found = new PathLoad.Way[1];
-		Await.until("a key of %s is served".formatted(owner),
+		String ownerAddress = Ports.text(keyOwner.callers);
+		PathLoad.RequestPath[] found = new PathLoad.RequestPath[1];
+		Await.until("a key of %s is served".formatted(ownerAddress),
 				() -> Stream.iterate(0, (i) -> i < 32, (i) -> i + 1)
-					.map((i) -> new PathLoad.Way(url, "hull-" + i))
-					.filter((way) -> load.field(way, "Brasspier-Owner").join().equals(owner)
-							&& load.field(way, "Brasspier-Ran").join().equals("ran"))
-					.peek((way) -> found[0] = way)
+					.map((i) -> new PathLoad.RequestPath(url, "hull-" + i))
+					.filter((path) -> load.responseHeader(path, "Brasspier-Owner").join().equals(ownerAddress)
+							&& load.responseHeader(path, "Brasspier-Ran").join().equals("ran"))
+					.peek((path) -> found[0] = path)
 					.findFirst()
 					.isPresent());
 		return found[0];
 	}
 
-	Duration daemonCpu() {
+	Duration entryCpu() {
 		return cpu(this.entry.daemon);
 	}
 
@@ -90,7 +90,7 @@
 			.orElse(Duration.ZERO);
 	}
 
-	long residentKilobytes() throws IOException {
+	long entryResidentKilobytes() throws IOException {
 		try (Stream<String> lines = Files.lines(Path.of("/proc", Long.toString(this.entry.daemon.pid()), "status"))) {
 			return lines.filter((line) -> line.startsWith("VmRSS:"))
 				.map((line) -> line.replaceAll("[^0-9]", ""))
--- a/bench/src/main/java/org/brasspier/bench/path/PathLoad.java
+++ b/bench/src/main/java/org/brasspier/bench/path/PathLoad.java
@@ -20,9 +20,9 @@
  */
 final class PathLoad implements AutoCloseable {
 
-	private static final long LONGEST_MICROS = TimeUnit.SECONDS.toMicros(30);
+	private static final long MAX_RECORDED_MICROS = TimeUnit.SECONDS.toMicros(30);
 
-	private static final int OK = 200;
+	private static final int HTTP_OK = 200;
 
 	private final Eventloop loop = Eventloop.builder().withThreadName("load").build();
 
@@ -42,55 +42,57 @@
 	}
 
 	static Histogram histogram() {
-		return new Histogram(LONGEST_MICROS, 3);
+		return new Histogram(MAX_RECORDED_MICROS, 3);
 	}
 
 	long failures() {
 		return this.failures;
 	}
 
-	void run(Way way, int callers, Duration time, Histogram into) {
-		long endNanos = System.nanoTime() + time.toNanos();
-		CompletableFuture<?>[] done = new CompletableFuture<?>[callers];
+	void run(RequestPath path, int callers, Duration duration, Histogram latencies) {
+		long endNanos = System.nanoTime() + duration.toNanos();
+		CompletableFuture<?>[] finished = new CompletableFuture<?>[callers];
 		for (int i = 0; i < callers; i++) {
 			CompletableFuture<Void> caller = new CompletableFuture<>();
-			done[i] = caller;
-			this.loop.execute(() -> ask(way, endNanos, into, caller));
+			finished[i] = caller;
+			this.loop.execute(() -> sendRepeatedly(path, endNanos, latencies, caller));
 		}
-		CompletableFuture.allOf(done).join();
+		CompletableFuture.allOf(finished).join();
 	}
 
 	// The fields of one answer to one request.
-	CompletableFuture<String> field(Way way, String name) {
+	CompletableFuture<String> responseHeader(RequestPath path, String name) {
 		CompletableFuture<String> value = new CompletableFuture<>();
-		this.loop.execute(() -> send(way).whenComplete((response, ex) -> {
+		this.loop.execute(() -> send(path).whenComplete((response, ex) -> {
 			String text = (ex != null) ? null : response.getHeader(HttpHeaders.of(name));
 			value.complete((text != null) ? text : "");
 		}));
 		return value;
 	}
 
-	private void ask(Way way, long endNanos, Histogram into, CompletableFuture<Void> done) {
-		long begun = System.nanoTime();
-		if (begun - endNanos >= 0) {
-			done.complete(null);
+	private void sendRepeatedly(RequestPath path, long endNanos, Histogram latencies,
+			CompletableFuture<Void> finished) {
+		long startNanos = System.nanoTime();
+		if (startNanos - endNanos >= 0) {
+			finished.complete(null);
 			return;
 		}
-		send(way).whenComplete((response, ex) -> {
-			if (ex != null || response.getCode() != OK) {
+		send(path).whenComplete((response, ex) -> {
+			if (ex != null || response.getCode() != HTTP_OK) {
 				this.failures++;
 			}
 			else {
-				into.recordValue(Math.min(LONGEST_MICROS, TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - begun)));
+				latencies.recordValue(
+						Math.min(MAX_RECORDED_MICROS, TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos)));
 			}
-			ask(way, endNanos, into, done);
+			sendRepeatedly(path, endNanos, latencies, finished);
 		});
 	}
 
-	private Promise<HttpResponse> send(Way way) {
+	private Promise<HttpResponse> send(RequestPath path) {
 		return this.http
-			.request(HttpRequest.get(way.url)
-				.withHeader(HttpHeaders.of("Brasspier-Key"), way.key)
+			.request(HttpRequest.get(path.url)
+				.withHeader(HttpHeaders.of("Brasspier-Key"), path.key)
 				.withHeader(HttpHeaders.of("Brasspier-Request-Id"), "bench-" + System.nanoTime())
 				.withHeader(HttpHeaders.of("Brasspier-Class"), "lookup")
 				.withHeader(HttpHeaders.of("Brasspier-Deadline-At"), Long.toString(System.currentTimeMillis() + 10_000))
@@ -109,7 +111,7 @@
 	 * @param url where to ask
 	 * @param key the key
 	 */
-	record Way(String url, String key) {
+	record RequestPath(String url, String key) {
 
 	}
 
--- a/bench/src/test/java/org/brasspier/bench/demo/FaultScheduleTests.java
+++ b/bench/src/test/java/org/brasspier/bench/demo/FaultScheduleTests.java
@@ -10,12 +10,12 @@
 class FaultScheduleTests {
 
 	@Test
-	void aSeedAlwaysGivesTheSameSchedule() {
+	void sameSeedGivesTheSameSchedule() {
 		assertThat(FaultSchedule.of(7, 5, 3)).isEqualTo(FaultSchedule.of(7, 5, 3));
 	}
 
 	@Test
-	void seedsGiveTwoOrThreeFaultsOfAllKinds() {
+	void schedulesHaveTwoOrThreeFaultsOfAllKinds() {
 		List<FaultSchedule> schedules = LongStream.range(0, 200)
 			.mapToObj((seed) -> FaultSchedule.of(seed, 5, 3))
 			.toList();
--- a/bench/src/test/java/org/brasspier/bench/demo/SummaryTests.java
+++ b/bench/src/test/java/org/brasspier/bench/demo/SummaryTests.java
@@ -32,13 +32,13 @@
 	private final List<CallerRecord> callers = List.of(answered("id-1", 1, 4), answered("id-2", 109, 113));
 
 	@Test
-	void aRunInWhichEveryPromiseWasKeptSaysSo() {
-		assertThat(summary().promisesKept()).isTrue();
+	void passesWhenAllGuaranteesHold() {
+		assertThat(summary().guaranteesHeld()).isTrue();
 	}
 
 	@Test
-	void theClosingLineHasTheFieldsThatReadersExpect() {
-		JsonObject line = JsonParser.parseString(summary().line()).getAsJsonObject();
+	void jsonHasTheDocumentedFields() {
+		JsonObject line = JsonParser.parseString(summary().toJson()).getAsJsonObject();
 		assertThat(line.keySet()).containsAtLeast("requests", "answered", "refused", "failed", "wrong_owner",
 				"ran_twice", "answered_to_wrong_caller", "recovery_ms", "imbalance", "churn", "unavailable");
 		assertThat(line.getAsJsonObject("recovery_ms").keySet()).containsAtLeast("median", "max");
@@ -48,26 +48,26 @@
 	// The lost owner comes back as if nothing had happened, and its order takes effect
 	// after its successor's.
 	@Test
-	void aSecondOwnerBreaksTheRun() {
+	void failsWhenAFormerOwnerStillRunsPostings() {
 		this.servers.add(record(Kind.BEGAN, 120, "a", "id-3", 5));
 		this.servers.add(record(Kind.TOOK_EFFECT, 121, "a", "id-3", 5));
-		assertThat(summary().promisesKept()).isFalse();
+		assertThat(summary().guaranteesHeld()).isFalse();
 		assertThat(summary().wrongOwner()).isAtLeast(1);
 	}
 
 	@Test
-	void aPostingThatRanTwiceBreaksTheRun() {
+	void failsWhenAPostingRanTwice() {
 		this.servers.add(record(Kind.BEGAN, 120, "b", "id-2", 8));
 		this.servers.add(record(Kind.TOOK_EFFECT, 121, "b", "id-2", 8));
-		assertThat(summary().promisesKept()).isFalse();
+		assertThat(summary().guaranteesHeld()).isFalse();
 		assertThat(summary().ranTwice()).isEqualTo(1);
 	}
 
 	@Test
-	void aRangeThatNobodyServesAgainBreaksTheRun() {
+	void failsWhenARangeIsNotServedAgain() {
 		Summary unanswered = Summary.of(new Summary.Histories(this.servers, this.callers.subList(0, 1)),
 				Set.of("hullbook"), 1, LOSS, 0);
-		assertThat(unanswered.promisesKept()).isFalse();
+		assertThat(unanswered.guaranteesHeld()).isFalse();
 	}
 
 	private Summary summary() {
--- a/integration/src/test/java/org/brasspier/integration/AbstractSceneTests.java
+++ b/integration/src/test/java/org/brasspier/integration/AbstractSceneTests.java
@@ -1,6 +1,6 @@
 package org.brasspier.integration;
 
-import org.brasspier.bench.demo.Managers;
+import org.brasspier.bench.demo.LeaseManagers;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeAll;
@@ -14,7 +14,7 @@
 
 	static Scene scene;
 
-	static Managers managers;
+	static LeaseManagers managers;
 
 	@BeforeAll
 	static void start() {
@@ -31,7 +31,7 @@
 		scene.traffic();
 		scene.awaitAnswers();
 		scene.awaitAllOwn();
-		managers = Managers.await(scene.deployment());
+		managers = LeaseManagers.await(scene.deployment());
 	}
 
 	@AfterEach
--- a/integration/src/test/java/org/brasspier/integration/Scene.java
+++ b/integration/src/test/java/org/brasspier/integration/Scene.java
@@ -126,7 +126,7 @@
 
 	/** Mends all faults, ends the traffic, and judges the histories. */
 	void assertPromisesKept() {
-		new FaultInjector(this.deployment).mend();
+		new FaultInjector(this.deployment).clearFaults();
 		this.deployment.awaitServed();
 		this.callers.finish();
 		List<Violation> violations = HistoryChecker.check(this.deployment.serverRecords(), this.callers.records(),
--- a/integration/src/test/java/org/brasspier/integration/StoredStateTests.java
+++ b/integration/src/test/java/org/brasspier/integration/StoredStateTests.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-import org.brasspier.bench.demo.Managers;
+import org.brasspier.bench.demo.LeaseManagers;
 import org.brasspier.standins.OwnedRange;
 import org.brasspier.standins.StandInInstance;
 import org.junit.jupiter.api.AfterEach;
@@ -41,7 +41,7 @@
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void aRowThatCannotBeReadIsNeverOverwritten(boolean newer) {
-		Managers managers = Managers.await(this.scene.deployment());
+		LeaseManagers managers = LeaseManagers.await(this.scene.deployment());
 		byte[] good = this.scene.deployment().platform().row(ROW).orElseThrow();
 		byte[] bad = (newer) ? newer(good) : damaged(good);
 		this.scene.deployment().platform().corruptRow(ROW, bad);
