--- a/bench/src/main/java/org/brasspier/bench/Bench.java
+++ b/bench/src/main/java/org/brasspier/bench/Bench.java
@@ -11,8 +11,8 @@
 import org.brasspier.bench.policy.PolicyBench;
 
 /**
- * The program behind {@code bin/bench}: one measurement by its name, or all of them one
- * after another.
+ * Entry point of {@code bin/bench}. Runs the benchmark given by name, or all benchmarks
+ * in sequence except the outage benchmark.
  */
 public final class Bench {
 
@@ -24,9 +24,9 @@
 	}
 
 	/**
-	 * Runs measurements.
-	 * @param arguments the name of one, or nothing for all
-	 * @throws Exception if a measurement can't be made
+	 * Runs one benchmark or all of them.
+	 * @param arguments the name of a benchmark; empty or {@code all} to run all of them
+	 * @throws Exception if a benchmark fails
 	 */
 	public static void main(String[] arguments) throws Exception {
 		switch ((arguments.length > 0) ? arguments[0] : "all") {
@@ -39,7 +39,7 @@
 			case "outage" -> OutageBench.main(new String[0]);
 			case "all" -> runAll();
 			default -> {
-				System.err.println("unknown measurement \"%s\": %s or all".formatted(arguments[0],
+				System.err.println("unknown benchmark \"%s\": must be one of %s or all".formatted(arguments[0],
 						"capacity, path, policy, document, ownership, recovery, outage"));
 				System.exit(2);
 			}
@@ -47,8 +47,8 @@
 	}
 
 	/**
-	 * Recovery comes last, since it ends the process with its own verdict. The outage is
-	 * left out: it takes seven minutes by itself.
+	 * Runs the recovery benchmark last because it exits the process with its own status.
+	 * Omits the outage benchmark because it alone takes seven minutes.
 	 */
 	private static void runAll() throws Exception {
 		CapacityBench.run(OUTPUT, CAPACITY_PAGE);
--- a/bench/src/main/java/org/brasspier/bench/demo/Demo.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Demo.java
@@ -18,9 +18,9 @@
 import org.brasspier.standins.StandInInstance;
 
 /**
- * The program {@code bin/demo}: a deployment at today's size under mixed traffic loses
- * one instance without warning. Ends with 0 if every promise was kept, 1 if one was
- * broken, 2 if it was told wrong.
+ * Entry point of {@code bin/demo}. Runs a deployment of the current production size under
+ * mixed traffic and kills one instance without warning. Exits with 0 if no guarantee was
+ * violated, 1 if one was violated, and 2 if the command-line flags are invalid.
  */
 public final class Demo {
 
@@ -41,7 +41,7 @@
 
 	/**
 	 * Runs the demonstration.
-	 * @param arguments the flags
+	 * @param arguments the command-line flags
 	 */
 	public static void main(String[] arguments) {
 		DemoFlags flags = new DemoFlags();
@@ -66,7 +66,7 @@
 				this.shape.services().stream().mapToInt((service) -> service.servers()).sum(), this.shape.domains());
 		try (Deployment deployment = Deployment.start(this.shape); CallerFleet callers = deployment.newCallers()) {
 			deployment.awaitServed();
-			print("each service answers");
+			print("all services are answering");
 			DocumentSubmission.submit(deployment).forEach((line) -> print("%s", line));
 			long trafficStartMicros = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
 			callers.setTraffic(Traffic.of(this.shape));
@@ -84,7 +84,7 @@
 		String lossTime = Instant.now().toString();
 		InstanceLoss loss = InstanceLoss.now(instance.name());
 		instance.kill();
-		print("lost %s in %s without warning; it owned %d ranges", instance.name(), instance.domain(), ranges.size());
+		print("killed %s in %s without warning; it owned %d ranges", instance.name(), instance.domain(), ranges.size());
 		try (RecoveryProbe probe = new RecoveryProbe(callers, ranges, deployment.shardedServices())) {
 			probe.await();
 		}
@@ -100,7 +100,7 @@
 		for (int i = 0; i < seconds; i++) {
 			LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(1));
 			List<CallerRecord> records = callers.records();
-			print("%d requests ended in this second; in all %s", records.size() - recordsBefore,
+			print("%d requests completed in the last second; totals so far: %s", records.size() - recordsBefore,
 					HistoryMetrics.outcomes(records));
 			recordsBefore = records.size();
 		}
--- a/bench/src/main/java/org/brasspier/bench/demo/DemoFlags.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/DemoFlags.java
@@ -4,17 +4,18 @@
 import org.brasspier.standins.DeploymentShape;
 
 /**
- * The flags of {@link Demo}. Filled in once, then read only.
+ * Command-line flags of {@link Demo}. JCommander sets the fields once; they do not change
+ * after parsing.
  */
 final class DemoFlags {
 
-	@Parameter(names = "--help", help = true, description = "show this help and end")
+	@Parameter(names = "--help", help = true, description = "print this help and exit")
 	boolean help;
 
-	@Parameter(names = "--deployment", description = "lakeshore or kliring")
+	@Parameter(names = "--deployment", description = "deployment to run: lakeshore or kliring")
 	String deployment = "lakeshore";
 
-	@Parameter(names = "--seconds", description = "how long traffic lasts, 6 or more")
+	@Parameter(names = "--seconds", description = "duration of the traffic in seconds, at least 6")
 	int seconds = 20;
 
 	DeploymentShape shape() {
--- a/bench/src/main/java/org/brasspier/bench/demo/DocumentSubmission.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/DocumentSubmission.java
@@ -18,8 +18,8 @@
 import org.brasspier.standins.ServiceShape;
 
 /**
- * Submits a deployment's configuration document through the command line tool, as its
- * operators would. Not thread-safe.
+ * Submits a deployment's configuration document through the command-line tool, the same
+ * way operators do. Not thread-safe.
  */
 final class DocumentSubmission {
 
--- a/bench/src/main/java/org/brasspier/bench/demo/EventTimeline.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/EventTimeline.java
@@ -12,24 +12,28 @@
 import org.brasspier.standins.StandInInstance;
 
 /**
- * The events of all daemons, read from their logs and put in the order of time. Stateless
- * and thread-safe.
+ * Reads the events of all daemons from their logs, sorted by time. Stateless and
+ * thread-safe.
  */
 final class EventTimeline {
 
 	private static final String EVENT_LOGGER = " brasspier.events ";
 
-	/** Events of single requests would drown the others. */
+	/**
+	 * Matches events of individual requests, which are omitted because their number would
+	 * hide all other events.
+	 */
 	private static final Pattern REQUEST_EVENT = Pattern.compile("brasspier\\.events \\S* ?3[0-9][0-9] ");
 
 	private EventTimeline() {
 	}
 
 	/**
-	 * Reads the time line.
+	 * Reads the events of a deployment.
 	 * @param deployment the deployment
-	 * @param since events before this time are left out, as the logs write time
-	 * @return a line for each event
+	 * @param since time of the first event to include, in the timestamp format of the
+	 * logs
+	 * @return one line per event
 	 */
 	static List<String> read(Deployment deployment, String since) {
 		return deployment.instances()
--- a/bench/src/main/java/org/brasspier/bench/demo/Fault.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Fault.java
@@ -3,118 +3,120 @@
 import org.brasspier.standins.LinkState;
 
 /**
- * One fault of a schedule. Instances and failure domains are told by their place in the
- * deployment. Immutable and thread-safe.
+ * A fault to inject into a deployment. Instances and failure domains are identified by
+ * their index in the deployment. Immutable and thread-safe.
  */
 public sealed interface Fault {
 
 	/**
-	 * A process or a whole instance is lost, and started again when the fault ends.
+	 * Kills processes of an instance and restarts them when the fault ends.
 	 *
-	 * @param instance which instance
-	 * @param part what of it
+	 * @param instance index of the instance
+	 * @param part which of its processes are killed
 	 */
 	record Killed(int instance, Part part) implements Fault {
 
 	}
 
 	/**
-	 * A process or a whole instance stands still until the fault ends.
+	 * Pauses processes of an instance until the fault ends.
 	 *
-	 * @param instance which instance
-	 * @param part what of it
+	 * @param instance index of the instance
+	 * @param part which of its processes are paused
 	 */
 	record Paused(int instance, Part part) implements Fault {
 
 	}
 
 	/**
-	 * An instance is stopped as planned, and started again when the fault ends.
+	 * Terminates the backend server of an instance in an orderly way. When the fault
+	 * ends, all processes of the instance that are not running are started.
 	 *
-	 * @param instance which instance
+	 * @param instance index of the instance
 	 */
 	record Stopped(int instance) implements Fault {
 
 	}
 
 	/**
-	 * An instance is cut off from all other daemons.
+	 * Disturbs the links between the daemon of an instance and all other daemons.
 	 *
-	 * @param instance which instance
-	 * @param state how
+	 * @param instance index of the instance
+	 * @param state state of the links during the fault
 	 */
 	record Isolated(int instance, LinkState state) implements Fault {
 
 	}
 
 	/**
-	 * Two daemons don't reach each other.
+	 * Disturbs the links between two daemons.
 	 *
-	 * @param first an instance
-	 * @param second another
-	 * @param state how
+	 * @param first index of one instance
+	 * @param second index of the other instance
+	 * @param state state of the links during the fault
 	 */
 	record Disconnected(int first, int second, LinkState state) implements Fault {
 
 	}
 
 	/**
-	 * A failure domain is cut off from all others, and from the store or not.
+	 * Isolates a failure domain from all other failure domains and optionally from the
+	 * store.
 	 *
-	 * @param domain which failure domain
-	 * @param fromStore whether from the store too
+	 * @param domain index of the failure domain
+	 * @param fromStore whether the failure domain also loses the store
 	 */
 	record DomainIsolated(int domain, boolean fromStore) implements Fault {
 
 	}
 
 	/**
-	 * A daemon does not reach the store.
+	 * Disturbs the link between a daemon and the store.
 	 *
-	 * @param instance which instance
-	 * @param state how
+	 * @param instance index of the instance
+	 * @param state state of the link during the fault
 	 */
 	record StoreUnreachable(int instance, LinkState state) implements Fault {
 
 	}
 
 	/**
-	 * The store is down.
+	 * The store is unavailable.
 	 */
 	record StoreDown() implements Fault {
 
 	}
 
 	/**
-	 * The store is slow.
+	 * The store responds with a delay.
 	 *
-	 * @param millis how long each call takes, in milliseconds
+	 * @param millis delay of each response, in milliseconds
 	 */
 	record StoreSlow(int millis) implements Fault {
 
 	}
 
 	/**
-	 * Writes to the store take effect and lose their answers.
+	 * Writes to the store are applied, but their responses are lost.
 	 *
-	 * @param writes how many
+	 * @param writes number of writes affected
 	 */
 	record StoreAnswersLost(int writes) implements Fault {
 
 	}
 
 	/**
-	 * Each connection between daemons that is open when the fault begins is silent for
-	 * good.
+	 * Silences all connections from one daemon to other daemons that are open when the
+	 * fault starts. The end of the fault does not restore them.
 	 *
-	 * @param instance whose connections to others
+	 * @param instance index of the instance that opened the connections
 	 */
 	record ConnectionsSilenced(int instance) implements Fault {
 
 	}
 
 	/**
-	 * What of an instance a fault takes.
+	 * The processes of an instance that a fault affects.
 	 */
 	enum Part {
 
--- a/bench/src/main/java/org/brasspier/bench/demo/FaultInjector.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/FaultInjector.java
@@ -14,7 +14,7 @@
 import org.brasspier.standins.StandInInstance;
 
 /**
- * Does to a deployment what a schedule says. Serves one schedule at a time; not
+ * Injects the faults of a schedule into a deployment. Runs one schedule at a time; not
  * thread-safe.
  */
 public final class FaultInjector {
@@ -23,14 +23,14 @@
 
 	/**
 	 * Creates an injector.
-	 * @param deployment the deployment
+	 * @param deployment the deployment to inject faults into
 	 */
 	public FaultInjector(Deployment deployment) {
 		this.deployment = deployment;
 	}
 
 	/**
-	 * Runs a schedule to its end and mends everything.
+	 * Runs a schedule to its end, then clears all faults.
 	 * @param schedule the schedule
 	 */
 	public void run(FaultSchedule schedule) {
@@ -49,7 +49,8 @@
 	}
 
 	/**
-	 * Ends every fault: all links whole, the store well, all processes running.
+	 * Clears all faults: restores all links and the store, resumes paused processes and
+	 * restarts stopped ones.
 	 */
 	public void clearFaults() {
 		this.deployment.proxy().heal();
@@ -147,10 +148,10 @@
 	}
 
 	/**
-	 * Something to do at a time.
+	 * An action to run at a given time.
 	 *
-	 * @param atMillis when, in milliseconds after the beginning
-	 * @param action what
+	 * @param atMillis time of the action, in milliseconds after the start of the schedule
+	 * @param action the action to run
 	 */
 	private record ScheduledAction(int atMillis, Runnable action) {
 
--- a/bench/src/main/java/org/brasspier/bench/demo/FaultMix.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/FaultMix.java
@@ -9,13 +9,14 @@
 import org.brasspier.standins.Violation;
 
 /**
- * Goes through random mixes of two or three faults, each with a deployment of its own:
- * {@code bin/run org.brasspier.bench.demo.FaultMix --seeds N [--first SEED]}. Ends with 1
- * if a promise was broken; the seed then belongs among the tests.
+ * Runs random schedules of two or three faults, each against a new deployment:
+ * {@code bin/run org.brasspier.bench.demo.FaultMix --seeds N [--first SEED]}. Exits with
+ * 1 if a guarantee was violated or a service did not recover. Add a failing seed to the
+ * tests.
  */
 public final class FaultMix {
 
-	@Parameter(names = "--seeds", description = "how many")
+	@Parameter(names = "--seeds", description = "how many seeds to run")
 	private int seeds = 20;
 
 	@Parameter(names = "--first", description = "the first seed")
@@ -25,8 +26,8 @@
 	}
 
 	/**
-	 * Runs the mixes.
-	 * @param arguments the flags
+	 * Runs the schedules.
+	 * @param arguments the command-line flags
 	 */
 	public static void main(String[] arguments) {
 		FaultMix mix = new FaultMix();
@@ -52,11 +53,11 @@
 	}
 
 	/**
-	 * The closing line.
+	 * Summary of the run, printed as the last line.
 	 *
-	 * @param seeds how many were tried
-	 * @param firstSeed the first
-	 * @param broken those under which a promise was broken or a service not served again
+	 * @param seeds number of seeds run
+	 * @param first the first seed
+	 * @param broken seeds for which a guarantee was violated or a service did not recover
 	 */
 	private record Result(int seeds, long first, List<Long> broken) {
 
--- a/bench/src/main/java/org/brasspier/bench/demo/FaultSchedule.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/FaultSchedule.java
@@ -9,17 +9,20 @@
 import org.brasspier.standins.LinkState;
 
 /**
- * Two or three faults that overlap. The same seed gives the same schedule for a
- * deployment of the same size. Immutable and thread-safe.
+ * A schedule of two or three faults that may overlap. The same seed produces the same
+ * schedule for deployments of the same size. Immutable and thread-safe.
  *
- * @param seed what it was drawn from
- * @param entries the faults in the order of their beginnings
+ * @param seed seed that the schedule was generated from
+ * @param entries the faults, sorted by start time
  */
 public record FaultSchedule(long seed, List<Entry> entries) {
 
 	private static final int MAX_START_MILLIS = 700;
 
-	/** From well below a lease of 600 ms to several of them. */
+	/**
+	 * The range of durations, 200 to 2500 ms, reaches from well below the lease duration
+	 * of 600 ms to several lease durations.
+	 */
 	private static final int MIN_DURATION_MILLIS = 200;
 
 	private static final int MAX_DURATION_MILLIS = 2500;
@@ -29,17 +32,17 @@
 	private static final int MAX_LOST_ANSWERS = 4;
 
 	/**
-	 * Copies the list.
+	 * Creates a schedule with an unmodifiable copy of the entries.
 	 */
 	public FaultSchedule {
 		entries = List.copyOf(entries);
 	}
 
 	/**
-	 * Draws a schedule.
+	 * Generates a schedule from a seed.
 	 * @param seed the seed
-	 * @param instances how many instances the deployment has, at least 2
-	 * @param domains how many failure domains it has
+	 * @param instances number of instances in the deployment, at least 2
+	 * @param domains number of failure domains in the deployment
 	 * @return the schedule
 	 */
 	public static FaultSchedule of(long seed, int instances, int domains) {
@@ -83,10 +86,11 @@
 	}
 
 	/**
-	 * One fault and its time.
+	 * A fault with its start time and duration.
 	 *
-	 * @param startMillis when it begins, in milliseconds after the schedule
-	 * @param durationMillis how long it lasts, in milliseconds
+	 * @param startMillis start of the fault, in milliseconds after the start of the
+	 * schedule
+	 * @param durationMillis duration of the fault, in milliseconds
 	 * @param fault the fault
 	 */
 	public record Entry(int startMillis, int durationMillis, Fault fault) {
--- a/bench/src/main/java/org/brasspier/bench/demo/FaultTrial.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/FaultTrial.java
@@ -11,8 +11,8 @@
 import org.brasspier.standins.Violation;
 
 /**
- * A deployment under light traffic that goes through schedules of faults. Not
- * thread-safe.
+ * Runs fault schedules against a deployment under light traffic and checks its
+ * guarantees. Not thread-safe.
  */
 public final class FaultTrial implements AutoCloseable {
 
@@ -29,9 +29,10 @@
 	}
 
 	/**
-	 * Starts a small deployment: three servers divided by key that check fences, and two
-	 * that are not divided by key and check none.
-	 * @return the trial, once each service is served
+	 * Starts a small deployment: three servers of a service that is sharded by key and
+	 * checks fences, and two servers of a service that is not sharded and does not check
+	 * fences.
+	 * @return the trial, after all services have started to answer
 	 */
 	public static FaultTrial start() {
 		DeploymentShape shape = DeploymentShape.small(new ServiceShape("hullbook", true, 3, 8, 60, true),
@@ -42,10 +43,10 @@
 	}
 
 	/**
-	 * Goes through the schedule of a seed, mends all faults and waits until each service
-	 * is served again.
+	 * Runs the schedule of a seed, clears all faults and waits until all services answer
+	 * again.
 	 * @param seed the seed
-	 * @return every promise broken so far, none if all were kept
+	 * @return all violations since the start of the deployment, empty if there were none
 	 */
 	public List<Violation> run(long seed) {
 		DeploymentShape shape = this.deployment.shape();
--- a/bench/src/main/java/org/brasspier/bench/demo/LeaseManagers.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/LeaseManagers.java
@@ -10,18 +10,18 @@
 import org.brasspier.wire.CellRowCodec;
 
 /**
- * Which instances are the lease managers, by the cell's row in the platform's table.
- * Immutable and thread-safe.
+ * The instances that are the lease managers according to the cell's row in the platform's
+ * table. Immutable and thread-safe.
  *
- * @param primary the primary
- * @param secondary the secondary
+ * @param primary the primary lease manager
+ * @param secondary the secondary lease manager
  */
 public record LeaseManagers(StandInInstance primary, StandInInstance secondary) {
 
 	/**
-	 * Waits until the row names two managers whose daemons run.
+	 * Waits until the row names two lease managers whose daemons are running.
 	 * @param deployment the deployment
-	 * @return the managers
+	 * @return the lease managers
 	 */
 	public static LeaseManagers await(Deployment deployment) {
 		Await.until("the cell has two lease managers", () -> read(deployment).isPresent());
@@ -44,9 +44,9 @@
 	}
 
 	/**
-	 * Whether an instance is one of the two.
+	 * Returns whether an instance is one of the two lease managers.
 	 * @param instance the instance
-	 * @return true if it is
+	 * @return true if the instance is a lease manager
 	 */
 	public boolean contains(StandInInstance instance) {
 		return instance.equals(this.primary) || instance.equals(this.secondary);
--- a/bench/src/main/java/org/brasspier/bench/demo/OutageBench.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/OutageBench.java
@@ -23,10 +23,11 @@
 import org.brasspier.standins.Violation;
 
 /**
- * Measures what callers see while the platform's store is down, and then while it takes
- * two seconds for each answer: {@code bin/bench outage}, or
- * {@code bin/run org.brasspier.bench.demo.OutageBench [--seconds N]}. Closes with one
- * line of JSON, and ends with 1 if a promise was broken.
+ * Measures request outcomes from the callers' view while the platform's store is
+ * unavailable, and then while it delays each response by two seconds:
+ * {@code bin/bench outage}, or
+ * {@code bin/run org.brasspier.bench.demo.OutageBench [--seconds N]}. Prints one line of
+ * JSON at the end and exits with 1 if a guarantee was violated.
  */
 public final class OutageBench {
 
@@ -34,15 +35,16 @@
 
 	private static final int MICROS_PER_MILLI = 1000;
 
-	@Parameter(names = "--seconds", description = "how long the store is down; a fifth of that it is slow")
+	@Parameter(names = "--seconds",
+			description = "duration of the outage in seconds; the slow phase lasts a fifth of it")
 	private int seconds = 300;
 
 	private OutageBench() {
 	}
 
 	/**
-	 * Runs the bench.
-	 * @param arguments the flags
+	 * Runs the benchmark.
+	 * @param arguments the command-line flags
 	 */
 	public static void main(String[] arguments) {
 		OutageBench bench = new OutageBench();
@@ -82,14 +84,14 @@
 	}
 
 	/**
-	 * What callers saw.
+	 * Request outcomes of one phase from the callers' view.
 	 *
-	 * @param store how the store was
-	 * @param seconds for how long
-	 * @param answered how many requests were answered
-	 * @param refused how many were turned away
-	 * @param failed how many ended without an answer
-	 * @param longestGapMs the longest time without any answer of a service, in
+	 * @param store state of the store
+	 * @param seconds duration of the phase, in seconds
+	 * @param answered number of requests answered
+	 * @param refused number of requests refused
+	 * @param failed number of requests that ended without an answer
+	 * @param longestGapMs the longest time between two answers of the same service, in
 	 * milliseconds
 	 */
 	private record Figures(String store, int seconds, long answered, long refused, long failed, long longestGapMs) {
@@ -123,10 +125,10 @@
 	}
 
 	/**
-	 * The closing line.
+	 * Results of the benchmark, printed as the last line.
 	 *
 	 * @param phases the figures of each phase
-	 * @param broken how many promises were broken
+	 * @param broken number of violations
 	 */
 	private record Result(List<Figures> phases, int broken) {
 
--- a/bench/src/main/java/org/brasspier/bench/demo/RecoveryBench.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/RecoveryBench.java
@@ -26,32 +26,33 @@
 import org.brasspier.standins.Violation;
 
 /**
- * Measures, from callers' view, how long the ranges of a lost instance go without answer:
+ * Measures, from the callers' view, how long the ranges of a killed instance remain
+ * unanswered:
  * {@code bin/run org.brasspier.bench.demo.RecoveryBench [--losses N] [--deployment NAME]}.
- * Instances are lost in turn as a plain member, as primary and as secondary lease
- * manager. Closes with one line of JSON.
+ * Kills an ordinary member, the primary lease manager and the secondary lease manager in
+ * turn. Prints one line of JSON at the end and exits with 1 if a guarantee was violated.
  */
 public final class RecoveryBench {
 
-	@Parameter(names = "--losses", description = "how many instances are lost")
+	@Parameter(names = "--losses", description = "number of instances to kill")
 	private int losses = 30;
 
-	@Parameter(names = "--deployment", description = "lakeshore or kliring")
+	@Parameter(names = "--deployment", description = "deployment to run: lakeshore or kliring")
 	private String deployment = "lakeshore";
 
 	private final Map<String, List<Long>> recoveryMillisByRole = new TreeMap<>();
 
 	private final Map<String, List<RecoveryStages>> stagesByRole = new TreeMap<>();
 
-	/** Ranges that no caller asked for again before the next loss. */
+	/** Number of ranges that no caller requested between their loss and the next one. */
 	private int unansweredRanges;
 
 	private RecoveryBench() {
 	}
 
 	/**
-	 * Runs the bench.
-	 * @param arguments the flags
+	 * Runs the benchmark.
+	 * @param arguments the command-line flags
 	 */
 	public static void main(String[] arguments) {
 		RecoveryBench bench = new RecoveryBench();
@@ -97,14 +98,15 @@
 				lostInstance.name(), lossTime);
 		System.out.printf("%s %s: %d ranges, %s, ms %s%n", role, lostInstance.name(), ranges.size(), recoveryStages,
 				recoveryMillis);
-		// The ranges of servers that check no fences rest a guard of 200 ms longer.
+		// For servers that do not check fences, a guard time of 200 ms delays the new
+		// grant of a range.
 		String figuresKey = (lostInstance.service().checksFences()) ? role.name() : role + "_WITHOUT_FENCES";
 		this.recoveryMillisByRole.computeIfAbsent(figuresKey, (unused) -> new ArrayList<>()).addAll(recoveryMillis);
 		this.stagesByRole.computeIfAbsent(figuresKey, (unused) -> new ArrayList<>()).add(recoveryStages);
 		this.unansweredRanges += measured.size() - recoveryMillis.size();
 		lostInstance.start();
 		runningDeployment.awaitServed();
-		Await.until(lostInstance.name() + " owns something again",
+		Await.until(lostInstance.name() + " owns at least one range again",
 				() -> !runningDeployment.ownedBy(lostInstance).isEmpty());
 	}
 
@@ -135,11 +137,11 @@
 	}
 
 	/**
-	 * The part that the lost instance played.
+	 * The role of the killed instance.
 	 */
 	private enum Role {
 
-		/** No special one. */
+		/** An ordinary member that is not a lease manager. */
 		MEMBER,
 
 		/** The primary lease manager. */
@@ -151,13 +153,14 @@
 	}
 
 	/**
-	 * The figures of one role.
+	 * Recovery times of one role.
 	 *
-	 * @param role the role and whether its server checks fences, or ALL
-	 * @param losses how many instances were lost
-	 * @param ranges how many ranges they owned
-	 * @param medianMs the median over the ranges, in milliseconds
-	 * @param maxMs the longest, in milliseconds
+	 * @param role the role, with the suffix {@code _WITHOUT_FENCES} if its server does
+	 * not check fences; or {@code ALL}
+	 * @param losses number of instances killed
+	 * @param ranges number of their ranges that were answered again
+	 * @param medianMs median recovery time of the ranges, in milliseconds
+	 * @param maxMs longest recovery time, in milliseconds
 	 * @param stagesByRole the median time of each stage
 	 */
 	private record Figures(String role, int losses, int ranges, long medianMs, long maxMs, RecoveryStages stages) {
@@ -172,13 +175,14 @@
 	}
 
 	/**
-	 * The closing line.
+	 * Results of the benchmark, printed as the last line.
 	 *
-	 * @param deployment the deployment's name
-	 * @param recovery the figures by role
-	 * @param unansweredRanges how many ranges got no answer before the next loss, and are
-	 * in no figure: those of a few points, which only a hot key asks for
-	 * @param broken how many promises were broken
+	 * @param deployment name of the deployment
+	 * @param recovery recovery times by role
+	 * @param unanswered number of ranges without an answer before the next instance was
+	 * killed, which are excluded from the recovery times; these ranges cover only a few
+	 * points of the key space and are requested only if they hold a hot key
+	 * @param broken number of violations
 	 */
 	private record Result(String deployment, List<Figures> recovery, int unanswered, int broken) {
 
--- a/bench/src/main/java/org/brasspier/bench/demo/RecoveryStages.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/RecoveryStages.java
@@ -11,23 +11,24 @@
 import org.brasspier.standins.HistoryMetrics;
 
 /**
- * Where the time of a recovery goes, by the daemons' time lines: milliseconds from the
- * loss, -1 for what didn't happen. Immutable and thread-safe.
+ * Times of the stages of a recovery, taken from the daemons' event logs, in milliseconds
+ * after the loss; -1 for a stage that did not occur. Immutable and thread-safe.
  *
- * @param suspected a lease manager found the lost one silent
- * @param epoch other managers are in the row, where the lost one was a manager
- * @param lost its ranges are about to be given away: promised, and its lease run out
- * @param granted the last of its ranges was granted
+ * @param suspected a lease manager first suspected the lost instance
+ * @param epoch the row first named new lease managers, if the lost instance was one
+ * @param lost the instance was declared lost: its lease has run out and its ranges are
+ * promised to new owners
+ * @param granted the last of its ranges was granted to a new owner
  */
 record RecoveryStages(long suspected, long epoch, long lost, long granted) {
 
 	private static final int TIMESTAMP_LENGTH = 24;
 
 	/**
-	 * Reads the stages.
-	 * @param events the time line
-	 * @param instance the lost instance
-	 * @param lossTime when it was lost
+	 * Extracts the stages from events.
+	 * @param events the event lines
+	 * @param instance name of the lost instance
+	 * @param lossTime time of the loss
 	 * @return the stages
 	 */
 	static RecoveryStages of(List<String> events, String instance, Instant lossTime) {
@@ -58,9 +59,9 @@
 	}
 
 	/**
-	 * The median of each stage over several losses.
+	 * Computes the median of each stage over several losses.
 	 * @param all the stages of the losses
-	 * @return the medians, of a stage that some losses didn't have over the others
+	 * @return the medians; losses without a stage are excluded from its median
 	 */
 	static RecoveryStages medians(List<RecoveryStages> all) {
 		return new RecoveryStages(median(all, RecoveryStages::suspected), median(all, RecoveryStages::epoch),
--- a/bench/src/main/java/org/brasspier/bench/demo/Summary.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Summary.java
@@ -21,20 +21,23 @@
 import org.brasspier.standins.Violation.Invariant;
 
 /**
- * The closing line of the demonstration. Immutable and thread-safe.
+ * Results of the demonstration, printed as one line of JSON. Immutable and thread-safe.
  *
- * @param requests how many requests callers made
- * @param answered how many were answered
- * @param refused how many were refused and did not run
- * @param failed how many ended without an answer that says what became of them
- * @param wrongOwner how often two servers owned one key, or one worked under a dead fence
- * @param ranTwice how many postings ran twice
- * @param answeredToWrongCaller how many answers were another's or not whole
- * @param otherViolations how many other promises were broken
- * @param recoveryMs from the loss to the first answer for each range of the lost owner
- * @param imbalance the busiest server's work over the mean, 1 is even
- * @param churn percentage of the key space that got another owner
- * @param unavailable mean time in milliseconds for which a key was not served
+ * @param requests number of requests that callers sent
+ * @param answered number of requests answered
+ * @param refused number of requests that were refused and did not run
+ * @param failed number of requests that ended without an answer that states their outcome
+ * @param wrongOwner number of violations in which two servers owned the same key or a
+ * server ran a request under a stale fence
+ * @param ranTwice number of postings that ran twice
+ * @param answeredToWrongCaller number of answers that belonged to another request or were
+ * incomplete
+ * @param otherViolations number of violations of other invariants
+ * @param recoveryMs times from the loss to the first answer for each range of the lost
+ * instance
+ * @param imbalance work of the busiest server divided by the mean; 1 is a perfect balance
+ * @param churn percentage of the key space whose owner changed
+ * @param unavailable mean time for which a key was unavailable, in milliseconds
  */
 record Summary(long requests, long answered, long refused, long failed, long wrongOwner, long ranTwice,
 		long answeredToWrongCaller, long otherViolations, Recovery recoveryMs, double imbalance, double churn,
@@ -86,22 +89,22 @@
 	}
 
 	/**
-	 * What the observers recorded.
+	 * Records of the requests, taken by backend servers and callers.
 	 *
-	 * @param servers the backend servers' records in the order of time
-	 * @param callers the callers' records
+	 * @param servers records of the backend servers, sorted by time
+	 * @param callers records of the callers
 	 */
 	record Histories(List<ServerRecord> servers, List<CallerRecord> callers) {
 
 	}
 
 	/**
-	 * How long the ranges of a lost owner went without answer, in milliseconds.
+	 * Times for which the ranges of a lost instance remained unanswered, in milliseconds.
 	 *
-	 * @param ranges how many ranges it owned
-	 * @param median the median over its ranges, -1 if none was answered again
-	 * @param max the longest, -1 if none was answered again
-	 * @param unanswered how many were not answered again
+	 * @param ranges number of ranges that the instance owned
+	 * @param median median over the ranges, -1 if none was answered again
+	 * @param max maximum over the ranges, -1 if none was answered again
+	 * @param unanswered number of ranges that were not answered again
 	 */
 	record Recovery(long ranges, long median, long max, long unanswered) {
 
--- a/bench/src/main/java/org/brasspier/bench/demo/Traffic.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Traffic.java
@@ -7,11 +7,14 @@
 import org.brasspier.standins.TrafficStream;
 
 /**
- * The mixed traffic of each deployment. Stateless and thread-safe.
+ * Traffic that callers send to each deployment. Stateless and thread-safe.
  */
 final class Traffic {
 
-	/** A busy marina on a summer Saturday, a large bank at the end of a month. */
+	/**
+	 * Share of requests for the hot key, as from a busy marina on a summer Saturday or a
+	 * large bank at the end of a month.
+	 */
 	private static final double HOT_KEY_SHARE = 0.1;
 
 	private static final int KEY_COUNT = 2000;
@@ -20,9 +23,10 @@
 	}
 
 	/**
-	 * What callers send to a deployment.
+	 * Returns the mixed traffic for a deployment.
 	 * @param shape the deployment's shape
-	 * @return the streams, some 500 requests a second in all
+	 * @return the streams, 450 requests per second in total for lakeshore, 330 for
+	 * kliring and 150 per service otherwise
 	 */
 	static List<TrafficStream> of(DeploymentShape shape) {
 		return switch (shape.name()) {
@@ -39,9 +43,9 @@
 	}
 
 	/**
-	 * Light traffic for one service.
+	 * Returns light traffic for one service.
 	 * @param service the service
-	 * @return lookups and postings
+	 * @return one stream of lookups and one of postings
 	 */
 	static List<TrafficStream> light(ServiceShape service) {
 		return List.of(stream(service.name(), service.sharded(), "lookup", 100, "/look"),
--- a/bench/src/main/java/org/brasspier/bench/demo/package-info.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Runs whole deployments of real processes: the demonstration, random mixes of faults,
- * and the measurement of recovery. All figures come from what callers and backend servers
- * recorded.
+ * Programs that run complete deployments of real processes: the demonstration, random
+ * fault schedules, and the recovery and outage benchmarks. Request outcomes and recovery
+ * times are computed from the records of callers and backend servers; the stages of a
+ * recovery come from the event logs of the daemons.
  */
 @NullMarked
 package org.brasspier.bench.demo;
--- a/bench/src/main/java/org/brasspier/bench/document/DocumentBench.java
+++ b/bench/src/main/java/org/brasspier/bench/document/DocumentBench.java
@@ -31,15 +31,18 @@
 import org.brasspier.wire.operator.SubmitRequest;
 
 /**
- * Changes the document of Lakeshore's deployment many times, some of them during faults,
- * and measures the time from the operator's being told "accepted" to the last daemon that
- * has the version in force.
+ * Changes the configuration document of the Lakeshore deployment many times, some of them
+ * during faults, and measures the time from the acceptance of each change to the moment
+ * at which it is in force on the last daemon.
  */
 public final class DocumentBench {
 
 	private static final int CHANGE_COUNT = 200;
 
-	/** Of ten changes six are made without fault, and one during each fault. */
+	/**
+	 * Of ten changes, six are made without a fault and one during each of the four
+	 * faults.
+	 */
 	private static final int CHANGES_PER_ROUND = 10;
 
 	private static final Duration TIMEOUT = Duration.ofSeconds(30);
@@ -61,9 +64,10 @@
 	}
 
 	/**
-	 * Runs the measurement and writes {@code document.json}.
-	 * @param arguments the folder for the results, if not bench/target/results
-	 * @throws Exception if a change was not in force everywhere in time, or reverted
+	 * Runs the benchmark and writes {@code document.json}.
+	 * @param arguments the output folder; {@code bench/target/results} if empty
+	 * @throws Exception if a change was not accepted, which includes changes based on a
+	 * version that was reverted, or was not in force on every daemon within the timeout
 	 */
 	public static void main(String[] arguments) throws Exception {
 		Path folder = Path.of((arguments.length > 0) ? arguments[0] : "bench/target/results");
@@ -186,46 +190,47 @@
 	}
 
 	/**
-	 * What is wrong while a change is made.
+	 * The fault that is active during a change.
 	 */
 	private enum Fault {
 
-		/** Nothing. */
+		/** No fault. */
 		NONE,
 
-		/** The store's next writes take effect, and their answers are lost. */
+		/** The next two writes to the store are applied, but their responses are lost. */
 		ANSWER_LOST,
 
-		/** The store takes half a second an answer. */
+		/** The store takes half a second to respond. */
 		STORE_SLOW,
 
-		/** One daemon is cut off from all others. */
+		/** One daemon is isolated from all other daemons. */
 		PEERS_CUT,
 
-		/** One daemon is cut off from the store. */
+		/** One daemon is isolated from the store. */
 		STORE_CUT
 
 	}
 
 	/**
-	 * One change.
+	 * A measured change.
 	 *
-	 * @param version the version it brought
-	 * @param fault what was wrong meanwhile
-	 * @param millis from acceptance to the last daemon, in milliseconds
+	 * @param version version of the document that the change created
+	 * @param fault name of the fault that was active
+	 * @param millis time from acceptance until the version was in force on all daemons,
+	 * in milliseconds
 	 */
 	private record Change(long version, String fault, double millis) {
 
 	}
 
 	/**
-	 * Many changes.
+	 * Statistics of the changes with the same fault, in milliseconds.
 	 *
-	 * @param fault what was wrong meanwhile, or all
-	 * @param changes how many
-	 * @param medianMillis the median
-	 * @param p99Millis the 99th percentile
-	 * @param maxMillis the longest
+	 * @param fault name of the fault, or {@code all}
+	 * @param changes number of changes
+	 * @param medianMillis median time
+	 * @param p99Millis 99th percentile
+	 * @param maxMillis longest time
 	 */
 	private record Summary(String fault, int changes, double medianMillis, double p99Millis, double maxMillis) {
 
@@ -238,11 +243,11 @@
 	}
 
 	/**
-	 * The whole result.
+	 * Results of the benchmark.
 	 *
-	 * @param daemons how many daemons
-	 * @param summaries the summaries
-	 * @param changes each change
+	 * @param daemons number of daemons
+	 * @param summaries statistics by fault
+	 * @param changes the individual changes
 	 */
 	private record Result(int daemons, List<Summary> summaries, List<Change> changes) {
 
--- a/bench/src/main/java/org/brasspier/bench/ownership/OwnershipBench.java
+++ b/bench/src/main/java/org/brasspier/bench/ownership/OwnershipBench.java
@@ -28,19 +28,25 @@
 import org.brasspier.wire.operator.OrderRequest;
 
 /**
- * What ownership costs in Lakeshore's deployment without load: control bytes, processor
- * time and calls of the table for each role, and what one move adds to them.
+ * Measures the cost of ownership in the Lakeshore deployment without load: control bytes,
+ * CPU time and table calls for each role, both idle and during moves of ranges.
  */
 public final class OwnershipBench {
 
-	/** The compiler and first connections are most of a process's first minute. */
+	/**
+	 * JIT compilation and the setup of connections dominate the CPU time of a process in
+	 * its first minute.
+	 */
 	private static final Duration SETTLE_DURATION = Duration.ofSeconds(75);
 
 	private static final Duration WINDOW_DURATION = Duration.ofSeconds(30);
 
 	private static final int MOVE_COUNT = 20;
 
-	/** The unit in which Linux counts processor time. */
+	/**
+	 * Clock ticks per second, the unit in which Linux reports CPU time in
+	 * {@code /proc/PID/stat}.
+	 */
 	private static final double TICKS_PER_SECOND = 100;
 
 	private static final double MILLIS_PER_SECOND = 1000;
@@ -61,9 +67,9 @@
 	}
 
 	/**
-	 * Runs the measurement and prints a table.
-	 * @param arguments none
-	 * @throws Exception if the deployment does not come up or a call fails
+	 * Runs the benchmark and prints the results as tables.
+	 * @param arguments unused
+	 * @throws Exception if the deployment does not start or a call fails
 	 */
 	public static void main(String[] arguments) throws Exception {
 		try (Deployment deployment = Deployment.start(DeploymentShape.lakeshore())) {
@@ -116,7 +122,7 @@
 		if (answer.isLeft()) {
 			throw new IllegalStateException(answer.getLeft().toString());
 		}
-		Await.until("range " + range.range() + " is with " + to,
+		Await.until("range " + range.range() + " is owned by " + to,
 				() -> cell().ranges()
 					.stream()
 					.anyMatch((current) -> current.range().equals(range.range())
@@ -192,15 +198,15 @@
 	}
 
 	/**
-	 * What one daemon has used so far.
+	 * Resources that one daemon has used since its start.
 	 *
 	 * @param controlBytes bytes of control frames sent
 	 * @param reads reads of the cell's row
 	 * @param writes writes of the cell's row
-	 * @param cpuSeconds processor time of the whole process
-	 * @param ownership processor time of the duty of ownership, in seconds
-	 * @param requests processor time of the duty of requests, in seconds
-	 * @param operatorClient processor time of the duties of operators and events, in
+	 * @param cpuSeconds CPU time of the whole process, in seconds
+	 * @param ownership CPU time that the daemon accounts to ownership, in seconds
+	 * @param requests CPU time that the daemon accounts to requests, in seconds
+	 * @param operators CPU time that the daemon accounts to operators and events, in
 	 * seconds
 	 */
 	private record Reading(double controlBytes, double reads, double writes, double cpuSeconds, double ownership,
--- a/bench/src/main/java/org/brasspier/bench/ownership/package-info.java
+++ b/bench/src/main/java/org/brasspier/bench/ownership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measurements of ownership with real processes.
+ * Benchmark of the cost of ownership with real processes.
  */
 @NullMarked
 package org.brasspier.bench.ownership;
--- a/bench/src/main/java/org/brasspier/bench/package-info.java
+++ b/bench/src/main/java/org/brasspier/bench/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Measurements and the demo. Nothing here is part of the product.
+ * Benchmarks and the demonstration program. None of this code is part of the released
+ * software.
  */
 @NullMarked
 package org.brasspier.bench;
--- a/bench/src/main/java/org/brasspier/bench/path/PathBench.java
+++ b/bench/src/main/java/org/brasspier/bench/path/PathBench.java
@@ -12,10 +12,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What the way of a request costs: the latency that a daemon adds over asking the backend
- * server directly, requests a second, processor time and memory of one daemon. All rounds
- * of all ways alternate in one run on one machine, so that they meet the same conditions.
- * Takes about a minute; writes JSON.
+ * Measures the cost of the request path: the latency that a daemon adds compared with
+ * direct requests to the backend server, the throughput, and the CPU time and memory of a
+ * daemon. Latency rounds of all paths alternate within one run on one machine so that
+ * they are measured under the same conditions. Takes about a minute and writes JSON.
  */
 public final class PathBench {
 
@@ -37,9 +37,11 @@
 	}
 
 	/**
-	 * Measures, prints one JSON object and writes it to {@code path.json}.
-	 * @param output the folder for results
-	 * @throws IOException if a result can't be written
+	 * Runs the benchmark, prints the results as a JSON object and writes them to
+	 * {@code path.json}.
+	 * @param output the output folder
+	 * @throws IOException if a process can not be started or the results can not be
+	 * written
 	 * @throws InterruptedException if interrupted
 	 */
 	public static void run(Path output) throws IOException, InterruptedException {
@@ -59,8 +61,8 @@
 			paths.forEach((path) -> load.run(path, 1, WARM_UP_DURATION, PathLoad.histogram()));
 			paths.forEach((path) -> load.run(path, SATURATING_CALLERS, WARM_UP_DURATION, PathLoad.histogram()));
 			for (int round = 0; round < ROUNDS; round++) {
-				for (int path = 0; path < paths.size(); path++) {
-					load.run(paths.get(path), 1, ROUND_DURATION, latencies.get(path));
+				for (int pathIndex = 0; pathIndex < paths.size(); pathIndex++) {
+					load.run(paths.get(pathIndex), 1, ROUND_DURATION, latencies.get(pathIndex));
 				}
 			}
 			List<Throughput> throughputs = new ArrayList<>();
@@ -97,9 +99,9 @@
 	}
 
 	/**
-	 * Latencies of one caller that asks again and again, in microseconds.
+	 * Latencies of one caller that sends requests back to back, in microseconds.
 	 *
-	 * @param requests how many were measured
+	 * @param requests number of requests measured
 	 * @param p50 the median
 	 * @param p99 the 99th percentile
 	 */
@@ -108,14 +110,14 @@
 	}
 
 	/**
-	 * What 32 callers that ask again and again get.
+	 * Throughput and latencies of 32 callers that send requests back to back.
 	 *
-	 * @param perSecond requests a second
-	 * @param entryCpuMicros processor time of the entry daemon for each request
-	 * @param ownerCpuMicros processor time of the other daemon for each request
+	 * @param perSecond requests per second
+	 * @param entryCpuMicros CPU time of the entry daemon per request, in microseconds
+	 * @param ownerCpuMicros CPU time of the other daemon per request, in microseconds
 	 * @param p50 the median latency in microseconds
 	 * @param p99 the 99th percentile in microseconds
-	 * @param failures answers that were not 200
+	 * @param failures number of requests that failed or were not answered with status 200
 	 */
 	private record Throughput(long perSecond, double entryCpuMicros, double ownerCpuMicros, long p50, long p99,
 			long failures) {
--- a/bench/src/main/java/org/brasspier/bench/path/PathDeployment.java
+++ b/bench/src/main/java/org/brasspier/bench/path/PathDeployment.java
@@ -17,8 +17,8 @@
 import org.brasspier.standins.ProgramProcess;
 
 /**
- * Two instances without a proxy between anything: processes on this machine's loopback
- * interface.
+ * Two instances that run as processes and communicate over the loopback interface without
+ * any fault-injecting proxy.
  */
 final class PathDeployment implements AutoCloseable {
 
@@ -51,12 +51,12 @@
 		return new PathLoad.RequestPath("http://" + Ports.text(this.entry.serverAt) + "/x?work=0", "any");
 	}
 
-	// A key that the entry daemon owns itself.
+	// A key that the entry daemon owns.
 	PathLoad.RequestPath local(PathLoad load) {
 		return findPath(load, this.entry);
 	}
 
-	// A key that is one hop away.
+	// A key that the other daemon owns, one hop away from the entry daemon.
 	PathLoad.RequestPath hop(PathLoad load) {
 		return findPath(load, this.owner);
 	}
@@ -111,17 +111,17 @@
 			Files.delete(this.folder);
 		}
 		catch (IOException ex) {
-			System.err.println("left behind: " + this.folder + ": " + ex.getMessage());
+			System.err.println("could not delete temporary folder " + this.folder + ": " + ex.getMessage());
 		}
 	}
 
 	/**
-	 * A daemon and the backend server beside it.
+	 * A daemon and its backend server.
 	 *
-	 * @param callers the daemon's caller port
-	 * @param serverAt where the backend server listens
-	 * @param daemon the daemon's process
-	 * @param server the backend server's process
+	 * @param callers address of the daemon's caller port
+	 * @param serverAt address of the backend server
+	 * @param daemon process of the daemon
+	 * @param server process of the backend server
 	 */
 	private record Instance(InetSocketAddress callers, InetSocketAddress serverAt, ProgramProcess daemon,
 			ProgramProcess server) {
--- a/bench/src/main/java/org/brasspier/bench/path/PathLoad.java
+++ b/bench/src/main/java/org/brasspier/bench/path/PathLoad.java
@@ -15,8 +15,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Callers that each ask again as soon as they are answered. Thread-safe, one run at a
- * time.
+ * Load generator whose callers each send the next request as soon as the previous one
+ * completes. Thread-safe; supports one run at a time.
  */
 final class PathLoad implements AutoCloseable {
 
@@ -60,7 +60,8 @@
 		CompletableFuture.allOf(finished).join();
 	}
 
-	// The fields of one answer to one request.
+	// Sends one request and returns the named header of the response, empty if the
+	// request fails or has no such header.
 	CompletableFuture<String> responseHeader(RequestPath path, String name) {
 		CompletableFuture<String> value = new CompletableFuture<>();
 		this.loop.execute(() -> send(path).whenComplete((response, ex) -> {
@@ -106,10 +107,10 @@
 	}
 
 	/**
-	 * One way to the backend server.
+	 * A path on which requests reach the backend server.
 	 *
-	 * @param url where to ask
-	 * @param key the key
+	 * @param url URL to send requests to
+	 * @param key key to send in the requests
 	 */
 	record RequestPath(String url, String key) {
 
--- a/bench/src/main/java/org/brasspier/bench/path/package-info.java
+++ b/bench/src/main/java/org/brasspier/bench/path/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the way of a request costs.
+ * Benchmark of the request path.
  */
 @NullMarked
 package org.brasspier.bench.path;
--- a/bench/src/test/java/org/brasspier/bench/demo/SummaryTests.java
+++ b/bench/src/test/java/org/brasspier/bench/demo/SummaryTests.java
@@ -18,7 +18,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * The demonstration's verdict, from histories in which a promise was broken on purpose.
+ * Tests that {@link Summary} reports violations in histories that deliberately contain
+ * them.
  */
 class SummaryTests {
 
@@ -45,8 +46,8 @@
 		assertThat(line.get("answered").getAsLong()).isEqualTo(2);
 	}
 
-	// The lost owner comes back as if nothing had happened, and its order takes effect
-	// after its successor's.
+	// The lost owner resumes under its old fence, and its posting takes effect after the
+	// successor's.
 	@Test
 	void failsWhenAFormerOwnerStillRunsPostings() {
 		this.servers.add(record(Kind.BEGAN, 120, "a", "id-3", 5));
--- a/bench/src/test/java/org/brasspier/bench/demo/package-info.java
+++ b/bench/src/test/java/org/brasspier/bench/demo/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of the schedules of faults.
+ * Tests of fault schedules and of the summary of the demonstration.
  */
 @NullMarked
 package org.brasspier.bench.demo;
