--- a/bench/src/main/java/org/brasspier/bench/demo/Summary.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Summary.java
@@ -52,12 +52,12 @@
 				deployment.shape().services().size(), loss, sinceMicros);
 	}
 
-	static Summary of(Histories histories, Set<String> keyedServices, int services, InstanceLoss loss,
+	static Summary of(Histories histories, Set<String> shardedServices, int services, InstanceLoss loss,
 			long sinceMicros) {
 		List<ServerRecord> servers = histories.servers();
 		List<CallerRecord> callers = histories.callers();
 		Map<Outcome, Long> outcomes = HistoryMetrics.outcomes(callers);
-		List<Violation> violations = HistoryChecker.check(servers, callers, keyedServices);
+		List<Violation> violations = HistoryChecker.check(servers, callers, shardedServices);
 		violations.forEach((violation) -> System.out.println("BROKEN " + violation));
 		long wrongOwner = count(violations, Invariant.ONE_OWNER) + count(violations, Invariant.NO_STALE_FENCE);
 		long ranTwice = count(violations, Invariant.RUNS_ONCE);
--- a/bench/src/main/java/org/brasspier/bench/demo/Traffic.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Traffic.java
@@ -52,9 +52,9 @@
 				stream(service.name(), service.sharded(), "posting", 50, "/post"));
 	}
 
-	private static TrafficStream stream(String service, boolean keyed, String requestClass, double perSecond,
+	private static TrafficStream stream(String service, boolean sharded, String requestClass, double perSecond,
 			String path) {
-		return new TrafficStream(service, keyed, requestClass, perSecond, KEY_COUNT, HOT_KEY_SHARE, path, 0);
+		return new TrafficStream(service, sharded, requestClass, perSecond, KEY_COUNT, HOT_KEY_SHARE, path, 0);
 	}
 
 }
