--- a/bench/src/main/java/org/brasspier/bench/demo/FaultMix.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/FaultMix.java
@@ -9,37 +9,38 @@
 import org.brasspier.standins.Violation;
 
 /**
- * Goes through random mixes of two or three faults, each with a deployment of its own:
- * {@code bin/run org.brasspier.bench.demo.FaultMix --seeds N [--first SEED]}. Ends with 1
- * if a promise was broken; the seed then belongs among the tests.
+ * Runs random schedules of two or three faults, each against a new deployment:
+ * {@code bin/run org.brasspier.bench.demo.FaultMix --seeds N [--first SEED]}. Exits with
+ * 1 if a guarantee was violated or a service did not recover. Add a failing seed to the
+ * tests.
  */
 public final class FaultMix {
 
-	@Parameter(names = "--seeds", description = "how many")
+	@Parameter(names = "--seeds", description = "how many seeds to run")
 	private int seeds = 20;
 
 	@Parameter(names = "--first", description = "the first seed")
-	private long first = 1;
+	private long firstSeed = 1;
 
 	private FaultMix() {
 	}
 
 	/**
-	 * Runs the mixes.
-	 * @param arguments the flags
+	 * Runs the schedules.
+	 * @param arguments the command-line flags
 	 */
 	public static void main(String[] arguments) {
 		FaultMix mix = new FaultMix();
 		JCommander.newBuilder().addObject(mix).programName("fault-mix").build().parse(arguments);
-		List<Long> broken = LongStream.range(mix.first, mix.first + mix.seeds)
-			.filter((seed) -> !kept(seed))
+		List<Long> failedSeeds = LongStream.range(mix.firstSeed, mix.firstSeed + mix.seeds)
+			.filter((seed) -> !runSeed(seed))
 			.boxed()
 			.toList();
-		System.out.println(new Gson().toJson(new Result(mix.seeds, mix.first, broken)));
-		System.exit((broken.isEmpty()) ? 0 : 1);
+		System.out.println(new Gson().toJson(new Result(mix.seeds, mix.firstSeed, failedSeeds)));
+		System.exit((failedSeeds.isEmpty()) ? 0 : 1);
 	}
 
-	private static boolean kept(long seed) {
+	private static boolean runSeed(long seed) {
 		try (FaultTrial trial = FaultTrial.start()) {
 			List<Violation> violations = trial.run(seed);
 			System.out.println("seed " + seed + ": " + violations);
@@ -52,11 +53,11 @@
 	}
 
 	/**
-	 * The closing line.
+	 * Summary of the run, printed as the last line.
 	 *
-	 * @param seeds how many were tried
-	 * @param first the first
-	 * @param broken those under which a promise was broken or a service not served again
+	 * @param seeds number of seeds run
+	 * @param first the first seed
+	 * @param broken seeds for which a guarantee was violated or a service did not recover
 	 */
 	private record Result(int seeds, long first, List<Long> broken) {
 
--- a/bench/src/main/java/org/brasspier/bench/demo/Managers.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/LeaseManagers.java
@@ -10,25 +10,25 @@
 import org.brasspier.wire.CellRowCodec;
 
 /**
- * Which instances are the lease managers, by the cell's row in the platform's table.
- * Immutable and thread-safe.
+ * The instances that are the lease managers according to the cell's row in the platform's
+ * table. Immutable and thread-safe.
  *
- * @param primary the primary
- * @param secondary the secondary
+ * @param primary the primary lease manager
+ * @param secondary the secondary lease manager
  */
-public record Managers(StandInInstance primary, StandInInstance secondary) {
+public record LeaseManagers(StandInInstance primary, StandInInstance secondary) {
 
 	/**
-	 * Waits until the row names two managers whose daemons run.
+	 * Waits until the row names two lease managers whose daemons are running.
 	 * @param deployment the deployment
-	 * @return the managers
+	 * @return the lease managers
 	 */
-	public static Managers await(Deployment deployment) {
+	public static LeaseManagers await(Deployment deployment) {
 		Await.until("the cell has two lease managers", () -> read(deployment).isPresent());
 		return read(deployment).orElseThrow();
 	}
 
-	private static Optional<Managers> read(Deployment deployment) {
+	private static Optional<LeaseManagers> read(Deployment deployment) {
 		return deployment.platform()
 			.row("cell/" + deployment.shape().name())
 			.flatMap((value) -> CellRowCodec.decode(value).toJavaOptional())
@@ -38,17 +38,17 @@
 			.filter((managers) -> managers.primary().daemon().isAlive() && managers.secondary().daemon().isAlive());
 	}
 
-	private static Managers of(Deployment deployment, ManagerPair pair) {
-		return new Managers(deployment.instance(pair.primary().instance().value()),
+	private static LeaseManagers of(Deployment deployment, ManagerPair pair) {
+		return new LeaseManagers(deployment.instance(pair.primary().instance().value()),
 				deployment.instance(pair.secondary().orElseThrow().instance().value()));
 	}
 
 	/**
-	 * Whether an instance is one of the two.
+	 * Returns whether an instance is one of the two lease managers.
 	 * @param instance the instance
-	 * @return true if it is
+	 * @return true if the instance is a lease manager
 	 */
-	public boolean include(StandInInstance instance) {
+	public boolean contains(StandInInstance instance) {
 		return instance.equals(this.primary) || instance.equals(this.secondary);
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/demo/RecoveryBench.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/RecoveryBench.java
@@ -26,32 +26,33 @@
 import org.brasspier.standins.Violation;
 
 /**
- * Measures, from callers' view, how long the ranges of a lost instance go without answer:
+ * Measures, from the callers' view, how long the ranges of a killed instance remain
+ * unanswered:
  * {@code bin/run org.brasspier.bench.demo.RecoveryBench [--losses N] [--deployment NAME]}.
- * Instances are lost in turn as a plain member, as primary and as secondary lease
- * manager. Closes with one line of JSON.
+ * Kills an ordinary member, the primary lease manager and the secondary lease manager in
+ * turn. Prints one line of JSON at the end and exits with 1 if a guarantee was violated.
  */
 public final class RecoveryBench {
 
-	@Parameter(names = "--losses", description = "how many instances are lost")
+	@Parameter(names = "--losses", description = "number of instances to kill")
 	private int losses = 30;
 
-	@Parameter(names = "--deployment", description = "lakeshore or kliring")
+	@Parameter(names = "--deployment", description = "deployment to run: lakeshore or kliring")
 	private String deployment = "lakeshore";
 
-	private final Map<String, List<Long>> millis = new TreeMap<>();
+	private final Map<String, List<Long>> recoveryMillisByRole = new TreeMap<>();
 
-	private final Map<String, List<RecoveryStages>> stages = new TreeMap<>();
+	private final Map<String, List<RecoveryStages>> stagesByRole = new TreeMap<>();
 
-	/** Ranges that no caller asked for again before the next loss. */
-	private int unanswered;
+	/** Number of ranges that no caller requested between their loss and the next one. */
+	private int unansweredRanges;
 
 	private RecoveryBench() {
 	}
 
 	/**
-	 * Runs the bench.
-	 * @param arguments the flags
+	 * Runs the benchmark.
+	 * @param arguments the command-line flags
 	 */
 	public static void main(String[] arguments) {
 		RecoveryBench bench = new RecoveryBench();
@@ -62,77 +63,85 @@
 	private boolean run() {
 		DeploymentShape shape = (this.deployment.equals("kliring")) ? DeploymentShape.kliring()
 				: DeploymentShape.lakeshore();
-		try (Deployment running = Deployment.start(shape); CallerFleet callers = running.newCallers()) {
-			running.awaitServed();
+		try (Deployment runningDeployment = Deployment.start(shape);
+				CallerFleet callers = runningDeployment.newCallers()) {
+			runningDeployment.awaitServed();
 			callers.setTraffic(Traffic.of(shape));
 			for (int i = 0; i < this.losses; i++) {
-				lose(running, callers, Role.values()[i % Role.values().length], i / Role.values().length);
+				measureLoss(runningDeployment, callers, Role.values()[i % Role.values().length],
+						i / Role.values().length);
 			}
 			callers.finish();
-			List<Violation> violations = HistoryChecker.check(running.serverRecords(), callers.records(),
-					running.shardedServices());
+			List<Violation> violations = HistoryChecker.check(runningDeployment.serverRecords(), callers.records(),
+					runningDeployment.shardedServices());
 			violations.forEach((violation) -> System.out.println("BROKEN " + violation));
-			System.out
-				.println(new Gson().toJson(new Result(shape.name(), figures(), this.unanswered, violations.size())));
+			System.out.println(
+					new Gson().toJson(new Result(shape.name(), figures(), this.unansweredRanges, violations.size())));
 			return violations.isEmpty();
 		}
 	}
 
-	private void lose(Deployment running, CallerFleet callers, Role role, int turn) {
-		StandInInstance lost = choose(running, role, turn);
-		List<OwnedRange> ranges = running.ownedBy(lost);
-		Instant at = Instant.now();
-		InstanceLoss loss = InstanceLoss.now(lost.name());
-		lost.kill();
-		try (RecoveryProbe probe = new RecoveryProbe(callers, ranges, running.shardedServices())) {
+	private void measureLoss(Deployment runningDeployment, CallerFleet callers, Role role, int round) {
+		StandInInstance lostInstance = chooseInstance(runningDeployment, role, round);
+		List<OwnedRange> ranges = runningDeployment.ownedBy(lostInstance);
+		Instant lossTime = Instant.now();
+		InstanceLoss loss = InstanceLoss.now(lostInstance.name());
+		lostInstance.kill();
+		try (RecoveryProbe probe = new RecoveryProbe(callers, ranges, runningDeployment.shardedServices())) {
 			probe.await();
 		}
-		Collection<OptionalLong> measured = HistoryMetrics.recovery(running.serverRecords(), callers.records(), loss)
+		Collection<OptionalLong> measured = HistoryMetrics
+			.recovery(runningDeployment.serverRecords(), callers.records(), loss)
 			.values();
-		List<Long> times = measured.stream().flatMapToLong(OptionalLong::stream).boxed().toList();
-		RecoveryStages stage = RecoveryStages.of(TimeLine.read(running, at.toString()), lost.name(), at);
-		System.out.printf("%s %s: %d ranges, %s, ms %s%n", role, lost.name(), ranges.size(), stage, times);
-		// The ranges of servers that check no fences rest a guard of 200 ms longer.
-		String part = (lost.service().checksFences()) ? role.name() : role + "_WITHOUT_FENCES";
-		this.millis.computeIfAbsent(part, (unused) -> new ArrayList<>()).addAll(times);
-		this.stages.computeIfAbsent(part, (unused) -> new ArrayList<>()).add(stage);
-		this.unanswered += measured.size() - times.size();
-		lost.start();
-		running.awaitServed();
-		Await.until(lost.name() + " owns something again", () -> !running.ownedBy(lost).isEmpty());
+		List<Long> recoveryMillis = measured.stream().flatMapToLong(OptionalLong::stream).boxed().toList();
+		RecoveryStages recoveryStages = RecoveryStages.of(EventTimeline.read(runningDeployment, lossTime.toString()),
+				lostInstance.name(), lossTime);
+		System.out.printf("%s %s: %d ranges, %s, ms %s%n", role, lostInstance.name(), ranges.size(), recoveryStages,
+				recoveryMillis);
+		// For servers that do not check fences, a guard time of 200 ms delays the new
+		// grant of a range.
+		String figuresKey = (lostInstance.service().checksFences()) ? role.name() : role + "_WITHOUT_FENCES";
+		this.recoveryMillisByRole.computeIfAbsent(figuresKey, (unused) -> new ArrayList<>()).addAll(recoveryMillis);
+		this.stagesByRole.computeIfAbsent(figuresKey, (unused) -> new ArrayList<>()).add(recoveryStages);
+		this.unansweredRanges += measured.size() - recoveryMillis.size();
+		lostInstance.start();
+		runningDeployment.awaitServed();
+		Await.until(lostInstance.name() + " owns at least one range again",
+				() -> !runningDeployment.ownedBy(lostInstance).isEmpty());
 	}
 
-	private static StandInInstance choose(Deployment running, Role role, int turn) {
-		Managers managers = Managers.await(running);
+	private static StandInInstance chooseInstance(Deployment runningDeployment, Role role, int round) {
+		LeaseManagers managers = LeaseManagers.await(runningDeployment);
 		return switch (role) {
 			case PRIMARY -> managers.primary();
 			case SECONDARY -> managers.secondary();
 			case MEMBER -> {
-				List<StandInInstance> plain = running.instances()
+				List<StandInInstance> members = runningDeployment.instances()
 					.stream()
-					.filter((instance) -> !managers.include(instance) && !running.ownedBy(instance).isEmpty())
+					.filter((instance) -> !managers.contains(instance)
+							&& !runningDeployment.ownedBy(instance).isEmpty())
 					.toList();
-				yield plain.get(turn % plain.size());
+				yield members.get(round % members.size());
 			}
 		};
 	}
 
 	private List<Figures> figures() {
-		Stream<Figures> roles = this.millis.entrySet()
+		Stream<Figures> roles = this.recoveryMillisByRole.entrySet()
 			.stream()
-			.map((entry) -> Figures.of(entry.getKey(), this.stages.getOrDefault(entry.getKey(), List.of()),
+			.map((entry) -> Figures.of(entry.getKey(), this.stagesByRole.getOrDefault(entry.getKey(), List.of()),
 					entry.getValue()));
-		List<Long> all = this.millis.values().stream().flatMap(List::stream).toList();
-		List<RecoveryStages> stagesOfAll = this.stages.values().stream().flatMap(List::stream).toList();
-		return Stream.concat(roles, Stream.of(Figures.of("ALL", stagesOfAll, all))).toList();
+		List<Long> allMillis = this.recoveryMillisByRole.values().stream().flatMap(List::stream).toList();
+		List<RecoveryStages> stagesOfAll = this.stagesByRole.values().stream().flatMap(List::stream).toList();
+		return Stream.concat(roles, Stream.of(Figures.of("ALL", stagesOfAll, allMillis))).toList();
 	}
 
 	/**
-	 * The part that the lost instance played.
+	 * The role of the killed instance.
 	 */
 	private enum Role {
 
-		/** No special one. */
+		/** An ordinary member that is not a lease manager. */
 		MEMBER,
 
 		/** The primary lease manager. */
@@ -144,14 +153,15 @@
 	}
 
 	/**
-	 * The figures of one role.
+	 * Recovery times of one role.
 	 *
-	 * @param role the role and whether its server checks fences, or ALL
-	 * @param losses how many instances were lost
-	 * @param ranges how many ranges they owned
-	 * @param medianMs the median over the ranges, in milliseconds
-	 * @param maxMs the longest, in milliseconds
-	 * @param stages the median time of each stage
+	 * @param role the role, with the suffix {@code _WITHOUT_FENCES} if its server does
+	 * not check fences; or {@code ALL}
+	 * @param losses number of instances killed
+	 * @param ranges number of their ranges that were answered again
+	 * @param medianMs median recovery time of the ranges, in milliseconds
+	 * @param maxMs longest recovery time, in milliseconds
+	 * @param stagesByRole the median time of each stage
 	 */
 	private record Figures(String role, int losses, int ranges, long medianMs, long maxMs, RecoveryStages stages) {
 
@@ -165,13 +175,14 @@
 	}
 
 	/**
-	 * The closing line.
+	 * Results of the benchmark, printed as the last line.
 	 *
-	 * @param deployment the deployment's name
-	 * @param recovery the figures by role
-	 * @param unanswered how many ranges got no answer before the next loss, and are in no
-	 * figure: those of a few points, which only a hot key asks for
-	 * @param broken how many promises were broken
+	 * @param deployment name of the deployment
+	 * @param recovery recovery times by role
+	 * @param unanswered number of ranges without an answer before the next instance was
+	 * killed, which are excluded from the recovery times; these ranges cover only a few
+	 * points of the key space and are requested only if they hold a hot key
+	 * @param broken number of violations
 	 */
 	private record Result(String deployment, List<Figures> recovery, int unanswered, int broken) {
 
--- a/bench/src/test/java/org/brasspier/bench/demo/SummaryTests.java
+++ b/bench/src/test/java/org/brasspier/bench/demo/SummaryTests.java
@@ -18,7 +18,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * The demonstration's verdict, from histories in which a promise was broken on purpose.
+ * Tests that {@link Summary} reports violations in histories that deliberately contain
+ * them.
  */
 class SummaryTests {
 
@@ -32,42 +33,42 @@
 	private final List<CallerRecord> callers = List.of(answered("id-1", 1, 4), answered("id-2", 109, 113));
 
 	@Test
-	void aRunInWhichEveryPromiseWasKeptSaysSo() {
-		assertThat(summary().promisesKept()).isTrue();
+	void passesWhenAllGuaranteesHold() {
+		assertThat(summary().guaranteesHeld()).isTrue();
 	}
 
 	@Test
-	void theClosingLineHasTheFieldsThatReadersExpect() {
-		JsonObject line = JsonParser.parseString(summary().line()).getAsJsonObject();
+	void jsonHasTheDocumentedFields() {
+		JsonObject line = JsonParser.parseString(summary().toJson()).getAsJsonObject();
 		assertThat(line.keySet()).containsAtLeast("requests", "answered", "refused", "failed", "wrong_owner",
 				"ran_twice", "answered_to_wrong_caller", "recovery_ms", "imbalance", "churn", "unavailable");
 		assertThat(line.getAsJsonObject("recovery_ms").keySet()).containsAtLeast("median", "max");
 		assertThat(line.get("answered").getAsLong()).isEqualTo(2);
 	}
 
-	// The lost owner comes back as if nothing had happened, and its order takes effect
-	// after its successor's.
+	// The lost owner resumes under its old fence, and its posting takes effect after the
+	// successor's.
 	@Test
-	void aSecondOwnerBreaksTheRun() {
+	void failsWhenAFormerOwnerStillRunsPostings() {
 		this.servers.add(record(Kind.BEGAN, 120, "a", "id-3", 5));
 		this.servers.add(record(Kind.TOOK_EFFECT, 121, "a", "id-3", 5));
-		assertThat(summary().promisesKept()).isFalse();
+		assertThat(summary().guaranteesHeld()).isFalse();
 		assertThat(summary().wrongOwner()).isAtLeast(1);
 	}
 
 	@Test
-	void aPostingThatRanTwiceBreaksTheRun() {
+	void failsWhenAPostingRanTwice() {
 		this.servers.add(record(Kind.BEGAN, 120, "b", "id-2", 8));
 		this.servers.add(record(Kind.TOOK_EFFECT, 121, "b", "id-2", 8));
-		assertThat(summary().promisesKept()).isFalse();
+		assertThat(summary().guaranteesHeld()).isFalse();
 		assertThat(summary().ranTwice()).isEqualTo(1);
 	}
 
 	@Test
-	void aRangeThatNobodyServesAgainBreaksTheRun() {
+	void failsWhenARangeIsNotServedAgain() {
 		Summary unanswered = Summary.of(new Summary.Histories(this.servers, this.callers.subList(0, 1)),
 				Set.of("hullbook"), 1, LOSS, 0);
-		assertThat(unanswered.promisesKept()).isFalse();
+		assertThat(unanswered.guaranteesHeld()).isFalse();
 	}
 
 	private Summary summary() {
