--- a/bench/src/main/java/org/brasspier/bench/capacity/CapacityBench.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/CapacityBench.java
@@ -29,11 +29,12 @@
 				new EventSlopes())) {
 			slopes.addAll(suite.measure());
 		}
-		System.out.print(CellSlopes.primaryByKind());
+		System.out.print(CellSlopes.primaryTrafficByMessageType());
 		Files.createDirectories(output);
 		Files.writeString(output.resolve("capacity.json"),
 				new GsonBuilder().setPrettyPrinting().create().toJson(slopes));
-		new CapacityPage(page).write(slopes, WorkedOut.all(new Measured(slopes), TargetSize.IN_TWO_YEARS));
+		new CapacityPage(page).write(slopes,
+				CapacityRequirement.calculate(new MeasuredSlopes(slopes), TargetSize.IN_TWO_YEARS));
 	}
 
 }
--- a/bench/src/main/java/org/brasspier/bench/capacity/CapacityPage.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/CapacityPage.java
@@ -20,17 +20,17 @@
  */
 final class CapacityPage {
 
-	private static final Pattern SLOPES = Pattern.compile("(<!-- slopes begin -->\n).*?(<!-- slopes end -->)",
+	private static final Pattern SLOPES_SECTION = Pattern.compile("(<!-- slopes begin -->\n).*?(<!-- slopes end -->)",
 			Pattern.DOTALL);
 
-	private static final Pattern WORKED_OUT = Pattern
+	private static final Pattern REQUIREMENTS_SECTION = Pattern
 		.compile("(<!-- worked out begin -->\n).*?(<!-- worked out end -->)", Pattern.DOTALL);
 
 	private static final int PERCENT = 100;
 
-	private static final int WIDTH = 480;
+	private static final int PLOT_WIDTH = 480;
 
-	private static final int HEIGHT = 320;
+	private static final int PLOT_HEIGHT = 320;
 
 	private final Path page;
 
@@ -38,37 +38,37 @@
 		this.page = page;
 	}
 
-	void write(List<Slope> slopes, List<WorkedOut> workedOut) throws IOException {
+	void write(List<Slope> slopes, List<CapacityRequirement> requirements) throws IOException {
 		Path plots = this.page.resolveSibling("plots");
 		Files.createDirectories(plots);
 		for (Slope slope : slopes) {
 			BitmapEncoder.saveBitmap(plot(slope), plots.resolve(fileName(slope)).toString(),
 					BitmapEncoder.BitmapFormat.PNG);
 		}
-		String text = replaced(Files.readString(this.page), SLOPES, table(slopes));
-		Files.writeString(this.page, replaced(text, WORKED_OUT, workedOut(workedOut)));
+		String text = replaceSection(Files.readString(this.page), SLOPES_SECTION, slopesTable(slopes));
+		Files.writeString(this.page, replaceSection(text, REQUIREMENTS_SECTION, requirementsTable(requirements)));
 	}
 
-	private static String replaced(String text, Pattern part, String table) {
+	private static String replaceSection(String text, Pattern part, String table) {
 		return part.matcher(text)
 			.replaceFirst((match) -> Matcher.quoteReplacement(match.group(1) + table + match.group(2)));
 	}
 
-	private static String workedOut(List<WorkedOut> lines) {
+	private static String requirementsTable(List<CapacityRequirement> lines) {
 		return lines.stream().map(CapacityPage::row).collect(Collectors.joining("\n", """
 				| at the target size | need | limit | margin | carried by |
 				| --- | --- | --- | --- | --- |
 				""", "\n"));
 	}
 
-	private static String row(WorkedOut line) {
+	private static String row(CapacityRequirement line) {
 		boolean bounded = !Double.isNaN(line.limit());
-		return "| %s | %s %s | %s | %s | %s |".formatted(line.what(), number(line.need()), line.unit(),
-				(bounded) ? number(line.limit()) : "none",
+		return "| %s | %s %s | %s | %s | %s |".formatted(line.quantity(), formatNumber(line.need()), line.unit(),
+				(bounded) ? formatNumber(line.limit()) : "none",
 				(bounded) ? "%.0f %%".formatted(line.margin() * PERCENT) : "", line.mechanism());
 	}
 
-	private static String table(List<Slope> slopes) {
+	private static String slopesTable(List<Slope> slopes) {
 		return slopes.stream().map(CapacityPage::row).collect(Collectors.joining("\n", """
 				| what | per one of | slope | error of slope | at none | r² | measured at |
 				| --- | --- | --- | --- | --- | --- | --- |
@@ -78,18 +78,18 @@
 	private static String row(Slope slope) {
 		String points = slope.points()
 			.stream()
-			.map((point) -> "%.0f: %s".formatted(point.size(), number(point.value())))
+			.map((point) -> "%.0f: %s".formatted(point.size(), formatNumber(point.value())))
 			.collect(Collectors.joining(", "));
 		return "| [%s](plots/%s) | %s | %s %s | %s | %s | %s | %s |".formatted(slope.name(), fileName(slope) + ".png",
-				slope.sizeName(), number(slope.fit().perSize()), slope.unit(), number(slope.fit().error()),
-				number(slope.fit().base()), rSquare(slope), points);
+				slope.sizeName(), formatNumber(slope.fit().perSize()), slope.unit(), formatNumber(slope.fit().error()),
+				formatNumber(slope.fit().base()), formatRSquare(slope), points);
 	}
 
-	private static String rSquare(Slope slope) {
+	private static String formatRSquare(Slope slope) {
 		return (slope.fit().rSquare() == 0) ? "constant" : "%.3f".formatted(slope.fit().rSquare());
 	}
 
-	private static String number(double value) {
+	private static String formatNumber(double value) {
 		return String.format(Locale.ROOT, (Math.abs(value) >= 100) ? "%.0f" : "%.3g", value);
 	}
 
@@ -100,9 +100,9 @@
 	private static XYChart plot(Slope slope) {
 		double[] sizes = slope.points().stream().mapToDouble(Slope.Point::size).toArray();
 		double[] values = slope.points().stream().mapToDouble(Slope.Point::value).toArray();
-		double[] line = slope.points().stream().mapToDouble((point) -> slope.at(point.size())).toArray();
-		XYChart chart = new XYChartBuilder().width(WIDTH)
-			.height(HEIGHT)
+		double[] line = slope.points().stream().mapToDouble((point) -> slope.valueAt(point.size())).toArray();
+		XYChart chart = new XYChartBuilder().width(PLOT_WIDTH)
+			.height(PLOT_HEIGHT)
 			.title(slope.name())
 			.xAxisTitle(slope.sizeName())
 			.yAxisTitle(slope.unit())
--- a/bench/src/main/java/org/brasspier/bench/capacity/CellSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/CellSlopes.java
@@ -29,33 +29,37 @@
 
 	private static final int SETTLING_MILLIS = 20_000;
 
-	private static final int COUNTED_MILLIS = 60_000;
+	private static final int MEASURED_MILLIS = 60_000;
 
 	private static final int MILLIS_PER_SECOND = 1000;
 
 	@Override
 	public List<Slope> measure() {
 		List<Slope> slopes = new ArrayList<>(List.of(
-				overCells("primary lease manager, control traffic", "bytes/s",
-						(cell) -> wireBytes(cell, cell.primaryInstance())),
-				overCells("member, control traffic", "bytes/s", (cell) -> wireBytes(cell, cell.plainMember())),
-				overCells("primary lease manager, deciding and coding", "us/s",
-						(cell) -> cell.counts(cell.primaryInstance()).nanos() / (double) COUNTED_MILLIS),
-				overCells("member, deciding and coding", "us/s",
-						(cell) -> cell.counts(cell.plainMember()).nanos() / (double) COUNTED_MILLIS),
-				overCells("cell, calls of the table in steady state", "calls/s",
+				measureSteadyState("primary lease manager, control traffic", "bytes/s",
+						(cell) -> wireBytesPerSecond(cell, cell.primaryInstance())),
+				measureSteadyState("member, control traffic", "bytes/s",
+						(cell) -> wireBytesPerSecond(cell, cell.plainMember())),
+				measureSteadyState("primary lease manager, deciding and coding", "us/s",
+						(cell) -> cell.counts(cell.primaryInstance()).nanos() / (double) MEASURED_MILLIS),
+				measureSteadyState("member, deciding and coding", "us/s",
+						(cell) -> cell.counts(cell.plainMember()).nanos() / (double) MEASURED_MILLIS),
+				measureSteadyState("cell, calls of the table in steady state", "calls/s",
 						(cell) -> perSecond(cell.tableCalls())),
-				changes("loss of a plain member, writes of the row", (cell) -> cell.lose(cell.plainMember())),
-				changes("loss of the primary, writes of the row", (cell) -> cell.lose(cell.primaryInstance())),
-				changes("loss of the primary's failure domain, writes of the row", SimulatedCell::loseDomainOfPrimary),
-				changes("replacement as planned, writes of the row", CellSlopes::replace)));
-		CellRow full = settled(MEMBERS[MEMBERS.length - 1]).row();
-		slopes.add(SlopeSuite.over("row of a cell of 24, size", "ranges", "bytes", RANGES,
+				measureChange("loss of a plain member, writes of the row", (cell) -> cell.crash(cell.plainMember())),
+				measureChange("loss of the primary, writes of the row", (cell) -> cell.crash(cell.primaryInstance())),
+				measureChange("loss of the primary's failure domain, writes of the row",
+						SimulatedCell::crashDomainOfPrimary),
+				measureChange("replacement as planned, writes of the row", CellSlopes::replace)));
+		CellRow full = newSettledCell(MEMBERS[MEMBERS.length - 1]).row();
+		slopes.add(SlopeSuite.measureSlope("row of a cell of 24, size", "ranges", "bytes", RANGES,
 				(ranges) -> CellRowCodec.encode(withRanges(full, ranges)).length));
-		slopes.add(SlopeSuite.over("row of a cell of 24, reading and writing", "ranges", "us", RANGES, (ranges) -> {
-			CellRow row = withRanges(full, ranges);
-			return Probe.nanosEach(() -> CellRowCodec.decode(CellRowCodec.encode(row))) / MILLIS_PER_SECOND;
-		}));
+		slopes.add(SlopeSuite.measureSlope("row of a cell of 24, reading and writing", "ranges", "us", RANGES,
+				(ranges) -> {
+					CellRow row = withRanges(full, ranges);
+					return ResourceProbe.medianCpuNanos(() -> CellRowCodec.decode(CellRowCodec.encode(row)))
+							/ MILLIS_PER_SECOND;
+				}));
 		return slopes;
 	}
 
@@ -63,34 +67,35 @@
 	 * What a primary's bytes go to, for whoever looks for what to cut.
 	 * @return lines of a table
 	 */
-	static String primaryByKind() {
+	static String primaryTrafficByMessageType() {
 		return Arrays.stream(MEMBERS).mapToObj((members) -> {
-			SimulatedCell cell = settled(members);
-			cell.run(COUNTED_MILLIS);
+			SimulatedCell cell = newSettledCell(members);
+			cell.run(MEASURED_MILLIS);
 			SimulatedCell.Counts counts = cell.counts(cell.primaryInstance());
-			Map<String, Long> kinds = new TreeMap<>();
-			counts.kinds().forEach((kind, bytes) -> kinds.put(kind, Math.round(perSecond(bytes))));
+			Map<String, Long> bytesPerSecondByType = new TreeMap<>();
+			counts.bytesByMessageType()
+				.forEach((kind, bytes) -> bytesPerSecondByType.put(kind, Math.round(perSecond(bytes))));
 			return "| %d | %.0f | %.0f | %s |".formatted(members, perSecond(counts.segments()),
-					perSecond(counts.segments() * HEADER_BYTES), kinds);
+					perSecond(counts.segments() * HEADER_BYTES), bytesPerSecondByType);
 		})
 			.collect(Collectors.joining("\n",
 					"| members | segments/s | headers, bytes/s | frames, bytes/s |\n| --- | --- | --- | --- |\n",
 					"\n"));
 	}
 
-	private static Slope overCells(String name, String unit, ToDoubleFunction<SimulatedCell> measurement) {
-		return SlopeSuite.over(name, "members", unit, MEMBERS, (members) -> {
-			SimulatedCell cell = settled(members);
-			cell.run(COUNTED_MILLIS);
+	private static Slope measureSteadyState(String name, String unit, ToDoubleFunction<SimulatedCell> measurement) {
+		return SlopeSuite.measureSlope(name, "members", unit, MEMBERS, (members) -> {
+			SimulatedCell cell = newSettledCell(members);
+			cell.run(MEASURED_MILLIS);
 			return measurement.applyAsDouble(cell);
 		});
 	}
 
-	private static Slope changes(String name, Consumer<SimulatedCell> change) {
-		return SlopeSuite.over(name, "members", "writes", MEMBERS, (members) -> {
-			SimulatedCell cell = settled(members);
+	private static Slope measureChange(String name, Consumer<SimulatedCell> change) {
+		return SlopeSuite.measureSlope(name, "members", "writes", MEMBERS, (members) -> {
+			SimulatedCell cell = newSettledCell(members);
 			change.accept(cell);
-			cell.run(COUNTED_MILLIS);
+			cell.run(MEASURED_MILLIS);
 			return cell.tableWrites();
 		});
 	}
@@ -101,20 +106,20 @@
 		cell.leave(cell.plainMember());
 	}
 
-	private static SimulatedCell settled(int members) {
+	private static SimulatedCell newSettledCell(int members) {
 		SimulatedCell cell = new SimulatedCell(members);
 		cell.run(SETTLING_MILLIS);
 		cell.resetCounts();
 		return cell;
 	}
 
-	private static double wireBytes(SimulatedCell cell, InstanceId instance) {
+	private static double wireBytesPerSecond(SimulatedCell cell, InstanceId instance) {
 		SimulatedCell.Counts counts = cell.counts(instance);
 		return perSecond(counts.frameBytes() + counts.segments() * HEADER_BYTES);
 	}
 
 	private static double perSecond(long count) {
-		return count * (double) MILLIS_PER_SECOND / COUNTED_MILLIS;
+		return count * (double) MILLIS_PER_SECOND / MEASURED_MILLIS;
 	}
 
 	private static CellRow withRanges(CellRow row, int count) {
--- a/bench/src/main/java/org/brasspier/bench/capacity/DocumentSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/DocumentSlopes.java
@@ -18,31 +18,32 @@
 
 	private static final int[] SERVICES = { 3, 30, 100, 300 };
 
-	private static final int MICRO = 1000;
+	private static final int NANOS_PER_MICRO = 1000;
 
 	@Override
 	public List<Slope> measure() {
 		return List.of(
-				SlopeSuite.over("configuration document, size", "services", "bytes", SERVICES,
-						(services) -> encoded(services).length),
-				SlopeSuite.over("configuration document, reading and checking", "services", "us", SERVICES,
+				SlopeSuite.measureSlope("configuration document, size", "services", "bytes", SERVICES,
+						(services) -> encode(services).length),
+				SlopeSuite.measureSlope("configuration document, reading and checking", "services", "us", SERVICES,
 						(services) -> {
-							byte[] body = encoded(services);
-							return Probe.nanosEach(() -> DocumentValidator.validate(decoded(body))) / MICRO;
+							byte[] body = encode(services);
+							return ResourceProbe.medianCpuNanos(() -> DocumentValidator.validate(decode(body)))
+									/ NANOS_PER_MICRO;
 						}),
-				SlopeSuite.over("configuration document, memory", "services", "bytes", SERVICES, (services) -> {
-					byte[] body = encoded(services);
-					return Probe.bytesKept(() -> decoded(body));
+				SlopeSuite.measureSlope("configuration document, memory", "services", "bytes", SERVICES, (services) -> {
+					byte[] body = encode(services);
+					return ResourceProbe.retainedBytes(() -> decode(body));
 				}));
 	}
 
-	private static Document decoded(byte[] body) {
+	private static Document decode(byte[] body) {
 		return DocumentCodec.decode(body)
 			.getOrElseThrow((failure) -> new IllegalStateException(failure.detail()))
 			.document();
 	}
 
-	private static byte[] encoded(int services) {
+	private static byte[] encode(int services) {
 		return DocumentCodec.encode(new StoredDocument(1, "", "bench", 0, document(services)));
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/capacity/EventSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/EventSlopes.java
@@ -22,37 +22,38 @@
 
 	private static final long BUSY_NANOS = 2_000_000;
 
-	private static final long APART_NANOS = 100_000;
+	private static final long REQUEST_INTERVAL_NANOS = 100_000;
 
 	@Override
 	public List<Slope> measure() {
 		return List.of(
-				SlopeSuite.over("time line, memory", "kept events", "bytes", EVENTS,
-						(events) -> Probe.bytesKept(() -> filled(events))),
-				SlopeSuite.over("time line, recording", "kept events", "ns", EVENTS, (events) -> {
-					EventLog log = filled(events);
+				SlopeSuite.measureSlope("time line, memory", "kept events", "bytes", EVENTS,
+						(events) -> ResourceProbe.retainedBytes(() -> newFilledLog(events))),
+				SlopeSuite.measureSlope("time line, recording", "kept events", "ns", EVENTS, (events) -> {
+					EventLog log = newFilledLog(events);
 					RequestId id = new RequestId("0b2c8e1e-6b1e-4a53");
-					return Probe.nanosEach(() -> {
+					return ResourceProbe.medianCpuNanos(() -> {
 						log.record(EventKind.REQUEST_ANSWERED, id, "status 200");
 						return log;
 					});
 				}),
-				SlopeSuite.over("following hot keys, memory", "distinct keys", "bytes", KEYS,
-						(keys) -> Probe.bytesKept(() -> watched(keys))),
-				SlopeSuite.over("following hot keys, for each request", "distinct keys", "ns", KEYS,
-						(keys) -> Probe.nanosEach(() -> watched(keys)) / keys));
+				SlopeSuite.measureSlope("following hot keys, memory", "distinct keys", "bytes", KEYS,
+						(keys) -> ResourceProbe.retainedBytes(() -> newFilledMeter(keys))),
+				SlopeSuite.measureSlope("following hot keys, for each request", "distinct keys", "ns", KEYS,
+						(keys) -> ResourceProbe.medianCpuNanos(() -> newFilledMeter(keys)) / keys));
 	}
 
-	private static EventLog filled(int events) {
+	private static EventLog newFilledLog(int events) {
 		EventLog log = new EventLog(events);
 		IntStream.range(0, events)
 			.forEach((i) -> log.record(EventKind.REQUEST_ANSWERED, new RequestId("request-" + i), "status 200"));
 		return log;
 	}
 
-	private static LoadMeter watched(int keys) {
+	private static LoadMeter newFilledMeter(int keys) {
 		LoadMeter meter = new LoadMeter(WINDOW_NANOS, 0);
-		IntStream.range(0, keys).forEach((i) -> meter.record(KeyHash.of("hull-" + i), BUSY_NANOS, APART_NANOS * i));
+		IntStream.range(0, keys)
+			.forEach((i) -> meter.record(KeyHash.of("hull-" + i), BUSY_NANOS, REQUEST_INTERVAL_NANOS * i));
 		return meter;
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/capacity/FrameSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/FrameSlopes.java
@@ -31,15 +31,16 @@
 	@Override
 	public List<Slope> measure() {
 		return List.of(
-				SlopeSuite.over("forwarded request, frame", "bytes of body", "bytes", BODIES,
-						(body) -> ForwardCodec.encode(forward(body), STAMP).length),
-				SlopeSuite.over("forwarded request, encoding and decoding", "bytes of body", "ns", BODIES, (body) -> {
-					ForwardMessage message = forward(body);
-					return Probe.nanosEach(() -> passed(message));
-				}));
+				SlopeSuite.measureSlope("forwarded request, frame", "bytes of body", "bytes", BODIES,
+						(body) -> ForwardCodec.encode(newForwardMessage(body), STAMP).length),
+				SlopeSuite.measureSlope("forwarded request, encoding and decoding", "bytes of body", "ns", BODIES,
+						(body) -> {
+							ForwardMessage message = newForwardMessage(body);
+							return ResourceProbe.medianCpuNanos(() -> encodeAndDecode(message));
+						}));
 	}
 
-	private static ForwardMessage passed(ForwardMessage message) {
+	private static ForwardMessage encodeAndDecode(ForwardMessage message) {
 		try {
 			return ForwardCodec
 				.decode(new FrameDecoder(MAX_FRAME_BYTES).decode(ForwardCodec.encode(message, STAMP)).getFirst())
@@ -50,7 +51,7 @@
 		}
 	}
 
-	private static ForwardMessage forward(int bodyBytes) {
+	private static ForwardMessage newForwardMessage(int bodyBytes) {
 		CallerRequest request = new CallerRequest(new ServiceName("hullbook"), Optional.of("hull-4711"), true,
 				new RequestIdentity(new RequestId("0b2c8e1e-6b1e-4a53-9d0c-2d5cf2f0a001"), false, false,
 						Optional.empty()),
--- a/bench/src/main/java/org/brasspier/bench/capacity/Measured.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/MeasuredSlopes.java
@@ -7,13 +7,13 @@
  *
  * @param slopes the slopes
  */
-record Measured(List<Slope> slopes) {
+record MeasuredSlopes(List<Slope> slopes) {
 
-	Measured {
+	MeasuredSlopes {
 		slopes = List.copyOf(slopes);
 	}
 
-	Slope named(String name) {
+	Slope get(String name) {
 		return this.slopes.stream()
 			.filter((slope) -> slope.name().equals(name))
 			.findFirst()
--- a/bench/src/main/java/org/brasspier/bench/capacity/Probe.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/ResourceProbe.java
@@ -11,7 +11,7 @@
 /**
  * Reads processor time and memory of this process for one piece of work. Not thread-safe.
  */
-final class Probe {
+final class ResourceProbe {
 
 	private static final int RUNS = 7;
 
@@ -24,7 +24,7 @@
 	/** Keeps results alive, so that the compiler can't drop the work. */
 	private static volatile @Nullable Object sink;
 
-	private Probe() {
+	private ResourceProbe() {
 	}
 
 	/**
@@ -33,8 +33,8 @@
 	 * @param work the work; its result is kept from being optimised away
 	 * @return nanoseconds for each run of the work, the median of several
 	 */
-	static double nanosEach(Supplier<?> work) {
-		int count = runsWithin(work, WARM_UP_MILLIS) * RUN_MILLIS / WARM_UP_MILLIS + 1;
+	static double medianCpuNanos(Supplier<?> work) {
+		int count = countRunsWithin(work, WARM_UP_MILLIS) * RUN_MILLIS / WARM_UP_MILLIS + 1;
 		double[] samples = new double[RUNS];
 		for (int run = 0; run < RUNS; run++) {
 			long begin = THREADS.getCurrentThreadCpuTime();
@@ -55,7 +55,7 @@
 		return THREADS.getCurrentThreadCpuTime();
 	}
 
-	private static int runsWithin(Supplier<?> work, int millis) {
+	private static int countRunsWithin(Supplier<?> work, int millis) {
 		long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
 		int runs = 0;
 		while (System.nanoTime() - end < 0) {
@@ -72,19 +72,19 @@
 	 * @param structure builds the structure
 	 * @return bytes kept, the median of several
 	 */
-	static double bytesKept(Supplier<?> structure) {
-		Object[] kept = new Object[RUNS];
+	static double retainedBytes(Supplier<?> structure) {
+		Object[] retained = new Object[RUNS];
 		double[] samples = new double[RUNS];
 		for (int run = 0; run < RUNS; run++) {
-			long before = used();
-			kept[run] = structure.get();
-			samples[run] = used() - before;
+			long before = usedHeapBytes();
+			retained[run] = structure.get();
+			samples[run] = usedHeapBytes() - before;
 		}
-		sink = kept;
+		sink = retained;
 		return median(samples);
 	}
 
-	private static long used() {
+	private static long usedHeapBytes() {
 		System.gc();
 		System.gc();
 		return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
--- a/bench/src/main/java/org/brasspier/bench/capacity/RouteSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/RouteSlopes.java
@@ -30,29 +30,30 @@
 	@Override
 	public List<Slope> measure() {
 		return List.of(
-				SlopeSuite.over("route table, memory", "ranges", "bytes", RANGES,
-						(ranges) -> Probe.bytesKept(() -> table(ranges))),
-				SlopeSuite.over("route table, rebuilding", "ranges", "ns", RANGES, (ranges) -> {
-					List<Assignment> assignments = assignments(ranges);
-					return Probe.nanosEach(() -> RouteTable.of(1, Map.of(SERVICE, assignments)));
-				}), SlopeSuite.over("looking a key up", "ranges", "ns", RANGES, RouteSlopes::lookUp));
+				SlopeSuite.measureSlope("route table, memory", "ranges", "bytes", RANGES,
+						(ranges) -> ResourceProbe.retainedBytes(() -> newRouteTable(ranges))),
+				SlopeSuite.measureSlope("route table, rebuilding", "ranges", "ns", RANGES, (ranges) -> {
+					List<Assignment> assignments = newAssignments(ranges);
+					return ResourceProbe.medianCpuNanos(() -> RouteTable.of(1, Map.of(SERVICE, assignments)));
+				}), SlopeSuite.measureSlope("looking a key up", "ranges", "ns", RANGES, RouteSlopes::meanLookupNanos));
 	}
 
-	private static double lookUp(int ranges) {
-		RouteTable table = table(ranges);
+	private static double meanLookupNanos(int ranges) {
+		RouteTable table = newRouteTable(ranges);
 		List<KeyHash> keys = new SplittableRandom(1).longs(KEYS, 0, KeyHash.SPACE).mapToObj(KeyHash::new).toList();
-		double all = Probe.nanosEach(() -> keys.stream().map((key) -> table.find(SERVICE, key)).toList());
-		return all / KEYS;
+		double totalNanos = ResourceProbe
+			.medianCpuNanos(() -> keys.stream().map((key) -> table.find(SERVICE, key)).toList());
+		return totalNanos / KEYS;
 	}
 
-	private static RouteTable table(int ranges) {
-		return RouteTable.of(1, Map.of(SERVICE, assignments(ranges)));
+	private static RouteTable newRouteTable(int ranges) {
+		return RouteTable.of(1, Map.of(SERVICE, newAssignments(ranges)));
 	}
 
-	private static List<Assignment> assignments(int ranges) {
-		List<KeyRange> parts = KeyRange.split(ranges);
+	private static List<Assignment> newAssignments(int ranges) {
+		List<KeyRange> keyRanges = KeyRange.split(ranges);
 		return IntStream.range(0, ranges)
-			.mapToObj((i) -> new Assignment(parts.get(i), new InstanceId("i" + i % OWNERS), new Fence(i + 1L)))
+			.mapToObj((i) -> new Assignment(keyRanges.get(i), new InstanceId("i" + i % OWNERS), new Fence(i + 1L)))
 			.toList();
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/capacity/SimulatedCell.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/SimulatedCell.java
@@ -51,12 +51,12 @@
 	private static final ServiceName SERVICE = new ServiceName("hullbook");
 
 	/** As long as Linux waits for something to send an acknowledgement with. */
-	private static final int ACK_MILLIS = 40;
+	private static final int DELAYED_ACK_MILLIS = 40;
 
 	private final Map<InstanceId, Process> processes = new HashMap<>();
 
 	/** When a process received what it has sent nothing back for. */
-	private final Map<Way, Long> unacknowledged = new HashMap<>();
+	private final Map<Direction, Long> pendingAcks = new HashMap<>();
 
 	private VersionedRow row = VersionedRow.NONE;
 
@@ -66,7 +66,7 @@
 
 	private long reads;
 
-	private int started;
+	private int startedMembers;
 
 	SimulatedCell(int members) {
 		IntStream.range(0, members).forEach((i) -> join());
@@ -74,27 +74,27 @@
 
 	/** Starts another member. */
 	void join() {
-		start(member(this.started++));
+		start(newMember(this.startedMembers++));
 	}
 
 	/**
 	 * Ends a process without warning.
 	 * @param instance which one
 	 */
-	void lose(InstanceId instance) {
+	void crash(InstanceId instance) {
 		this.processes.remove(instance);
 	}
 
 	/**
 	 * Ends all processes of the failure domain that the primary is in.
 	 */
-	void loseDomainOfPrimary() {
+	void crashDomainOfPrimary() {
 		FailureDomain domain = this.row.row().member(primaryInstance()).orElseThrow().domain();
 		this.row.row()
 			.members()
 			.stream()
 			.filter((member) -> member.domain().equals(domain))
-			.forEach((member) -> lose(member.instance()));
+			.forEach((member) -> crash(member.instance()));
 	}
 
 	/**
@@ -127,7 +127,7 @@
 		return this.row.row().managers().orElseThrow();
 	}
 
-	private static MemberInfo member(int index) {
+	private static MemberInfo newMember(int index) {
 		return new MemberInfo(new MemberKey(new InstanceId("hullbook-%03d".formatted(index)), 1),
 				new FailureDomain("domain-" + index % DOMAINS),
 				new PeerAddress("10.0.0." + index, 7002, 7001, 7000, 7004), MemberPhase.ACTIVE,
@@ -151,7 +151,7 @@
 				step(instance, (machine) -> machine.tick(this.now));
 				flush(instance);
 			});
-			acknowledge();
+			sendDelayedAcks();
 		}
 	}
 
@@ -185,13 +185,13 @@
 
 	private void step(InstanceId instance, Step step) {
 		Process process = process(instance);
-		long begin = Probe.cpuNanos();
-		List<OwnershipAction> actions = step.take(process.machine);
-		process.nanos += Probe.cpuNanos() - begin;
-		actions.forEach((action) -> carryOut(instance, action));
+		long begin = ResourceProbe.cpuNanos();
+		List<OwnershipAction> actions = step.apply(process.machine);
+		process.nanos += ResourceProbe.cpuNanos() - begin;
+		actions.forEach((action) -> execute(instance, action));
 	}
 
-	private void carryOut(InstanceId instance, OwnershipAction action) {
+	private void execute(InstanceId instance, OwnershipAction action) {
 		switch (action) {
 			case OwnershipAction.Send send -> send(instance, send);
 			case OwnershipAction.ReadRow read -> {
@@ -207,7 +207,7 @@
 			}
 			case OwnershipAction.OrderDone done -> {
 			}
-			case OwnershipAction.Left left -> lose(instance);
+			case OwnershipAction.Left left -> crash(instance);
 		}
 	}
 
@@ -224,9 +224,9 @@
 
 	private void send(InstanceId from, OwnershipAction.Send send) {
 		Process sender = process(from);
-		long begin = Probe.cpuNanos();
+		long begin = ResourceProbe.cpuNanos();
 		byte[] frame = ControlCodec.encode(send.message(), STAMP);
-		sender.nanos += Probe.cpuNanos() - begin;
+		sender.nanos += ResourceProbe.cpuNanos() - begin;
 		sender.outgoing.computeIfAbsent(send.to(), (to) -> new ArrayList<>()).add(frame);
 	}
 
@@ -238,41 +238,41 @@
 		}
 		Map<InstanceId, List<byte[]>> segments = Map.copyOf(process(from).outgoing);
 		process(from).outgoing.clear();
-		segments.forEach((to, frames) -> deliver(new Way(from, to), frames));
+		segments.forEach((to, frames) -> deliver(new Direction(from, to), frames));
 	}
 
-	private void deliver(Way way, List<byte[]> frames) {
-		if (!this.processes.containsKey(way.to())) {
+	private void deliver(Direction direction, List<byte[]> frames) {
+		if (!this.processes.containsKey(direction.to())) {
 			return;
 		}
-		count(way, frames.stream().mapToInt((frame) -> frame.length).sum());
+		countSegment(direction, frames.stream().mapToInt((frame) -> frame.length).sum());
 		frames.forEach((frame) -> {
-			Process receiver = process(way.to());
-			long begin = Probe.cpuNanos();
+			Process receiver = process(direction.to());
+			long begin = ResourceProbe.cpuNanos();
 			ControlMessage message = decode(frame);
-			receiver.nanos += Probe.cpuNanos() - begin;
-			receiver.kind(message, frame.length);
-			process(way.from()).kind(message, frame.length);
-			step(way.to(), (machine) -> machine.onMessage(way.from(), message, this.now));
+			receiver.nanos += ResourceProbe.cpuNanos() - begin;
+			receiver.countBytes(message, frame.length);
+			process(direction.from()).countBytes(message, frame.length);
+			step(direction.to(), (machine) -> machine.onMessage(direction.from(), message, this.now));
 		});
-		this.unacknowledged.putIfAbsent(way.back(), this.now);
-		this.unacknowledged.remove(way);
-		flush(way.to());
+		this.pendingAcks.putIfAbsent(direction.reverse(), this.now);
+		this.pendingAcks.remove(direction);
+		flush(direction.to());
 	}
 
-	private void acknowledge() {
-		this.unacknowledged.entrySet()
+	private void sendDelayedAcks() {
+		this.pendingAcks.entrySet()
 			.stream()
-			.filter((entry) -> this.now - entry.getValue() >= ACK_MILLIS)
+			.filter((entry) -> this.now - entry.getValue() >= DELAYED_ACK_MILLIS)
 			.map(Map.Entry::getKey)
 			.toList()
 			.forEach((way) -> {
-				this.unacknowledged.remove(way);
-				count(way, 0);
+				this.pendingAcks.remove(way);
+				countSegment(way, 0);
 			});
 	}
 
-	private void count(Way way, int bytes) {
+	private void countSegment(Direction way, int bytes) {
 		Stream.of(way.from(), way.to()).map(this.processes::get).filter(Objects::nonNull).forEach((process) -> {
 			process.segments++;
 			process.frameBytes += bytes;
@@ -296,7 +296,7 @@
 
 	private interface Step {
 
-		List<OwnershipAction> take(OwnershipMachine machine);
+		List<OwnershipAction> apply(OwnershipMachine machine);
 
 	}
 
@@ -306,10 +306,10 @@
 	 * @param from the sender
 	 * @param to the receiver
 	 */
-	private record Way(InstanceId from, InstanceId to) {
+	private record Direction(InstanceId from, InstanceId to) {
 
-		Way back() {
-			return new Way(this.to, this.from);
+		Direction reverse() {
+			return new Direction(this.to, this.from);
 		}
 
 	}
@@ -320,9 +320,9 @@
 	 * @param segments segments sent and received, acknowledgements included
 	 * @param frameBytes the bytes of the frames in them
 	 * @param nanos the time its decisions and codecs took, in nanoseconds
-	 * @param kinds the bytes of the frames by kind of message
+	 * @param bytesByMessageType the bytes of the frames by kind of message
 	 */
-	record Counts(long segments, long frameBytes, long nanos, Map<String, Long> kinds) {
+	record Counts(long segments, long frameBytes, long nanos, Map<String, Long> bytesByMessageType) {
 
 	}
 
@@ -332,7 +332,7 @@
 
 		private final Map<InstanceId, List<byte[]>> outgoing = new HashMap<>();
 
-		private final Map<String, Long> kinds = new TreeMap<>();
+		private final Map<String, Long> bytesByMessageType = new TreeMap<>();
 
 		private long segments;
 
@@ -344,19 +344,19 @@
 			this.machine = machine;
 		}
 
-		void kind(ControlMessage message, int bytes) {
-			this.kinds.merge(message.getClass().getSimpleName(), (long) bytes, Long::sum);
+		void countBytes(ControlMessage message, int bytes) {
+			this.bytesByMessageType.merge(message.getClass().getSimpleName(), (long) bytes, Long::sum);
 		}
 
 		Counts counts() {
-			return new Counts(this.segments, this.frameBytes, this.nanos, Map.copyOf(this.kinds));
+			return new Counts(this.segments, this.frameBytes, this.nanos, Map.copyOf(this.bytesByMessageType));
 		}
 
 		void reset() {
 			this.segments = 0;
 			this.frameBytes = 0;
 			this.nanos = 0;
-			this.kinds.clear();
+			this.bytesByMessageType.clear();
 		}
 
 	}
--- a/bench/src/main/java/org/brasspier/bench/capacity/Slope.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/Slope.java
@@ -57,7 +57,7 @@
 	 * @param size the size
 	 * @return the value, in this slope's unit
 	 */
-	public double at(double size) {
+	public double valueAt(double size) {
 		return this.fit.base() + this.fit.perSize() * size;
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/capacity/SlopeSuite.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/SlopeSuite.java
@@ -24,7 +24,7 @@
 	 * @param measurement gives the value at a size
 	 * @return the slope
 	 */
-	static Slope over(String name, String sizeName, String unit, int[] sizes, IntToDoubleFunction measurement) {
+	static Slope measureSlope(String name, String sizeName, String unit, int[] sizes, IntToDoubleFunction measurement) {
 		return Slope.of(name, sizeName, unit,
 				Arrays.stream(sizes)
 					.mapToObj((size) -> new Slope.Point(size, measurement.applyAsDouble(size)))
--- a/bench/src/main/java/org/brasspier/bench/policy/Attempt.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/Attempt.java
@@ -7,7 +7,7 @@
 
 	private final long id;
 
-	private final CallerCall call;
+	private final RecordedRequest call;
 
 	private final int resends;
 
@@ -15,9 +15,9 @@
 
 	private final long deadlineNanos;
 
-	private boolean over;
+	private boolean ended;
 
-	Attempt(long id, CallerCall call, int resends, long sentNanos, long deadlineNanos) {
+	Attempt(long id, RecordedRequest call, int resends, long sentNanos, long deadlineNanos) {
 		this.id = id;
 		this.call = call;
 		this.resends = resends;
@@ -29,7 +29,7 @@
 		return this.id;
 	}
 
-	CallerCall call() {
+	RecordedRequest call() {
 		return this.call;
 	}
 
@@ -46,14 +46,14 @@
 	}
 
 	// True the first time only: an attempt has one end.
-	boolean end() {
-		boolean first = !this.over;
-		this.over = true;
+	boolean tryEnd() {
+		boolean first = !this.ended;
+		this.ended = true;
 		return first;
 	}
 
-	boolean over() {
-		return this.over;
+	boolean hasEnded() {
+		return this.ended;
 	}
 
 }
--- a/bench/src/main/java/org/brasspier/bench/policy/Ending.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/AttemptResult.java
@@ -5,14 +5,14 @@
 /**
  * How an attempt ended at a backend server.
  */
-sealed interface Ending {
+sealed interface AttemptResult {
 
 	/**
 	 * It ran and was answered.
 	 *
-	 * @param ranNanos how long it held a slot
+	 * @param runNanos how long it held a slot
 	 */
-	record Answered(long ranNanos) implements Ending {
+	record Answered(long runNanos) implements AttemptResult {
 
 	}
 
@@ -21,7 +21,7 @@
 	 *
 	 * @param failure what the caller is told
 	 */
-	record Failed(Failure failure) implements Ending {
+	record Failed(Failure failure) implements AttemptResult {
 
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/policy/Callers.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/Callers.java
@@ -13,71 +13,71 @@
 final class Callers {
 
 	/** Both versions' callers give up after as many resends. */
-	private static final int MOST_RESENDS = 3;
+	private static final int MAX_RESENDS = 3;
 
 	private final VirtualTime time;
 
 	private final Deployment deployment;
 
-	private final Outcomes outcomes;
+	private final OutcomeRecorder outcomes;
 
-	private Optional<Version> version = Optional.empty();
+	private Optional<ServingStrategy> strategy = Optional.empty();
 
 	private long lastId;
 
-	Callers(VirtualTime time, Deployment deployment, Outcomes outcomes) {
+	Callers(VirtualTime time, Deployment deployment, OutcomeRecorder outcomes) {
 		this.time = time;
 		this.deployment = deployment;
 		this.outcomes = outcomes;
 	}
 
-	void send(List<CallerCall> calls, Version tried) {
-		this.version = Optional.of(tried);
+	void send(List<RecordedRequest> calls, ServingStrategy strategy) {
+		this.strategy = Optional.of(strategy);
 		sendNext(calls, 0);
 	}
 
-	private void sendNext(List<CallerCall> calls, int index) {
+	private void sendNext(List<RecordedRequest> calls, int index) {
 		if (index < calls.size()) {
-			this.time.at(calls.get(index).atNanos(), () -> {
-				this.outcomes.offered(calls.get(index));
+			this.time.scheduleAt(calls.get(index).atNanos(), () -> {
+				this.outcomes.recordOffered(calls.get(index));
 				send(calls.get(index), 0);
 				sendNext(calls, index + 1);
 			});
 		}
 	}
 
-	private void send(CallerCall call, int resends) {
+	private void send(RecordedRequest call, int resends) {
 		long now = this.time.now();
-		boolean deadlineFromFirst = !tried().resendsAll();
-		long deadline = (deadlineFromFirst ? call.atNanos() : now) + call.patienceNanos();
+		boolean deadlineFromFirst = !strategy().resendsEveryFailure();
+		long deadline = (deadlineFromFirst ? call.atNanos() : now) + call.timeoutNanos();
 		Attempt attempt = new Attempt(++this.lastId, call, resends, now, deadline);
-		this.time.after(this.deployment.callerNanos(), () -> tried().arrived(attempt));
-		this.time.at(deadline, () -> timedOut(attempt));
+		this.time.scheduleAfter(this.deployment.callerNanos(), () -> strategy().onArrival(attempt));
+		this.time.scheduleAt(deadline, () -> onTimeout(attempt));
 	}
 
-	private void timedOut(Attempt attempt) {
-		if (!attempt.end()) {
+	private void onTimeout(Attempt attempt) {
+		if (!attempt.tryEnd()) {
 			return;
 		}
-		tried().callerGone(attempt);
-		if (tried().resendsAll() && attempt.resends() < MOST_RESENDS) {
+		strategy().onCallerTimeout(attempt);
+		if (strategy().resendsEveryFailure() && attempt.resends() < MAX_RESENDS) {
 			send(attempt.call(), attempt.resends() + 1);
 		}
 		else {
-			this.outcomes.timedOut(attempt);
+			this.outcomes.recordTimeout(attempt);
 		}
 	}
 
 	/**
 	 * Carries a whole answer to the caller.
 	 * @param attempt what was answered
-	 * @param onTheWayNanos the way between daemons
+	 * @param returnNanos the way between daemons
 	 */
-	void answer(Attempt attempt, long onTheWayNanos) {
-		this.outcomes.ran(attempt.call());
-		this.time.after(onTheWayNanos + this.deployment.callerNanos(), () -> {
-			if (attempt.end()) {
-				this.outcomes.answered(attempt, this.time.now());
+	void deliverAnswer(Attempt attempt, long returnNanos) {
+		this.outcomes.recordRun(attempt.call());
+		this.time.scheduleAfter(returnNanos + this.deployment.callerNanos(), () -> {
+			if (attempt.tryEnd()) {
+				this.outcomes.recordAnswered(attempt, this.time.now());
 			}
 		});
 	}
@@ -88,30 +88,30 @@
 	 * @param failure the error
 	 * @param arrivedNanos when the attempt had reached the daemon
 	 */
-	void fail(Attempt attempt, Failure failure, long arrivedNanos) {
-		this.outcomes.refused(attempt, failure, this.time.now() - arrivedNanos);
-		this.time.after(this.deployment.callerNanos(), () -> {
-			if (attempt.end()) {
-				failed(attempt, failure);
+	void deliverFailure(Attempt attempt, Failure failure, long arrivedNanos) {
+		this.outcomes.recordRefusal(attempt, failure, this.time.now() - arrivedNanos);
+		this.time.scheduleAfter(this.deployment.callerNanos(), () -> {
+			if (attempt.tryEnd()) {
+				onFailure(attempt, failure);
 			}
 		});
 	}
 
-	private void failed(Attempt attempt, Failure failure) {
-		long pause = tried().resendAfter(failure.retryAfter().toNanos());
-		boolean allowed = tried().resendsAll() || failure.kind() != ErrorKind.OUTCOME_UNKNOWN
+	private void onFailure(Attempt attempt, Failure failure) {
+		long pause = strategy().resendDelayNanos(failure.retryAfter().toNanos());
+		boolean allowed = strategy().resendsEveryFailure() || failure.kind() != ErrorKind.OUTCOME_UNKNOWN
 				|| attempt.call().requestClass().isIdempotent();
-		boolean inTime = tried().resendsAll() || this.time.now() + pause < attempt.deadlineNanos();
-		if (attempt.resends() < MOST_RESENDS && allowed && inTime) {
-			this.time.after(pause, () -> send(attempt.call(), attempt.resends() + 1));
+		boolean inTime = strategy().resendsEveryFailure() || this.time.now() + pause < attempt.deadlineNanos();
+		if (attempt.resends() < MAX_RESENDS && allowed && inTime) {
+			this.time.scheduleAfter(pause, () -> send(attempt.call(), attempt.resends() + 1));
 		}
 		else {
-			this.outcomes.gaveUp(attempt);
+			this.outcomes.recordGivenUp(attempt);
 		}
 	}
 
-	private Version tried() {
-		return this.version.orElseThrow();
+	private ServingStrategy strategy() {
+		return this.strategy.orElseThrow();
 	}
 
 }
--- a/bench/src/main/java/org/brasspier/bench/policy/Churn.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/Churn.java
@@ -14,7 +14,7 @@
 
 	private int moves;
 
-	void moved(MoveCause cause, double share) {
+	void recordMove(MoveCause cause, double share) {
 		this.shares.merge(cause, share, Double::sum);
 		this.moves++;
 	}
--- a/bench/src/main/java/org/brasspier/bench/policy/Comparison.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/Comparison.java
@@ -14,9 +14,9 @@
 record Comparison(String deployment, String load, int requests, Figures policy, Figures naive) {
 
 	static Comparison run(Deployment deployment, Load load, long seed) {
-		List<CallerCall> calls = load.record(deployment, seed);
-		return new Comparison(deployment.name(), load.name(), calls.size(), Run.policy(deployment, load, calls),
-				Run.naive(deployment, load, calls));
+		List<RecordedRequest> calls = load.record(deployment, seed);
+		return new Comparison(deployment.name(), load.name(), calls.size(),
+				Simulation.runPolicy(deployment, load, calls), Simulation.runNaive(deployment, load, calls));
 	}
 
 }
--- a/bench/src/main/java/org/brasspier/bench/policy/Deployment.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/Deployment.java
@@ -24,7 +24,7 @@
 	static final Deployment KLIRING = new Deployment("kliring", 3, 6, 110, VirtualTime.MILLI, 3 * VirtualTime.MILLI / 2,
 			new PlacementWeights(2, 1, 1));
 
-	int allSlots() {
+	int totalSlots() {
 		return this.servers * this.slots;
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/policy/KeyMix.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/KeyDistribution.java
@@ -9,17 +9,17 @@
  * @param keys the number of keys
  * @param zipf the exponent of their popularity, 0 for all the same
  * @param hottestShare the share that one key has besides, 0 for none
- * @param changeNanos how often other keys get hot, 0 for never
+ * @param changeIntervalNanos how often other keys get hot, 0 for never
  */
-record KeyMix(int keys, double zipf, double hottestShare, long changeNanos) {
+record KeyDistribution(int keys, double zipf, double hottestShare, long changeIntervalNanos) {
 
-	static final KeyMix EVEN = new KeyMix(20_000, 0, 0, 0);
+	static final KeyDistribution EVEN = new KeyDistribution(20_000, 0, 0, 0);
 
-	static final KeyMix SKEWED = new KeyMix(20_000, 1.2, 0, 0);
+	static final KeyDistribution SKEWED = new KeyDistribution(20_000, 1.2, 0, 0);
 
-	static final KeyMix ONE_HOT = new KeyMix(20_000, 0, 0.3, 0);
+	static final KeyDistribution ONE_HOT = new KeyDistribution(20_000, 0, 0.3, 0);
 
-	static final KeyMix CHANGING = new KeyMix(20_000, 1.2, 0, 60 * VirtualTime.SECOND);
+	static final KeyDistribution CHANGING = new KeyDistribution(20_000, 1.2, 0, 60 * VirtualTime.SECOND);
 
 	/**
 	 * A source of keys. Ranks become keys by a fixed walk that starts elsewhere after
@@ -35,7 +35,7 @@
 		}
 		double all = sum;
 		return (random, now) -> {
-			long era = (this.changeNanos > 0) ? now / this.changeNanos : 0;
+			long era = (this.changeIntervalNanos > 0) ? now / this.changeIntervalNanos : 0;
 			if (random.nextDouble() < this.hottestShare) {
 				return "hot-" + era;
 			}
@@ -45,7 +45,7 @@
 		};
 	}
 
-	double hottest() {
+	double maxKeyShare() {
 		double sum = 0;
 		for (int i = 0; i < this.keys; i++) {
 			sum += Math.pow(i + 1, -this.zipf);
--- a/bench/src/main/java/org/brasspier/bench/policy/ProcessCheck.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/ProcessCheck.java
@@ -25,9 +25,9 @@
 
 	private static final ServiceShape SERVICE = new ServiceShape("teller-gate", true, 3, 6, 110, true);
 
-	private static final double PEER_MILLIS = 1.5;
+	private static final double PEER_DELAY_MILLIS = 1.5;
 
-	private static final double CALLER_MILLIS = 1;
+	private static final double CALLER_DELAY_MILLIS = 1;
 
 	private static final int LOOKUP_MILLIS = 100;
 
@@ -53,7 +53,7 @@
 	 */
 	public static void main(String[] args) throws InterruptedException {
 		DeploymentShape shape = new DeploymentShape("kliring", List.of("semarang-a", "semarang-b", "solo-hall"),
-				List.of(SERVICE), PEER_MILLIS, CALLER_MILLIS);
+				List.of(SERVICE), PEER_DELAY_MILLIS, CALLER_DELAY_MILLIS);
 		try (Deployment deployment = Deployment.start(shape)) {
 			deployment.awaitServed();
 			run(deployment, "unloaded", 0.1, 0, 20);
@@ -65,24 +65,24 @@
 		}
 	}
 
-	private static void run(Deployment deployment, String name, double level, double hotShare, int seconds)
+	private static void run(Deployment deployment, String name, double utilization, double hotShare, int seconds)
 			throws InterruptedException {
-		double perSecond = level * SERVICE.servers() * SERVICE.slots() * 1000 / MEAN_MILLIS;
+		double perSecond = utilization * SERVICE.servers() * SERVICE.slots() * 1000 / MEAN_MILLIS;
 		try (CallerFleet fleet = new CallerFleet(deployment.callerAddresses(), 0,
 				CallerRetryPolicy.HONOR_RETRY_AFTER)) {
-			fleet.setTraffic(List.of(mix("lookup", 0.75 * perSecond, hotShare, LOOKUP_MILLIS),
-					mix("internal", 0.20 * perSecond, hotShare, INTERNAL_MILLIS),
-					mix("audit", 0.05 * perSecond, hotShare, AUDIT_MILLIS)));
+			fleet.setTraffic(List.of(newStream("lookup", 0.75 * perSecond, hotShare, LOOKUP_MILLIS),
+					newStream("internal", 0.20 * perSecond, hotShare, INTERNAL_MILLIS),
+					newStream("audit", 0.05 * perSecond, hotShare, AUDIT_MILLIS)));
 			TimeUnit.SECONDS.sleep(SETTLE_SECONDS);
 			long from = nowMicros();
 			TimeUnit.SECONDS.sleep(seconds);
 			long until = nowMicros();
 			fleet.finish();
-			print(name, fleet.records(), deployment, from, until, level);
+			printResult(name, fleet.records(), deployment, from, until, utilization);
 		}
 	}
 
-	private static TrafficStream mix(String requestClass, double perSecond, double hotShare, int millis) {
+	private static TrafficStream newStream(String requestClass, double perSecond, double hotShare, int millis) {
 		return new TrafficStream(SERVICE.name(), true, requestClass, perSecond, 500, hotShare, "/work?work=" + millis,
 				0);
 	}
@@ -91,23 +91,25 @@
 		return TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
 	}
 
-	private static void print(String name, List<CallerRecord> records, Deployment deployment, long from, long until,
-			double level) {
+	private static void printResult(String name, List<CallerRecord> records, Deployment deployment, long from,
+			long until, double utilization) {
 		double capacity = SERVICE.servers() * SERVICE.slots() * (until - from) / 1000.0;
-		List<CallerRecord> measured = records.stream().filter((record) -> within(first(record), from, until)).toList();
-		double offered = work(measured.stream());
-		double answered = work(records.stream()
+		List<CallerRecord> measured = records.stream()
+			.filter((record) -> isWithin(firstSentMicros(record), from, until))
+			.toList();
+		double offered = totalRunMillis(measured.stream());
+		double answered = totalRunMillis(records.stream()
 			.filter((record) -> record.lastAttempt().answered()
-					&& within(record.lastAttempt().endMicros(), from, until)));
-		Histogram lookups = times(measured.stream()
+					&& isWithin(record.lastAttempt().endMicros(), from, until)));
+		Histogram lookups = durations(measured.stream()
 			.filter((record) -> record.request().requestClass().equals("lookup"))
 			.flatMap((record) -> record.attempts().stream())
 			.filter(Attempt::answered));
-		Histogram refusals = times(
+		Histogram refusals = durations(
 				measured.stream().flatMap((record) -> record.attempts().stream()).filter(Attempt::notRun));
 		System.out.printf(Locale.ROOT,
 				"%s: goodput %.3f, %d requests %s, lookup p50 / p99 ms %.1f / %.1f, refusals %d, p99 ms %.1f, slots busy %.3f, imbalance %.3f (by seconds %.3f), churn %% %.3f%n",
-				name, answered / ((level < 1) ? Math.min(capacity, offered) : capacity), measured.size(),
+				name, answered / ((utilization < 1) ? Math.min(capacity, offered) : capacity), measured.size(),
 				HistoryMetrics.outcomes(measured), lookups.getValueAtPercentile(50) / 1000.0,
 				lookups.getValueAtPercentile(99) / 1000.0, refusals.getTotalCount(),
 				refusals.getValueAtPercentile(99) / 1000.0,
@@ -117,19 +119,19 @@
 				HistoryMetrics.churnPercent(deployment.serverRecords(), 1, from));
 	}
 
-	private static double work(Stream<CallerRecord> records) {
-		return records.mapToDouble((record) -> millis(record.request().requestClass())).sum();
+	private static double totalRunMillis(Stream<CallerRecord> records) {
+		return records.mapToDouble((record) -> runMillis(record.request().requestClass())).sum();
 	}
 
-	private static long first(CallerRecord record) {
+	private static long firstSentMicros(CallerRecord record) {
 		return record.attempts().getFirst().sentMicros();
 	}
 
-	private static boolean within(long micros, long from, long until) {
+	private static boolean isWithin(long micros, long from, long until) {
 		return micros >= from && micros < until;
 	}
 
-	private static int millis(String requestClass) {
+	private static int runMillis(String requestClass) {
 		return switch (requestClass) {
 			case "lookup" -> LOOKUP_MILLIS;
 			case "internal" -> INTERNAL_MILLIS;
@@ -137,7 +139,7 @@
 		};
 	}
 
-	private static Histogram times(Stream<Attempt> attempts) {
+	private static Histogram durations(Stream<Attempt> attempts) {
 		Histogram histogram = new Histogram(1, 600_000_000, 3);
 		attempts.forEach((attempt) -> histogram.recordValue(Math.max(1, attempt.endMicros() - attempt.sentMicros())));
 		return histogram;
--- a/bench/src/main/java/org/brasspier/bench/policy/Ownership.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/RangeOwnership.java
@@ -23,7 +23,7 @@
  * Which server owns which range in a run, moved as the placement policy says. Not
  * thread-safe.
  */
-final class Ownership {
+final class RangeOwnership {
 
 	/**
 	 * A planned move: the old owner drains, the row is written, the new one is granted.
@@ -35,7 +35,7 @@
 
 	private static final long METER_WINDOW_NANOS = 10 * VirtualTime.SECOND;
 
-	private static final long LONG_AGO = -3600 * VirtualTime.SECOND;
+	private static final long DISTANT_PAST_NANOS = -3600 * VirtualTime.SECOND;
 
 	private final VirtualTime time;
 
@@ -45,37 +45,37 @@
 
 	private final List<LoadMeter> meters;
 
-	private final TreeMap<Long, Owned> ranges = new TreeMap<>();
+	private final TreeMap<Long, OwnedRange> ranges = new TreeMap<>();
 
 	private int lost = -1;
 
-	Ownership(VirtualTime time, Deployment deployment) {
+	RangeOwnership(VirtualTime time, Deployment deployment) {
 		this.time = time;
 		this.deployment = deployment;
 		this.meters = IntStream.range(0, deployment.servers())
 			.mapToObj((i) -> new LoadMeter(METER_WINDOW_NANOS, 0))
 			.toList();
-		this.ranges.put(0L, new Owned(KeyRange.ALL, -1, LONG_AGO, 0));
-		steps().forEach((step) -> apply(step, LONG_AGO, 0));
+		this.ranges.put(0L, new OwnedRange(KeyRange.ALL, -1, DISTANT_PAST_NANOS, 0));
+		planSteps().forEach((step) -> apply(step, DISTANT_PAST_NANOS, 0));
 	}
 
 	// Empty while the range is on its way.
 	Optional<Integer> owner(KeyHash hash) {
-		Owned owned = this.ranges.floorEntry(hash.point()).getValue();
-		return (owned.openNanos() <= this.time.now()) ? Optional.of(owned.owner()) : Optional.empty();
+		OwnedRange owned = this.ranges.floorEntry(hash.point()).getValue();
+		return (owned.servedFromNanos() <= this.time.now()) ? Optional.of(owned.owner()) : Optional.empty();
 	}
 
-	void used(int server, KeyHash hash, long nanos) {
+	void recordLoad(int server, KeyHash hash, long nanos) {
 		this.meters.get(server).record(hash, nanos, this.time.now());
 	}
 
-	void lose(int server) {
+	void markLost(int server) {
 		this.lost = server;
 	}
 
-	void plan(long moveNanos) {
-		steps().forEach((step) -> {
-			account(step);
+	void rebalance(long moveNanos) {
+		planSteps().forEach((step) -> {
+			recordMoves(step);
 			apply(step, this.time.now(), this.time.now() + moveNanos);
 		});
 	}
@@ -84,13 +84,13 @@
 		return this.churn;
 	}
 
-	private void account(PlacementStep step) {
+	private void recordMoves(PlacementStep step) {
 		if (step instanceof PlacementStep.Move move) {
-			this.churn.moved(move.cause(), move.range().size() / (double) KeyHash.SPACE);
+			this.churn.recordMove(move.cause(), move.range().size() / (double) KeyHash.SPACE);
 		}
 	}
 
-	private List<PlacementStep> steps() {
+	private List<PlacementStep> planSteps() {
 		List<Member> members = IntStream.range(0, this.deployment.servers()).mapToObj(this::member).toList();
 		List<PlacementInput.Range> measured = new ArrayList<>();
 		this.ranges.values().forEach((owned) -> measured.add(measure(owned)));
@@ -107,7 +107,7 @@
 		return new InstanceId("instance-" + server);
 	}
 
-	private PlacementInput.Range measure(Owned owned) {
+	private PlacementInput.Range measure(OwnedRange owned) {
 		long movedMillis = owned.movedNanos() / VirtualTime.MILLI;
 		if (owned.owner() < 0) {
 			return new PlacementInput.Range(owned.range(), Optional.empty(), 0, Optional.empty(), movedMillis);
@@ -115,8 +115,8 @@
 		LoadMeter meter = this.meters.get(owned.owner());
 		long now = this.time.now();
 		return new PlacementInput.Range(owned.range(), Optional.of(instance(owned.owner())),
-				meter.busySlots(owned.range(), owned.openNanos(), now),
-				meter.hottest(owned.range(), owned.openNanos(), now), movedMillis);
+				meter.busySlots(owned.range(), owned.servedFromNanos(), now),
+				meter.hottest(owned.range(), owned.servedFromNanos(), now), movedMillis);
 	}
 
 	private void apply(PlacementStep step, long movedNanos, long openNanos) {
@@ -125,34 +125,34 @@
 			case PlacementStep.Merge merge -> merge(merge);
 			case PlacementStep.Move move -> {
 				int to = Integer.parseInt(move.to().value().substring("instance-".length()));
-				this.ranges.put(move.range().low(), new Owned(move.range(), to, movedNanos, openNanos));
+				this.ranges.put(move.range().low(), new OwnedRange(move.range(), to, movedNanos, openNanos));
 			}
 		}
 	}
 
 	private void split(PlacementStep.Split split) {
-		Owned whole = this.ranges.get(split.range().low());
+		OwnedRange whole = this.ranges.get(split.range().low());
 		if (whole == null || !whole.range().equals(split.range())) {
 			throw new IllegalStateException("no range " + split.range());
 		}
 		List.of(new KeyRange(split.range().low(), split.at()), new KeyRange(split.at(), split.range().high()))
 			.forEach((part) -> this.ranges.put(part.low(),
-					new Owned(part, whole.owner(), whole.movedNanos(), whole.openNanos())));
+					new OwnedRange(part, whole.owner(), whole.movedNanos(), whole.servedFromNanos())));
 	}
 
 	private void merge(PlacementStep.Merge merge) {
-		Map.Entry<Long, Owned> first = this.ranges.floorEntry(merge.first().low());
-		Owned second = this.ranges.remove(merge.second().low());
+		Map.Entry<Long, OwnedRange> first = this.ranges.floorEntry(merge.first().low());
+		OwnedRange second = this.ranges.remove(merge.second().low());
 		if (second == null || first.getValue().owner() != second.owner()) {
 			throw new IllegalStateException("%s and %s have two owners".formatted(merge.first(), merge.second()));
 		}
 		this.ranges.put(merge.first().low(),
-				new Owned(new KeyRange(merge.first().low(), merge.second().high()), second.owner(),
+				new OwnedRange(new KeyRange(merge.first().low(), merge.second().high()), second.owner(),
 						Math.max(first.getValue().movedNanos(), second.movedNanos()),
-						Math.max(first.getValue().openNanos(), second.openNanos())));
+						Math.max(first.getValue().servedFromNanos(), second.servedFromNanos())));
 	}
 
-	private record Owned(KeyRange range, int owner, long movedNanos, long openNanos) {
+	private record OwnedRange(KeyRange range, int owner, long movedNanos, long servedFromNanos) {
 
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/policy/CallerCall.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/RecordedRequest.java
@@ -11,16 +11,16 @@
  *
  * @param number its place in the recording
  * @param atNanos when its caller first sends it
- * @param hash its point
+ * @param keyHash its point
  * @param requestClass its class
  * @param caller who sends it
  * @param runNanos how long a healthy server runs it
- * @param entry the daemon that it enters by
+ * @param entryDaemon the daemon that it enters by
  */
-record CallerCall(int number, long atNanos, KeyHash hash, RequestClass requestClass, CallerId caller, long runNanos,
-		int entry) {
+record RecordedRequest(int number, long atNanos, KeyHash keyHash, RequestClass requestClass, CallerId caller,
+		long runNanos, int entryDaemon) {
 
-	long patienceNanos() {
+	long timeoutNanos() {
 		return switch (this.requestClass) {
 			case INTERNAL, LOOKUP -> Duration.ofSeconds(1).toNanos();
 			case POSTING -> Duration.ofSeconds(5).toNanos();
--- a/bench/src/main/java/org/brasspier/bench/policy/ClassMix.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/RequestClassMix.java
@@ -6,23 +6,23 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * How many requests are of each class and how long they run. Run times are exponential,
- * so that one in a hundred takes 4.6 times the mean.
+ * How many requests are of each class and how long they run. Simulation times are
+ * exponential, so that one in a hundred takes 4.6 times the mean.
  *
  * @param shares the share of requests of each class
  * @param meanNanos the mean run time of each class
  */
-record ClassMix(Map<RequestClass, Double> shares, Map<RequestClass, Double> meanNanos) {
+record RequestClassMix(Map<RequestClass, Double> shares, Map<RequestClass, Double> meanNanos) {
 
 	private static final Map<RequestClass, Double> MEANS = Map.of(RequestClass.LOOKUP, 10e6, RequestClass.POSTING, 20e6,
 			RequestClass.INTERNAL, 5e6, RequestClass.AUDIT, 100e6);
 
 	/** A usual day. */
-	static final ClassMix USUAL = new ClassMix(Map.of(RequestClass.LOOKUP, 0.6, RequestClass.POSTING, 0.2,
-			RequestClass.INTERNAL, 0.15, RequestClass.AUDIT, 0.05), MEANS);
+	static final RequestClassMix TYPICAL = new RequestClassMix(Map.of(RequestClass.LOOKUP, 0.6, RequestClass.POSTING,
+			0.2, RequestClass.INTERNAL, 0.15, RequestClass.AUDIT, 0.05), MEANS);
 
 	/** A night on which auditors pull long histories while lookups go on. */
-	static final ClassMix LONG_AND_SHORT = new ClassMix(
+	static final RequestClassMix LONG_AND_SHORT = new RequestClassMix(
 			Map.of(RequestClass.LOOKUP, 0.6, RequestClass.POSTING, 0.15, RequestClass.INTERNAL, 0.15,
 					RequestClass.AUDIT, 0.1),
 			Map.of(RequestClass.LOOKUP, 10e6, RequestClass.POSTING, 20e6, RequestClass.INTERNAL, 5e6,
@@ -33,17 +33,17 @@
 	}
 
 	RequestClass pick(RandomGenerator random) {
-		double lot = random.nextDouble();
+		double sample = random.nextDouble();
 		for (RequestClass requestClass : RequestClass.values()) {
-			lot -= this.shares.getOrDefault(requestClass, 0.0);
-			if (lot < 0) {
+			sample -= this.shares.getOrDefault(requestClass, 0.0);
+			if (sample < 0) {
 				return requestClass;
 			}
 		}
 		return RequestClass.LOOKUP;
 	}
 
-	long run(RequestClass requestClass, RandomGenerator random) {
+	long sampleRunNanos(RequestClass requestClass, RandomGenerator random) {
 		return Math.max(1000, (long) (mean(requestClass) * random.nextExponential()));
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/policy/SlotServer.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/SimulatedServer.java
@@ -9,7 +9,7 @@
  * A backend server: as many at once as it truly has slots, the rest waits inside in order
  * of arrival. Not thread-safe.
  */
-final class SlotServer {
+final class SimulatedServer {
 
 	private final VirtualTime time;
 
@@ -17,7 +17,7 @@
 
 	private final double slowness;
 
-	private final Load.Trouble trouble;
+	private final Load.Faults faults;
 
 	private final Queue<Job> waiting = new ArrayDeque<>();
 
@@ -27,19 +27,19 @@
 
 	private double busyNanos;
 
-	private boolean lost;
+	private boolean crashed;
 
-	SlotServer(VirtualTime time, int slots, double slowness, Load.Trouble trouble) {
+	SimulatedServer(VirtualTime time, int slots, double slowness, Load.Faults trouble) {
 		this.time = time;
 		this.slots = slots;
 		this.slowness = slowness;
-		this.trouble = trouble;
+		this.faults = trouble;
 	}
 
-	void run(Attempt attempt, Runnable answered, Runnable broken) {
-		Job job = new Job(attempt, answered, broken, this.time.now());
-		if (this.lost) {
-			broken.run();
+	void submit(Attempt attempt, Runnable onAnswered, Runnable onInterrupted) {
+		Job job = new Job(attempt, onAnswered, onInterrupted, this.time.now());
+		if (this.crashed) {
+			onInterrupted.run();
 		}
 		else if (this.running.size() < this.slots) {
 			start(job);
@@ -53,19 +53,19 @@
 	boolean cancel(Attempt attempt) {
 		Job job = this.running.remove(attempt.id());
 		if (job != null) {
-			account(job);
-			next();
+			addBusyTime(job);
+			startNext();
 			return true;
 		}
 		return this.waiting.removeIf((each) -> each.attempt() == attempt);
 	}
 
-	void lose() {
-		this.lost = true;
-		Map<Long, Job> cut = new HashMap<>(this.running);
+	void crash() {
+		this.crashed = true;
+		Map<Long, Job> interrupted = new HashMap<>(this.running);
 		this.running.clear();
-		cut.values().forEach((job) -> job.broken().run());
-		this.waiting.forEach((job) -> job.broken().run());
+		interrupted.values().forEach((job) -> job.onInterrupted().run());
+		this.waiting.forEach((job) -> job.onInterrupted().run());
 		this.waiting.clear();
 	}
 
@@ -82,37 +82,37 @@
 	}
 
 	private void start(Job job) {
-		Job begun = new Job(job.attempt(), job.answered(), job.broken(), this.time.now());
-		this.running.put(job.attempt().id(), begun);
-		this.time.at(end(job.attempt().call().runNanos()), () -> {
-			if (this.running.remove(job.attempt().id(), begun)) {
-				account(begun);
-				next();
-				begun.answered().run();
+		Job started = new Job(job.attempt(), job.onAnswered(), job.onInterrupted(), this.time.now());
+		this.running.put(job.attempt().id(), started);
+		this.time.scheduleAt(completionNanos(job.attempt().call().runNanos()), () -> {
+			if (this.running.remove(job.attempt().id(), started)) {
+				addBusyTime(started);
+				startNext();
+				started.onAnswered().run();
 			}
 		});
 	}
 
-	private long end(long runNanos) {
+	private long completionNanos(long runNanos) {
 		long begin = this.time.now();
 		long end = begin + (long) (runNanos * this.slowness);
-		boolean stalls = begin < this.trouble.stallEnd() && end > this.trouble.stallBegin();
-		long from = Math.max(begin, this.trouble.stallBegin());
-		return stalls ? end + this.trouble.stallEnd() - from : end;
+		boolean stalls = begin < this.faults.stallEndNanos() && end > this.faults.stallBeginNanos();
+		long from = Math.max(begin, this.faults.stallBeginNanos());
+		return stalls ? end + this.faults.stallEndNanos() - from : end;
 	}
 
-	private void account(Job job) {
+	private void addBusyTime(Job job) {
 		this.busyNanos += Math.max(0, this.time.now() - Math.max(job.sinceNanos(), this.measureFrom));
 	}
 
-	private void next() {
+	private void startNext() {
 		Job job = this.waiting.poll();
 		if (job != null) {
 			start(job);
 		}
 	}
 
-	private record Job(Attempt attempt, Runnable answered, Runnable broken, long sinceNanos) {
+	private record Job(Attempt attempt, Runnable onAnswered, Runnable onInterrupted, long sinceNanos) {
 
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/policy/VirtualTime.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/VirtualTime.java
@@ -11,7 +11,7 @@
 
 	static final long SECOND = 1000 * MILLI;
 
-	private final PriorityQueue<Planned> planned = new PriorityQueue<>();
+	private final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>();
 
 	private long now;
 
@@ -21,34 +21,34 @@
 		return this.now;
 	}
 
-	void at(long nanos, Runnable action) {
-		this.planned.add(new Planned(Math.max(nanos, this.now), this.sequence++, action));
+	void scheduleAt(long nanos, Runnable action) {
+		this.scheduled.add(new ScheduledAction(Math.max(nanos, this.now), this.sequence++, action));
 	}
 
-	void after(long nanos, Runnable action) {
-		at(this.now + nanos, action);
+	void scheduleAfter(long nanos, Runnable action) {
+		scheduleAt(this.now + nanos, action);
 	}
 
-	void every(long nanos, Runnable action) {
-		after(nanos, () -> {
+	void scheduleEvery(long nanos, Runnable action) {
+		scheduleAfter(nanos, () -> {
 			action.run();
-			every(nanos, action);
+			scheduleEvery(nanos, action);
 		});
 	}
 
 	void runUntil(long end) {
-		while (!this.planned.isEmpty() && this.planned.peek().nanos() <= end) {
-			Planned next = this.planned.remove();
+		while (!this.scheduled.isEmpty() && this.scheduled.peek().nanos() <= end) {
+			ScheduledAction next = this.scheduled.remove();
 			this.now = next.nanos();
 			next.action().run();
 		}
 		this.now = end;
 	}
 
-	private record Planned(long nanos, long sequence, Runnable action) implements Comparable<Planned> {
+	private record ScheduledAction(long nanos, long sequence, Runnable action) implements Comparable<ScheduledAction> {
 
 		@Override
-		public int compareTo(Planned other) {
+		public int compareTo(ScheduledAction other) {
 			int byTime = Long.compare(this.nanos, other.nanos);
 			return (byTime != 0) ? byTime : Long.compare(this.sequence, other.sequence);
 		}
--- a/bench/src/test/java/org/brasspier/bench/policy/PolicyLoadTests.java
+++ b/bench/src/test/java/org/brasspier/bench/policy/PolicyLoadTests.java
@@ -25,7 +25,7 @@
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void goodputHoldsAtThreeTimesCapacityWhileTheNaiveVersionCollapses(Deployment deployment) {
+	void goodputHoldsAtThreeTimesCapacityWhileTheNaiveStrategyCollapses(Deployment deployment) {
 		Comparison comparison = run(deployment, "saturation-x3");
 		assertThat(comparison.policy().goodput()).isAtLeast(0.95);
 		assertThat(comparison.naive().goodput()).isLessThan(0.5);
@@ -36,9 +36,9 @@
 	@ParameterizedTest
 	@MethodSource("deployments")
 	void answeredLookupsAtSaturationTakeThreeTimesTheUnloadedTimeAtMost(Deployment deployment) {
-		double unloaded = policy(deployment, Load.named("unloaded")).lookupP99Millis();
-		assertThat(policy(deployment, Load.named("saturation-x1.5")).lookupP99Millis()).isAtMost(3 * unloaded);
-		assertThat(policy(deployment, Load.named("saturation-x3")).lookupP99Millis()).isAtMost(3 * unloaded);
+		double unloaded = runPolicy(deployment, Load.get("unloaded")).lookupP99Millis();
+		assertThat(runPolicy(deployment, Load.get("saturation-x1.5")).lookupP99Millis()).isAtMost(3 * unloaded);
+		assertThat(runPolicy(deployment, Load.get("saturation-x3")).lookupP99Millis()).isAtMost(3 * unloaded);
 	}
 
 	/**
@@ -47,9 +47,9 @@
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void longAuditReadsNeitherBlockLookupsNorStarve(Deployment deployment) {
-		double unloaded = policy(deployment, Load.named("unloaded")).lookupP99Millis();
-		Figures mixed = policy(deployment, Load.named("long-and-short"));
+	void longAuditReadsNeitherDelayLookupsNorStarve(Deployment deployment) {
+		double unloaded = runPolicy(deployment, Load.get("unloaded")).lookupP99Millis();
+		Figures mixed = runPolicy(deployment, Load.get("long-and-short"));
 		assertThat(mixed.lookupP99Millis()).isAtMost(1.5 * unloaded);
 		assertThat(mixed.goodput()).isAtLeast(0.88);
 	}
@@ -60,12 +60,12 @@
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void oneSlowServerLeavesLookupsElsewhereAlone(Deployment deployment) {
-		Load slow = Load.named("slow-server-x5");
-		Load well = new Load("well", true, slow.seconds(), slow.settleSeconds(), slow.level(), slow.classes(),
-				slow.keys(), Load.Trouble.NONE);
-		double usual = policy(deployment, well).elsewhereP99Millis();
-		assertThat(policy(deployment, slow).elsewhereP99Millis()).isAtMost(1.2 * usual);
+	void oneSlowServerDoesNotSlowLookupsOnOtherServers(Deployment deployment) {
+		Load slow = Load.get("slow-server-x5");
+		Load healthy = new Load("well", true, slow.seconds(), slow.settleSeconds(), slow.utilization(), slow.classes(),
+				slow.keys(), Load.Faults.NONE);
+		double baselineMillis = runPolicy(deployment, healthy).elsewhereP99Millis();
+		assertThat(runPolicy(deployment, slow).elsewhereP99Millis()).isAtMost(1.2 * baselineMillis);
 	}
 
 	/**
@@ -74,19 +74,19 @@
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void oneOfficeThatSendsTenTimesItsShareCrowdsNobodyOut(Deployment deployment) {
-		double unloaded = policy(deployment, Load.named("unloaded")).lookupP99Millis();
-		Comparison crowded = run(deployment, "one-office-x10");
-		assertThat(crowded.policy().othersGoodput()).isAtLeast(0.9);
-		assertThat(crowded.policy().othersLookupP99Millis()).isAtMost(3 * unloaded);
-		assertThat(crowded.naive().othersGoodput()).isLessThan(0.5);
+	void oneCallerThatSendsTenTimesItsShareDoesNotStarveOthers(Deployment deployment) {
+		double unloaded = runPolicy(deployment, Load.get("unloaded")).lookupP99Millis();
+		Comparison comparison = run(deployment, "one-office-x10");
+		assertThat(comparison.policy().othersGoodput()).isAtLeast(0.9);
+		assertThat(comparison.policy().othersLookupP99Millis()).isAtMost(3 * unloaded);
+		assertThat(comparison.naive().othersGoodput()).isLessThan(0.5);
 	}
 
 	@ParameterizedTest
 	@MethodSource("deployments")
 	void loadStaysEvenUnderSkewedDemand(Deployment deployment) {
-		assertThat(policy(deployment, Load.named("zipf-1.2")).imbalance()).isAtMost(1.15);
-		assertThat(policy(deployment, Load.named("hot-keys-change")).imbalance()).isAtMost(1.15);
+		assertThat(runPolicy(deployment, Load.get("zipf-1.2")).imbalance()).isAtMost(1.15);
+		assertThat(runPolicy(deployment, Load.get("hot-keys-change")).imbalance()).isAtMost(1.15);
 	}
 
 	@ParameterizedTest
@@ -99,8 +99,8 @@
 
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void aLostFailureDomainMovesWhatItOwnedAndLittleMore(Deployment deployment) {
-		Figures policy = policy(deployment, Load.named("domain-lost"));
+	void aLostFailureDomainMovesOnlyLittleMoreThanItOwned(Deployment deployment) {
+		Figures policy = runPolicy(deployment, Load.get("domain-lost"));
 		double moved = policy.lossChurn() + policy.balanceChurnHourly() * 180 / 3600;
 		assertThat(moved).isAtMost(1.1 / deployment.servers());
 	}
@@ -111,19 +111,19 @@
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void afterAFullStallAllIsAnsweredAgainWithinASecond(Deployment deployment) {
+	void afterAFullStallAllRequestsAreAnsweredAgainWithinASecond(Deployment deployment) {
 		Comparison stall = run(deployment, "full-stall");
 		assertThat(stall.policy().recoveryMillis()).isGreaterThan(0);
 		assertThat(stall.policy().recoveryMillis()).isAtMost(1000);
 		assertThat(stall.naive().recoveryMillis()).isEqualTo(-1);
 	}
 
-	private static Figures policy(Deployment deployment, Load load) {
-		return Run.policy(deployment, load, load.record(deployment, SEED));
+	private static Figures runPolicy(Deployment deployment, Load load) {
+		return Simulation.runPolicy(deployment, load, load.record(deployment, SEED));
 	}
 
 	private static Comparison run(Deployment deployment, String load) {
-		return Comparison.run(deployment, Load.named(load), SEED);
+		return Comparison.run(deployment, Load.get(load), SEED);
 	}
 
 }
