--- a/bench/src/main/java/org/brasspier/bench/capacity/CapacityBench.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/CapacityBench.java
@@ -9,7 +9,7 @@
 import com.google.gson.GsonBuilder;
 
 /**
- * Measures all slopes, works the target size out from them, and writes JSON, tables and
+ * Measures all slopes, extrapolates them to the target size, and writes JSON, tables and
  * plots.
  */
 public final class CapacityBench {
@@ -19,8 +19,8 @@
 
 	/**
 	 * Runs the measurement.
-	 * @param output the folder for JSON
-	 * @param page the page whose generated parts are replaced
+	 * @param output the directory for the JSON file
+	 * @param page the Markdown page whose generated sections are replaced
 	 * @throws IOException if a file can't be written
 	 */
 	public static void run(Path output, Path page) throws IOException {
--- a/bench/src/main/java/org/brasspier/bench/capacity/CapacityPage.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/CapacityPage.java
@@ -15,8 +15,8 @@
 import org.knowm.xchart.style.Styler;
 
 /**
- * The generated parts of docs/CAPACITY.md: the table of slopes and a plot of each. The
- * words around them are written by hand.
+ * Writes the generated sections of docs/CAPACITY.md: the tables of slopes and of
+ * requirements, and a plot of each slope. The text around them is written by hand.
  */
 final class CapacityPage {
 
--- a/bench/src/main/java/org/brasspier/bench/capacity/CapacityRequirement.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/CapacityRequirement.java
@@ -3,43 +3,47 @@
 import java.util.List;
 
 /**
- * One line of the page that is worked out: what a mechanism needs at the target size
- * against its limit. Immutable and thread-safe.
+ * One calculated line of the capacity page: what a mechanism needs at the target size,
+ * and its limit. Immutable and thread-safe.
  *
  * @param quantity the quantity
  * @param need what is needed at the target size
- * @param limit what there is
+ * @param limit what is available, NaN if unlimited
  * @param unit the unit of both
- * @param mechanism what carries it
+ * @param mechanism the mechanism that needs it
  */
 record CapacityRequirement(String quantity, double need, double limit, String unit, String mechanism) {
 
 	private static final double SECONDS_PER_DAY = 86_400;
 
-	/** Today's ranges a service, with one service to a cell. */
+	/** The present number of ranges of a service, with one service in each cell. */
 	private static final int RANGES_PER_CELL = 64;
 
-	/** A hot key's change costs a split with its move, and a merge later. */
+	/**
+	 * When a hot key changes, one write splits and moves its range, and a later one
+	 * merges it.
+	 */
 	private static final int WRITES_PER_HOT_KEY = 2;
 
-	/** "Within minutes" taken as two. */
+	/** The users' "within minutes" is taken as two minutes. */
 	private static final double HOT_KEY_CHANGE_SECONDS = 120;
 
-	/** How long a loss may take until its keys are served again. */
+	/** The time within which the keys of a lost instance must be served again. */
 	private static final double RECOVERY_SECONDS = 1;
 
-	/** The pointer to the document is read by both managers once a second. */
+	/** Both managers read the pointer to the configuration document once a second. */
 	private static final double POINTER_READS_PER_SECOND = 2;
 
 	/**
-	 * A read that finds nothing new: some 130 bytes of request and 60 of answer, as the
-	 * HTTP client and the stand-in write them, in two segments and two acknowledgements.
+	 * Bytes of a read that finds no change: about 130 for the request and 60 for the
+	 * response, as the HTTP client and the stand-in write them, in two segments and two
+	 * acknowledgements.
 	 */
 	private static final double UNCHANGED_READ_BYTES = 190 + 4 * CellSlopes.HEADER_BYTES;
 
 	/**
-	 * Works the target size out.
-	 * @param slopes what was measured
+	 * Calculates the requirements at the target size.
+	 * @param slopes the measured slopes
 	 * @param target the target size
 	 * @return the lines of the page
 	 */
@@ -92,8 +96,8 @@
 	}
 
 	/**
-	 * The share of the limit that is left.
-	 * @return 1 if nothing is needed, below 0 where it breaks
+	 * Returns the share of the limit that remains unused.
+	 * @return 1 if nothing is needed, negative if the need exceeds the limit
 	 */
 	double margin() {
 		return 1 - this.need / this.limit;
--- a/bench/src/main/java/org/brasspier/bench/capacity/CellSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/CellSlopes.java
@@ -16,11 +16,12 @@
 import org.brasspier.wire.CellRowCodec;
 
 /**
- * What a cell's members and ranges cost its lease managers, its members and the table.
+ * Measures how the load on lease managers, on members and on the metadata table grows
+ * with the number of members and ranges in a cell.
  */
 final class CellSlopes implements SlopeSuite {
 
-	/** Bytes of IPv4 and TCP headers, with the timestamps that Linux sends. */
+	/** Size of the IPv4 and TCP headers, with the TCP timestamps that Linux sends. */
 	static final int HEADER_BYTES = 52;
 
 	private static final int[] MEMBERS = { 4, 8, 12, 16, 20, 24 };
@@ -64,8 +65,9 @@
 	}
 
 	/**
-	 * What a primary's bytes go to, for whoever looks for what to cut.
-	 * @return lines of a table
+	 * Breaks the traffic of a primary lease manager down by message type, to show where
+	 * it can be reduced.
+	 * @return a Markdown table
 	 */
 	static String primaryTrafficByMessageType() {
 		return Arrays.stream(MEMBERS).mapToObj((members) -> {
--- a/bench/src/main/java/org/brasspier/bench/capacity/DocumentSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/DocumentSlopes.java
@@ -12,7 +12,8 @@
 import org.brasspier.wire.document.StoredDocument;
 
 /**
- * What the size of the configuration document costs each daemon.
+ * Measures the memory and time that a daemon spends on the configuration document, by the
+ * number of services in it.
  */
 final class DocumentSlopes implements SlopeSuite {
 
--- a/bench/src/main/java/org/brasspier/bench/capacity/EventSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/EventSlopes.java
@@ -10,7 +10,7 @@
 import org.brasspier.daemon.internal.event.EventLog;
 
 /**
- * What the time line keeps, and what following hot keys costs.
+ * Measures the memory and time that the event log and the tracking of hot keys take.
  */
 final class EventSlopes implements SlopeSuite {
 
--- a/bench/src/main/java/org/brasspier/bench/capacity/FrameSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/FrameSlopes.java
@@ -17,8 +17,8 @@
 import org.brasspier.wire.WireException;
 
 /**
- * What one hop between daemons adds to a request: bytes of its frame, and the time to
- * encode and decode it.
+ * Measures what forwarding between two daemons adds to a request: the size of its frame,
+ * and the time to encode and decode it.
  */
 final class FrameSlopes implements SlopeSuite {
 
@@ -47,7 +47,7 @@
 				.message();
 		}
 		catch (WireException ex) {
-			throw new IllegalStateException("a frame did not survive its own codec", ex);
+			throw new IllegalStateException("a forwarded request could not be decoded after encoding", ex);
 		}
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/capacity/MeasuredSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/MeasuredSlopes.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * All slopes of one run. Immutable and thread-safe.
+ * All slopes of one benchmark run. Immutable and thread-safe.
  *
  * @param slopes the slopes
  */
--- a/bench/src/main/java/org/brasspier/bench/capacity/ResourceProbe.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/ResourceProbe.java
@@ -9,7 +9,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads processor time and memory of this process for one piece of work. Not thread-safe.
+ * Measures the processor time and the heap memory that an operation takes in this
+ * process. Not thread-safe.
  */
 final class ResourceProbe {
 
@@ -21,17 +22,17 @@
 
 	private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
-	/** Keeps results alive, so that the compiler can't drop the work. */
+	/** Holds the results, so that the compiler can't eliminate the measured work. */
 	private static volatile @Nullable Object sink;
 
 	private ResourceProbe() {
 	}
 
 	/**
-	 * The processor time that a piece of work takes, by this thread's own clock, so that
-	 * other processes on the machine count little.
-	 * @param work the work; its result is kept from being optimised away
-	 * @return nanoseconds for each run of the work, the median of several
+	 * Measures the processor time of an operation by the CPU clock of the current thread,
+	 * so that other processes on the machine have little influence.
+	 * @param work the operation; its result is protected from dead-code elimination
+	 * @return nanoseconds per execution, the median of several samples
 	 */
 	static double medianCpuNanos(Supplier<?> work) {
 		int count = countRunsWithin(work, WARM_UP_MILLIS) * RUN_MILLIS / WARM_UP_MILLIS + 1;
@@ -47,8 +48,8 @@
 	}
 
 	/**
-	 * The processor time of this thread so far, which leaves out what other processes on
-	 * the machine take.
+	 * Returns the processor time that the current thread has used so far. The time that
+	 * other processes on the machine use is not included.
 	 * @return nanoseconds
 	 */
 	static long cpuNanos() {
@@ -66,11 +67,12 @@
 	}
 
 	/**
-	 * The heap that a structure keeps, by what is in use after a collection before and
-	 * after building it. All that is built stays until the end, so that nothing that a
-	 * collection happens to find late is counted against it.
+	 * Measures the heap memory that a structure retains, as the difference of the heap in
+	 * use after a garbage collection before and after the structure is built. All built
+	 * structures are held until the end, so that a late collection of an earlier one does
+	 * not distort a sample.
 	 * @param structure builds the structure
-	 * @return bytes kept, the median of several
+	 * @return retained bytes, the median of several samples
 	 */
 	static double retainedBytes(Supplier<?> structure) {
 		Object[] retained = new Object[RUNS];
--- a/bench/src/main/java/org/brasspier/bench/capacity/RouteSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/RouteSlopes.java
@@ -14,8 +14,8 @@
 import org.brasspier.core.routing.RouteTable;
 
 /**
- * What the ranges that a daemon knows of cost it: the memory of the route table, and the
- * time to look one key up.
+ * Measures the memory of the route table, and the time to rebuild it and to look up a
+ * key, by the number of ranges in it.
  */
 final class RouteSlopes implements SlopeSuite {
 
--- a/bench/src/main/java/org/brasspier/bench/capacity/SimulatedCell.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/SimulatedCell.java
@@ -33,13 +33,16 @@
 import org.brasspier.wire.WireException;
 
 /**
- * A cell's ownership machines in one thread, with the real codecs between them and a
- * table that answers at once: what steady state costs each role in bytes, processor time
- * and calls of the table, without a network to blur it. Not thread-safe.
+ * Runs the ownership state machines of a cell in one thread, with the real codecs between
+ * them and a table that answers immediately. Counts bytes, processor time and table calls
+ * of each role in steady state without the variance of a network. Not thread-safe.
  */
 final class SimulatedCell {
 
-	/** As large as the stamps of our time are. */
+	/**
+	 * Of a present-day magnitude, so that it is encoded in as many bytes as in
+	 * production.
+	 */
 	private static final HybridTime STAMP = new HybridTime(System.currentTimeMillis() << 16);
 
 	private static final int TICK_MILLIS = 25;
@@ -50,12 +53,12 @@
 
 	private static final ServiceName SERVICE = new ServiceName("hullbook");
 
-	/** As long as Linux waits for something to send an acknowledgement with. */
+	/** How long Linux delays an acknowledgement to send it along with data. */
 	private static final int DELAYED_ACK_MILLIS = 40;
 
 	private final Map<InstanceId, Process> processes = new HashMap<>();
 
-	/** When a process received what it has sent nothing back for. */
+	/** When the oldest segment arrived whose acknowledgement is still to be sent. */
 	private final Map<Direction, Long> pendingAcks = new HashMap<>();
 
 	private VersionedRow row = VersionedRow.NONE;
@@ -78,15 +81,15 @@
 	}
 
 	/**
-	 * Ends a process without warning.
-	 * @param instance which one
+	 * Ends a process without notice.
+	 * @param instance the process's instance
 	 */
 	void crash(InstanceId instance) {
 		this.processes.remove(instance);
 	}
 
 	/**
-	 * Ends all processes of the failure domain that the primary is in.
+	 * Ends all processes in the failure domain of the primary without notice.
 	 */
 	void crashDomainOfPrimary() {
 		FailureDomain domain = this.row.row().member(primaryInstance()).orElseThrow().domain();
@@ -98,8 +101,8 @@
 	}
 
 	/**
-	 * Lets a member leave as planned.
-	 * @param instance which one
+	 * Starts the planned departure of a member.
+	 * @param instance the member's instance
 	 */
 	void leave(InstanceId instance) {
 		step(instance, (machine) -> machine.leave(this.now));
@@ -110,8 +113,8 @@
 	}
 
 	/**
-	 * A member that manages nothing.
-	 * @return its identity
+	 * Finds a member that is not a lease manager.
+	 * @return its instance
 	 */
 	InstanceId plainMember() {
 		return this.row.row()
@@ -140,8 +143,8 @@
 	}
 
 	/**
-	 * Runs the cell for a while.
-	 * @param millis how long, on its own clock
+	 * Runs the cell.
+	 * @param millis how long, by the simulated clock
 	 */
 	void run(long millis) {
 		long end = this.now + millis;
@@ -155,7 +158,6 @@
 		}
 	}
 
-	/** Forgets what was counted so far. */
 	void resetCounts() {
 		this.processes.values().forEach(Process::reset);
 		this.writes = 0;
@@ -163,8 +165,8 @@
 	}
 
 	/**
-	 * What a process sent, received and computed since the counts were reset.
-	 * @param instance which one
+	 * Returns what a process sent, received and computed since the counts were reset.
+	 * @param instance the process's instance
 	 * @return the counts
 	 */
 	Counts counts(InstanceId instance) {
@@ -230,8 +232,8 @@
 		sender.outgoing.computeIfAbsent(send.to(), (to) -> new ArrayList<>()).add(frame);
 	}
 
-	// As a daemon does at the end of each turn of its loop: all for one peer in a
-	// segment.
+	// Sends all frames for a peer in one segment, as a daemon does at the end of each
+	// pass of its event loop.
 	private void flush(InstanceId from) {
 		if (!this.processes.containsKey(from)) {
 			return;
@@ -286,7 +288,7 @@
 			return ControlCodec.decode(reader);
 		}
 		catch (WireException ex) {
-			throw new IllegalStateException("a frame did not survive its own codec", ex);
+			throw new IllegalStateException("a control message could not be decoded after encoding", ex);
 		}
 	}
 
@@ -301,7 +303,7 @@
 	}
 
 	/**
-	 * One direction between two processes.
+	 * One direction of the connection between two processes.
 	 *
 	 * @param from the sender
 	 * @param to the receiver
@@ -319,8 +321,8 @@
 	 *
 	 * @param segments segments sent and received, acknowledgements included
 	 * @param frameBytes the bytes of the frames in them
-	 * @param nanos the time its decisions and codecs took, in nanoseconds
-	 * @param bytesByMessageType the bytes of the frames by kind of message
+	 * @param nanos the processor time of its decisions and codecs, in nanoseconds
+	 * @param bytesByMessageType the bytes of the frames by message type
 	 */
 	record Counts(long segments, long frameBytes, long nanos, Map<String, Long> bytesByMessageType) {
 
--- a/bench/src/main/java/org/brasspier/bench/capacity/Slope.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/Slope.java
@@ -5,21 +5,21 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * One quantity measured at several sizes, with the straight line through the points.
+ * One quantity measured at several sizes, with the straight line fitted to the points.
  * Immutable and thread-safe.
  *
  * @param name what was measured
  * @param sizeName what the size counts
  * @param unit the unit of the values
  * @param points the measured points, at least four
- * @param fit the line through them
+ * @param fit the line fitted to them
  */
 public record Slope(String name, String sizeName, String unit, List<Point> points, Fit fit) {
 
 	private static final int MIN_POINTS = 4;
 
 	/**
-	 * Copies the points.
+	 * Creates a slope with a copy of the points.
 	 * @throws IllegalArgumentException if there are fewer than four
 	 */
 	public Slope {
@@ -30,7 +30,7 @@
 	}
 
 	/**
-	 * Fits a line through measured points.
+	 * Fits a line to measured points.
 	 * @param name what was measured
 	 * @param sizeName what the size counts
 	 * @param unit the unit of the values
@@ -46,14 +46,15 @@
 	}
 
 	/**
-	 * Points that lie on a line exactly leave rounding errors below zero under a root.
+	 * Replaces NaN by 0: where the points lie exactly on a line, a rounding error can
+	 * make the radicand of the error negative.
 	 */
 	private static double orZero(double error) {
 		return (Double.isNaN(error)) ? 0 : error;
 	}
 
 	/**
-	 * What the line says at another size.
+	 * Returns the value of the fitted line at a size.
 	 * @param size the size
 	 * @return the value, in this slope's unit
 	 */
@@ -74,10 +75,11 @@
 	/**
 	 * A straight line.
 	 *
-	 * @param perSize by how much the value grows with each one of the size
+	 * @param perSize by how much the value grows when the size grows by 1
 	 * @param error the standard error of that growth
 	 * @param base the value at size 0
-	 * @param rSquare how much of the spread the line explains, up to 1
+	 * @param rSquare the coefficient of determination: the share of the variance that the
+	 * line explains, up to 1
 	 */
 	public record Fit(double perSize, double error, double base, double rSquare) {
 
--- a/bench/src/main/java/org/brasspier/bench/capacity/SlopeSuite.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/SlopeSuite.java
@@ -5,12 +5,12 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * A few slopes that are measured together.
+ * A group of slopes that are measured together.
  */
 interface SlopeSuite {
 
 	/**
-	 * Measures.
+	 * Measures all slopes of the group.
 	 * @return the slopes
 	 */
 	List<Slope> measure();
@@ -21,7 +21,7 @@
 	 * @param sizeName what the size counts
 	 * @param unit the unit of the values
 	 * @param sizes the sizes, at least four
-	 * @param measurement gives the value at a size
+	 * @param measurement returns the value at a size
 	 * @return the slope
 	 */
 	static Slope measureSlope(String name, String sizeName, String unit, int[] sizes, IntToDoubleFunction measurement) {
--- a/bench/src/main/java/org/brasspier/bench/capacity/TargetSize.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/TargetSize.java
@@ -1,8 +1,8 @@
 package org.brasspier.bench.capacity;
 
 /**
- * The size that the users expect in two years, as they wrote it, and what the platform
- * gives. Immutable and thread-safe.
+ * The size that the users stated that they expect in two years, and the limits of the
+ * platform. Immutable and thread-safe.
  *
  * @param nodes instances
  * @param requestsPerSecond requests a second over all instances
@@ -12,14 +12,14 @@
  * @param lossesPerDay instances that fail a day
  * @param replacementsPerDay instances that are restarted or replaced a day
  * @param hotKeys the hottest keys, which change within minutes
- * @param controlBytes bytes a second that a node may spend on control
+ * @param controlBytes bytes a second that a node may use for control traffic
  * @param tableWrites writes a second that the table takes
  * @param tableReads reads a second that the table takes
  */
 record TargetSize(int nodes, double requestsPerSecond, int regions, int domains, int changesPerDay, int lossesPerDay,
 		int replacementsPerDay, int hotKeys, double controlBytes, double tableWrites, double tableReads) {
 
-	/** "Several hundred writes" is taken as 300. */
+	/** The users' "several hundred writes" is taken as 300. */
 	static final TargetSize IN_TWO_YEARS = new TargetSize(3500, 27e6, 3, 7, 5700, 8, 380, 95, 10 * 1024, 300, 2000);
 
 	double nodesInDomain() {
--- a/bench/src/main/java/org/brasspier/bench/capacity/package-info.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Slopes: how state, bytes and processor time grow with each size that matters, measured
- * at four sizes or more and fitted by a straight line. docs/CAPACITY.md is worked out
- * from them.
+ * Measures slopes: how memory, traffic and processor time grow with each relevant size,
+ * measured at four or more sizes and fitted by a straight line. docs/CAPACITY.md is
+ * calculated from them.
  */
 @NullMarked
 package org.brasspier.bench.capacity;
