--- a/bench/src/main/java/org/brasspier/bench/policy/AdmissionServer.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/AdmissionServer.java
@@ -17,7 +17,7 @@
 import org.brasspier.core.admission.RunOutcome;
 
 /**
- * A backend server behind the admission decisions, as its daemon uses them. Not
+ * A backend server behind an admission controller, used as in the daemon. Not
  * thread-safe.
  */
 final class AdmissionServer {
@@ -63,7 +63,7 @@
 	}
 
 	static Failure noOwnerFailure() {
-		return new Failure(ErrorKind.NO_OWNER, "nobody holds the range", java.time.Duration.ofMillis(200));
+		return new Failure(ErrorKind.NO_OWNER, "the range has no owner", java.time.Duration.ofMillis(200));
 	}
 
 	long meanRunNanos(Attempt attempt) {
@@ -101,8 +101,8 @@
 		this.pending.remove(running.attempt().id());
 		NextRequests next = this.admission.finished(running.attempt().id(), outcome, this.time.now());
 		AttemptResult result = (outcome == RunOutcome.ANSWERED)
-				? new AttemptResult.Answered(this.time.now() - running.sinceNanos())
-				: new AttemptResult.Failed(Failure.of(ErrorKind.OUTCOME_UNKNOWN, "the backend server is lost"));
+				? new AttemptResult.Answered(this.time.now() - running.sinceNanos()) : new AttemptResult.Failed(
+						Failure.of(ErrorKind.OUTCOME_UNKNOWN, "the backend server failed while the request ran"));
 		running.onResult().accept(result);
 		if (!this.crashed) {
 			apply(next);
--- a/bench/src/main/java/org/brasspier/bench/policy/Attempt.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/Attempt.java
@@ -1,7 +1,7 @@
 package org.brasspier.bench.policy;
 
 /**
- * One sending of a request. Not thread-safe.
+ * One attempt of a caller to have a request served. Not thread-safe.
  */
 final class Attempt {
 
@@ -45,7 +45,7 @@
 		return this.deadlineNanos;
 	}
 
-	// True the first time only: an attempt has one end.
+	// Returns true for the first call only, so that only one result of an attempt counts.
 	boolean tryEnd() {
 		boolean first = !this.ended;
 		this.ended = true;
--- a/bench/src/main/java/org/brasspier/bench/policy/AttemptResult.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/AttemptResult.java
@@ -3,23 +3,23 @@
 import org.brasspier.core.Failure;
 
 /**
- * How an attempt ended at a backend server.
+ * The result of an attempt at a backend server.
  */
 sealed interface AttemptResult {
 
 	/**
-	 * It ran and was answered.
+	 * The request ran and was answered.
 	 *
-	 * @param runNanos how long it held a slot
+	 * @param runNanos how long it occupied a slot
 	 */
 	record Answered(long runNanos) implements AttemptResult {
 
 	}
 
 	/**
-	 * It was refused or cut off.
+	 * The request was refused or interrupted.
 	 *
-	 * @param failure what the caller is told
+	 * @param failure the error returned to the caller
 	 */
 	record Failed(Failure failure) implements AttemptResult {
 
--- a/bench/src/main/java/org/brasspier/bench/policy/Callers.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/Callers.java
@@ -7,12 +7,12 @@
 import org.brasspier.core.Failure;
 
 /**
- * All callers of a run: they send what was recorded, wait, and send again as the version
- * that is tried lets them. Not thread-safe.
+ * All callers of a simulation. They send the recorded requests, wait, and resend as the
+ * strategy allows. Not thread-safe.
  */
 final class Callers {
 
-	/** Both versions' callers give up after as many resends. */
+	/** The callers of both strategies give up after this many resends. */
 	private static final int MAX_RESENDS = 3;
 
 	private final VirtualTime time;
@@ -69,9 +69,9 @@
 	}
 
 	/**
-	 * Carries a whole answer to the caller.
-	 * @param attempt what was answered
-	 * @param returnNanos the way between daemons
+	 * Delivers an answer to the caller.
+	 * @param attempt the answered attempt
+	 * @param returnNanos the delay between the daemons
 	 */
 	void deliverAnswer(Attempt attempt, long returnNanos) {
 		this.outcomes.recordRun(attempt.call());
@@ -83,10 +83,10 @@
 	}
 
 	/**
-	 * Carries an error to the caller.
-	 * @param attempt what failed
+	 * Delivers an error to the caller.
+	 * @param attempt the failed attempt
 	 * @param failure the error
-	 * @param arrivedNanos when the attempt had reached the daemon
+	 * @param arrivedNanos when the attempt reached the daemon
 	 */
 	void deliverFailure(Attempt attempt, Failure failure, long arrivedNanos) {
 		this.outcomes.recordRefusal(attempt, failure, this.time.now() - arrivedNanos);
--- a/bench/src/main/java/org/brasspier/bench/policy/Comparison.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/Comparison.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * The same recorded load through both versions.
+ * The results of both strategies for the same recorded load.
  *
  * @param deployment the deployment's name
  * @param load the load's name
- * @param requests how many requests were recorded
- * @param policy what the policy made of it
- * @param naive what the naive version made of it
+ * @param requests the number of recorded requests
+ * @param policy the results of the product's policy
+ * @param naive the results of the naive strategy
  */
 record Comparison(String deployment, String load, int requests, Figures policy, Figures naive) {
 
--- a/bench/src/main/java/org/brasspier/bench/policy/GoodputUpperBound.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/GoodputUpperBound.java
@@ -5,9 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * The slot time that a perfect version could have answered in time: all servers as one,
- * the work due first taken first, what is overdue dropped. An upper bound, since work is
- * taken as a fluid and may run as soon as it's sent.
+ * Calculates the slot time that an ideal strategy could have answered in time: all
+ * servers pooled, earliest deadline first, overdue work dropped. It is an upper bound,
+ * since work is treated as divisible at will and may run as soon as it is sent.
  */
 final class GoodputUpperBound {
 
@@ -55,13 +55,13 @@
 	}
 
 	private double availableSlots(long now) {
-		Load.Faults trouble = this.load.faults();
-		if (now >= trouble.stallBeginNanos() && now < trouble.stallEndNanos()) {
+		Load.Faults faults = this.load.faults();
+		if (now >= faults.stallBeginNanos() && now < faults.stallEndNanos()) {
 			return 0;
 		}
-		double servers = this.deployment.servers() - 1 + 1 / trouble.slowness()
-				- ((now >= trouble.lostAtNanos()) ? 1 : 0);
-		return servers * (this.deployment.slots() / trouble.slotOverstatement());
+		double servers = this.deployment.servers() - 1 + 1 / faults.slowness()
+				- ((now >= faults.lostAtNanos()) ? 1 : 0);
+		return servers * (this.deployment.slots() / faults.slotOverstatement());
 	}
 
 }
--- a/bench/src/main/java/org/brasspier/bench/policy/KeyDistribution.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/KeyDistribution.java
@@ -4,12 +4,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which keys are asked for.
+ * The distribution of the requested keys.
  *
  * @param keys the number of keys
- * @param zipf the exponent of their popularity, 0 for all the same
- * @param hottestShare the share that one key has besides, 0 for none
- * @param changeIntervalNanos how often other keys get hot, 0 for never
+ * @param zipf the Zipf exponent of their popularity, 0 for a uniform distribution
+ * @param hottestShare the additional share of requests for a single hot key, 0 for none
+ * @param changeIntervalNanos the interval at which the hot keys change, 0 for never
  */
 record KeyDistribution(int keys, double zipf, double hottestShare, long changeIntervalNanos) {
 
@@ -22,8 +22,8 @@
 	static final KeyDistribution CHANGING = new KeyDistribution(20_000, 1.2, 0, 60 * VirtualTime.SECOND);
 
 	/**
-	 * A source of keys. Ranks become keys by a fixed walk that starts elsewhere after
-	 * each change.
+	 * Returns a source of random keys. Popularity ranks are mapped to keys with an offset
+	 * that differs after each change of the hot keys.
 	 * @return the source
 	 */
 	Source source() {
--- a/bench/src/main/java/org/brasspier/bench/policy/Load.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/Load.java
@@ -10,23 +10,23 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * One load: what callers ask for and what happens to the servers.
+ * One load: what callers request, and which faults occur.
  *
  * @param name the load's name
- * @param sharded whether the service is divided by key
- * @param seconds how long callers send
- * @param settleSeconds the time at the start that is not measured
- * @param utilization the slot time asked for, as a share of all slots
- * @param classes the classes of request
- * @param keys the keys
- * @param faults what happens
+ * @param sharded whether the service is sharded by key
+ * @param seconds how long callers send requests
+ * @param settleSeconds the warm-up time that is not measured
+ * @param utilization the requested slot time as a share of the capacity of all slots
+ * @param classes the distribution over request classes
+ * @param keys the distribution of the keys
+ * @param faults the faults and load changes
  */
 record Load(String name, boolean sharded, int seconds, int settleSeconds, double utilization, RequestClassMix classes,
 		KeyDistribution keys, Faults faults) {
 
 	private static final int CALLERS = 20;
 
-	/** The caller that crowds the others out, where one does. */
+	/** The caller that sends more than the others in loads with a dominant caller. */
 	static final CallerId FIRST_CALLER = new CallerId("caller-0");
 
 	static List<Load> all() {
@@ -69,10 +69,10 @@
 	}
 
 	/**
-	 * What callers send, the same for each version that is tried.
-	 * @param deployment where
-	 * @param seed the seed of all chance
-	 * @return the requests by time
+	 * Generates the requests that callers send, the same for each strategy.
+	 * @param deployment the deployment
+	 * @param seed the random seed
+	 * @return the requests in order of time
 	 */
 	List<RecordedRequest> record(Deployment deployment, long seed) {
 		SplittableRandom random = new SplittableRandom(seed);
@@ -102,16 +102,18 @@
 	}
 
 	/**
-	 * What happens to callers and servers. A burst begins at half time and lasts 2
+	 * Load changes and faults of servers. A burst begins at half of the time and lasts 2
 	 * seconds.
 	 *
-	 * @param burst how many times the usual load comes in the burst
-	 * @param slowness how many times longer the first server takes, from the start on
-	 * @param lostAtSecond when the last failure domain is lost, 0 for never
-	 * @param stalledAtSecond when all servers stop for 5 seconds, 0 for never
-	 * @param slotOverstatement how many times the true slots the servers announce
-	 * @param firstCallerFactor how many times as much as each other caller the first one
-	 * sends
+	 * @param burst the factor by which the request rate grows during the burst
+	 * @param slowness the factor by which run times on the first server are longer, from
+	 * the start on
+	 * @param lostAtSecond when the failure domain of the last server is lost, 0 for never
+	 * @param stalledAtSecond when all servers stall for 5 seconds, 0 for never
+	 * @param slotOverstatement the announced slots of a server divided by its actual
+	 * slots
+	 * @param firstCallerFactor the request rate of the first caller divided by that of
+	 * each other caller
 	 */
 	record Faults(double burst, double slowness, int lostAtSecond, int stalledAtSecond, int slotOverstatement,
 			double firstCallerFactor) {
--- a/bench/src/main/java/org/brasspier/bench/policy/NaiveStrategy.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/NaiveStrategy.java
@@ -8,9 +8,9 @@
 import org.brasspier.core.placement.PlacementStep.MoveCause;
 
 /**
- * What one would write first: hash modulo servers, one unbounded first-come queue, the
- * reported load believed, a part moved whenever the shares differ; callers send again at
- * once, three times. Not thread-safe.
+ * The naive strategy that the policy is compared with: hash modulo servers, one unbounded
+ * FIFO queue per server, trust in the reported load, and a bucket moved whenever the
+ * loads differ. Callers retry immediately, up to three times. Not thread-safe.
  */
 final class NaiveStrategy implements ServingStrategy {
 
@@ -121,7 +121,7 @@
 
 	@Override
 	public void onCallerTimeout(Attempt attempt) {
-		// The server works on: nobody tells it.
+		// The server isn't notified and continues to run the request.
 	}
 
 	@Override
--- a/bench/src/main/java/org/brasspier/bench/policy/OutcomeRecorder.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/OutcomeRecorder.java
@@ -10,7 +10,7 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * What callers saw. Not thread-safe.
+ * Records the outcomes of requests as callers see them. Not thread-safe.
  */
 final class OutcomeRecorder {
 
@@ -91,7 +91,8 @@
 		}
 	}
 
-	// Lookups that did not touch the server in trouble.
+	// Records a lookup on a server other than the first, which is the slow one in loads
+	// with a slow server.
 	void recordAnsweredElsewhere(Attempt attempt, long now) {
 		if (isMeasured(attempt.call()) && attempt.call().requestClass() == RequestClass.LOOKUP) {
 			this.lookupsElsewhere.recordValue(micros(now - attempt.sentNanos()));
@@ -146,7 +147,8 @@
 		return this.otherCallersLookups;
 	}
 
-	// The share of the work that callers other than the first asked for and got.
+	// Returns the share of the slot time requested by callers other than the first that
+	// was answered.
 	double otherCallersGoodput() {
 		return this.otherCallersAnsweredNanos / Math.max(1, this.otherCallersOfferedNanos);
 	}
@@ -167,7 +169,7 @@
 		return this.ranTwice;
 	}
 
-	// As if the whole service had been away for this long.
+	// Returns the time without an owner, as the equivalent time of the whole service.
 	double unavailableSeconds() {
 		double seconds = (this.untilNanos - this.fromNanos) / (double) VirtualTime.SECOND;
 		return this.refusedWithoutOwner / (Math.max(1, this.offered) / seconds);
--- a/bench/src/main/java/org/brasspier/bench/policy/PolicyBench.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/PolicyBench.java
@@ -15,13 +15,17 @@
 
 /**
  * Runs all loads for both deployments and writes {@code policy.json} and
- * {@code policy.md}. Virtual time: the figures are the same on each machine and each run.
+ * {@code policy.md}. Since time is virtual, the results are the same on each machine and
+ * in each run.
  */
 public final class PolicyBench {
 
 	private static final long SEED = 20_260;
 
-	/** Enough to end within three minutes, few enough to leave the machine to others. */
+	/**
+	 * Enough to finish within three minutes, and few enough to leave cores to other
+	 * processes.
+	 */
 	private static final int THREADS = 4;
 
 	private PolicyBench() {
--- a/bench/src/main/java/org/brasspier/bench/policy/PolicyTable.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/PolicyTable.java
@@ -6,7 +6,7 @@
 import java.util.stream.Stream;
 
 /**
- * The figures as Markdown.
+ * Formats the results as Markdown tables.
  */
 final class PolicyTable {
 
@@ -34,14 +34,15 @@
 			.collect(Collectors.joining("\n"));
 	}
 
-	private static String row(String load, String version, Figures f) {
+	private static String row(String load, String version, Figures figures) {
 		return String.format(Locale.ROOT,
 				"| %s | %s | %.3f | %.4f | %.4f | %.1f | %.1f / %.1f / %.1f | %.1f | %.1f | %.3f (%.2f) | %.4f | %.3f | %d | %.3f | %d | %.0f | %.3f, %.1f |",
-				load, version, f.goodput(), f.refusedShare(), f.timedOutShare(), f.refusalP99Millis(),
-				f.lookupP50Millis(), f.lookupP99Millis(), f.lookupP999Millis(), f.lookupAllP99Millis(),
-				f.elsewhereP99Millis(), f.imbalance(), f.imbalanceBound(), f.balanceChurnHourly(), f.lossChurn(),
-				f.moves(), f.unavailableSeconds(), f.ranTwice(), f.recoveryMillis(), f.othersGoodput(),
-				f.othersLookupP99Millis());
+				load, version, figures.goodput(), figures.refusedShare(), figures.timedOutShare(),
+				figures.refusalP99Millis(), figures.lookupP50Millis(), figures.lookupP99Millis(),
+				figures.lookupP999Millis(), figures.lookupAllP99Millis(), figures.elsewhereP99Millis(),
+				figures.imbalance(), figures.imbalanceBound(), figures.balanceChurnHourly(), figures.lossChurn(),
+				figures.moves(), figures.unavailableSeconds(), figures.ranTwice(), figures.recoveryMillis(),
+				figures.othersGoodput(), figures.othersLookupP99Millis());
 	}
 
 }
--- a/bench/src/main/java/org/brasspier/bench/policy/ProcessCheck.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/ProcessCheck.java
@@ -17,9 +17,10 @@
 import org.brasspier.standins.TrafficStream;
 
 /**
- * A few of the loads with real processes, to see whether the figures of the pure policy
- * hold there: one service divided by key at kliring's size. Work takes ten times as long
- * as in virtual time, so that one machine carries three times the capacity.
+ * Runs some of the loads with real processes, to check whether the results of the
+ * simulation hold there: one sharded service at kliring's size. Requests run ten times as
+ * long as in virtual time, so that one machine can carry a load of three times the
+ * capacity.
  */
 public final class ProcessCheck {
 
@@ -36,7 +37,8 @@
 	private static final int AUDIT_MILLIS = 1000;
 
 	/**
-	 * What runs or waits when the measured time begins stands for what does at its end.
+	 * Warm-up time. Requests that are in progress when the measurement begins make up for
+	 * those still in progress at its end.
 	 */
 	private static final int SETTLE_SECONDS = 5;
 
@@ -48,7 +50,7 @@
 
 	/**
 	 * Runs the loads and prints a line for each.
-	 * @param args nothing
+	 * @param args not used
 	 * @throws InterruptedException if interrupted
 	 */
 	public static void main(String[] args) throws InterruptedException {
--- a/bench/src/main/java/org/brasspier/bench/policy/RangeOwnership.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/RangeOwnership.java
@@ -20,17 +20,21 @@
 import org.brasspier.core.placement.PlacementStep;
 
 /**
- * Which server owns which range in a run, moved as the placement policy says. Not
- * thread-safe.
+ * Which server owns which range in a simulation. Ranges move as the placement policy
+ * decides. Not thread-safe.
  */
 final class RangeOwnership {
 
 	/**
-	 * A planned move: the old owner drains, the row is written, the new one is granted.
+	 * Duration of a planned move: the old owner drains, the row is written, the new owner
+	 * gets its grant.
 	 */
 	static final long MOVE_NANOS = 100 * VirtualTime.MILLI;
 
-	/** A loss: the lease runs out, the row is written, the new owners are granted. */
+	/**
+	 * Recovery time after a loss: the lease expires, the row is written, new owners get
+	 * grants.
+	 */
 	static final long RECOVERY_NANOS = 800 * VirtualTime.MILLI;
 
 	private static final long METER_WINDOW_NANOS = 10 * VirtualTime.SECOND;
@@ -59,7 +63,7 @@
 		planSteps().forEach((step) -> apply(step, DISTANT_PAST_NANOS, 0));
 	}
 
-	// Empty while the range is on its way.
+	// Returns an empty result while the range moves to a new owner.
 	Optional<Integer> owner(KeyHash hash) {
 		OwnedRange owned = this.ranges.floorEntry(hash.point()).getValue();
 		return (owned.servedFromNanos() <= this.time.now()) ? Optional.of(owned.owner()) : Optional.empty();
--- a/bench/src/main/java/org/brasspier/bench/policy/RecordedRequest.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/RecordedRequest.java
@@ -7,15 +7,15 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * A recorded request.
+ * A request of a recorded load.
  *
- * @param number its place in the recording
+ * @param number its index in the recording
  * @param atNanos when its caller first sends it
- * @param keyHash its point
+ * @param keyHash the hash of its key
  * @param requestClass its class
- * @param caller who sends it
- * @param runNanos how long a healthy server runs it
- * @param entryDaemon the daemon that it enters by
+ * @param caller the caller that sends it
+ * @param runNanos its run time on a healthy server
+ * @param entryDaemon the index of the daemon that receives it
  */
 record RecordedRequest(int number, long atNanos, KeyHash keyHash, RequestClass requestClass, CallerId caller,
 		long runNanos, int entryDaemon) {
--- a/bench/src/main/java/org/brasspier/bench/policy/RequestClassMix.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/RequestClassMix.java
@@ -6,8 +6,8 @@
 import org.brasspier.core.RequestClass;
 
 /**
- * How many requests are of each class and how long they run. Simulation times are
- * exponential, so that one in a hundred takes 4.6 times the mean.
+ * The distribution of requests over the classes, and their run times. Run times are
+ * exponentially distributed, so that one in a hundred takes at least 4.6 times the mean.
  *
  * @param shares the share of requests of each class
  * @param meanNanos the mean run time of each class
@@ -17,11 +17,11 @@
 	private static final Map<RequestClass, Double> MEANS = Map.of(RequestClass.LOOKUP, 10e6, RequestClass.POSTING, 20e6,
 			RequestClass.INTERNAL, 5e6, RequestClass.AUDIT, 100e6);
 
-	/** A usual day. */
+	/** The mix of a typical day. */
 	static final RequestClassMix TYPICAL = new RequestClassMix(Map.of(RequestClass.LOOKUP, 0.6, RequestClass.POSTING,
 			0.2, RequestClass.INTERNAL, 0.15, RequestClass.AUDIT, 0.05), MEANS);
 
-	/** A night on which auditors pull long histories while lookups go on. */
+	/** Auditors read long histories at night while lookups continue. */
 	static final RequestClassMix LONG_AND_SHORT = new RequestClassMix(
 			Map.of(RequestClass.LOOKUP, 0.6, RequestClass.POSTING, 0.15, RequestClass.INTERNAL, 0.15,
 					RequestClass.AUDIT, 0.1),
--- a/bench/src/main/java/org/brasspier/bench/policy/ServingStrategy.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/ServingStrategy.java
@@ -1,38 +1,40 @@
 package org.brasspier.bench.policy;
 
 /**
- * What is tried: from an attempt's arrival at a daemon to its end.
+ * A strategy under comparison: handles an attempt from its arrival at a daemon to its
+ * result.
  */
 interface ServingStrategy {
 
 	/**
-	 * Takes an attempt that has arrived.
+	 * Handles an attempt that has arrived at its entry daemon.
 	 * @param attempt the attempt
 	 */
 	void onArrival(Attempt attempt);
 
 	/**
-	 * Hears that an attempt's caller has stopped waiting.
+	 * Called when the caller of an attempt has stopped waiting.
 	 * @param attempt the attempt
 	 */
 	void onCallerTimeout(Attempt attempt);
 
 	/**
-	 * When a refused caller sends again.
-	 * @param retryAfterNanos what the refusal said
-	 * @return the pause, negative if it does not
+	 * Returns how long a refused caller waits before it sends the request again.
+	 * @param retryAfterNanos the retry delay given in the refusal
+	 * @return the delay
 	 */
 	long resendDelayNanos(long retryAfterNanos);
 
 	/**
-	 * Whether callers send again what timed out or broke, whatever it is.
-	 * @return true for the naive version
+	 * Whether callers also resend requests that timed out or were interrupted, of any
+	 * request class.
+	 * @return true for the naive strategy
 	 */
 	boolean resendsEveryFailure();
 
 	/**
-	 * What moved so far.
-	 * @return the account
+	 * Returns the ownership changes so far.
+	 * @return the ownership changes
 	 */
 	Churn churn();
 
--- a/bench/src/main/java/org/brasspier/bench/policy/ShardedStrategy.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/ShardedStrategy.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * The policy on a service that is divided by key: the owner's daemon admits. Not
- * thread-safe.
+ * The product's policy for a sharded service: the daemon of the range's owner decides on
+ * admission. Not thread-safe.
  */
 final class ShardedStrategy implements ServingStrategy {
 
@@ -69,7 +69,7 @@
 		}
 		int server = owner.get();
 		this.servers.get(server)
-			.offer(attempt, (ending) -> onResult(attempt, server, ending, arrivedNanos, forwardNanos));
+			.offer(attempt, (result) -> onResult(attempt, server, result, arrivedNanos, forwardNanos));
 	}
 
 	private void onResult(Attempt attempt, int server, AttemptResult result, long arrivedNanos, long forwardNanos) {
--- a/bench/src/main/java/org/brasspier/bench/policy/SimulatedServer.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/SimulatedServer.java
@@ -6,8 +6,8 @@
 import java.util.Queue;
 
 /**
- * A backend server: as many at once as it truly has slots, the rest waits inside in order
- * of arrival. Not thread-safe.
+ * A simulated backend server. It runs as many requests at once as it actually has slots,
+ * and queues the others internally in order of arrival. Not thread-safe.
  */
 final class SimulatedServer {
 
@@ -29,11 +29,11 @@
 
 	private boolean crashed;
 
-	SimulatedServer(VirtualTime time, int slots, double slowness, Load.Faults trouble) {
+	SimulatedServer(VirtualTime time, int slots, double slowness, Load.Faults faults) {
 		this.time = time;
 		this.slots = slots;
 		this.slowness = slowness;
-		this.faults = trouble;
+		this.faults = faults;
 	}
 
 	void submit(Attempt attempt, Runnable onAnswered, Runnable onInterrupted) {
@@ -49,7 +49,8 @@
 		}
 	}
 
-	// Stops work whose caller is gone. Returns whether it was there.
+	// Stops an attempt whose caller no longer waits. Returns whether it was running or
+	// queued.
 	boolean cancel(Attempt attempt) {
 		Job job = this.running.remove(attempt.id());
 		if (job != null) {
--- a/bench/src/main/java/org/brasspier/bench/policy/Simulation.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/Simulation.java
@@ -7,11 +7,11 @@
 import org.brasspier.core.placement.PlacementStep.MoveCause;
 
 /**
- * One load through one version in virtual time. Not thread-safe.
+ * Simulates one load with one strategy in virtual time. Not thread-safe.
  */
 final class Simulation {
 
-	/** The longest that callers wait for what they sent last, without audit readers. */
+	/** The longest wait for the last requests of callers, audit reads excepted. */
 	private static final long DRAIN_NANOS = 10 * VirtualTime.SECOND;
 
 	private static final long RECOVERY_WINDOW_NANOS = 500 * VirtualTime.MILLI;
@@ -35,10 +35,10 @@
 		this.load = load;
 		this.outcomes = new OutcomeRecorder(measureFromNanos(), measureUntilNanos());
 		this.callers = new Callers(this.time, deployment, this.outcomes);
-		Load.Faults trouble = load.faults();
+		Load.Faults faults = load.faults();
 		this.servers = IntStream.range(0, deployment.servers())
-			.mapToObj((i) -> new SimulatedServer(this.time, deployment.slots() / trouble.slotOverstatement(),
-					(i == 0) ? trouble.slowness() : 1, trouble))
+			.mapToObj((i) -> new SimulatedServer(this.time, deployment.slots() / faults.slotOverstatement(),
+					(i == 0) ? faults.slowness() : 1, faults))
 			.toList();
 	}
 
@@ -88,7 +88,8 @@
 		return churn.share(cause) * 3600 / this.load.seconds();
 	}
 
-	// After a stall: until what is answered in half a second is what was asked for.
+	// Returns the time from the end of a stall to the end of the first half second in
+	// which at least 95 % of the offered work was answered.
 	private double recoveryMillis(List<RecordedRequest> calls) {
 		long stallEnd = this.load.faults().stallEndNanos();
 		for (long binBegin = stallEnd; binBegin < measureUntilNanos()
--- a/bench/src/main/java/org/brasspier/bench/policy/UnshardedStrategy.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/UnshardedStrategy.java
@@ -14,8 +14,8 @@
 import org.brasspier.core.retry.RetryPolicy;
 
 /**
- * The policy on a service that is not divided by key: each daemon chooses a server, whose
- * own daemon admits. Not thread-safe.
+ * The product's policy for a service without sharding: each daemon chooses a backend
+ * server, and that server's daemon decides on admission. Not thread-safe.
  */
 final class UnshardedStrategy implements ServingStrategy {
 
@@ -76,8 +76,8 @@
 		this.time.scheduleAfter(forwardNanos, () -> {
 			long offeredNanos = this.time.now();
 			this.servers.get(server)
-				.offer(attempt, (ending) -> this.time.scheduleAfter(forwardNanos, () -> onResult(attempt, server,
-						ending, new Times(arrivedNanos, this.time.now() - forwardNanos - offeredNanos, forwardNanos))));
+				.offer(attempt, (result) -> this.time.scheduleAfter(forwardNanos, () -> onResult(attempt, server,
+						result, new Times(arrivedNanos, this.time.now() - forwardNanos - offeredNanos, forwardNanos))));
 		});
 	}
 
--- a/bench/src/main/java/org/brasspier/bench/policy/VirtualTime.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/VirtualTime.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 
 /**
- * A clock that jumps from one planned action to the next. Not thread-safe.
+ * A virtual clock that advances from one scheduled action to the next. Not thread-safe.
  */
 final class VirtualTime {
 
--- a/bench/src/main/java/org/brasspier/bench/policy/package-info.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The decisions under load against a naive version, in virtual time: queues and servers
- * only, no network and no failures beyond those that a load names.
+ * Compares the product's policy with a naive strategy under load, in virtual time. Only
+ * queues and servers are simulated: no network, and no failures but those that a load
+ * defines.
  */
 @NullMarked
 package org.brasspier.bench.policy;
--- a/bench/src/test/java/org/brasspier/bench/policy/PolicyLoadTests.java
+++ b/bench/src/test/java/org/brasspier/bench/policy/PolicyLoadTests.java
@@ -8,8 +8,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * The same recorded load through the policy and the naive version, in virtual time: the
- * outcome for callers is the same on each machine and each run.
+ * Runs the same recorded loads with the product's policy and with the naive strategy in
+ * virtual time, so that the results are the same on each machine and in each run.
  */
 class PolicyLoadTests {
 
@@ -20,8 +20,8 @@
 	}
 
 	/**
-	 * Three times as many callers as can be served: each waits in a queue that only
-	 * grows, is answered too late, and sends again. What can't be served must be refused.
+	 * At three times the capacity, callers wait in a queue that only grows, are answered
+	 * too late and send again. Requests that can't be served must be refused.
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
@@ -42,8 +42,8 @@
 	}
 
 	/**
-	 * Auditors pull long histories and all slots hold one: a crew's lookup waits for half
-	 * a second. Audit reads must use what the lookups leave, and not less.
+	 * Long audit reads can occupy all slots, so that a lookup waits for half a second.
+	 * Audit reads must still use all the capacity that lookups leave.
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
@@ -55,8 +55,8 @@
 	}
 
 	/**
-	 * A server takes five times as long while its health says that it is well. Crews
-	 * whose keys are on other servers must not notice.
+	 * One server takes five times as long while it reports itself healthy. Lookups of
+	 * keys on other servers must not become slower.
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
@@ -69,8 +69,9 @@
 	}
 
 	/**
-	 * One office's script sends ten times what each other office does, more than can be
-	 * served: the others' crews wait behind it. Its own requests must pay for that.
+	 * One caller sends ten times as much as each other caller, more than can be served,
+	 * so that the requests of the others wait behind its own. Its own requests must be
+	 * delayed or refused instead.
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
@@ -106,8 +107,8 @@
 	}
 
 	/**
-	 * All servers stop for five seconds; what waited is late, its callers send again, and
-	 * the naive version never gets out of answering too late.
+	 * All servers stall for five seconds. Queued requests are then late and their callers
+	 * send again, so that the naive strategy keeps answering too late and never recovers.
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
