--- a/bench/src/main/java/org/brasspier/bench/capacity/CellSlopes.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/CellSlopes.java
@@ -76,7 +76,7 @@
 			SimulatedCell.Counts counts = cell.counts(cell.primaryInstance());
 			Map<String, Long> bytesPerSecondByType = new TreeMap<>();
 			counts.bytesByMessageType()
-				.forEach((kind, bytes) -> bytesPerSecondByType.put(kind, Math.round(perSecond(bytes))));
+				.forEach((type, bytes) -> bytesPerSecondByType.put(type, Math.round(perSecond(bytes))));
 			return "| %d | %.0f | %.0f | %s |".formatted(members, perSecond(counts.segments()),
 					perSecond(counts.segments() * HEADER_BYTES), bytesPerSecondByType);
 		})
--- a/bench/src/main/java/org/brasspier/bench/capacity/SimulatedCell.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/SimulatedCell.java
@@ -268,17 +268,20 @@
 			.filter((entry) -> this.now - entry.getValue() >= DELAYED_ACK_MILLIS)
 			.map(Map.Entry::getKey)
 			.toList()
-			.forEach((way) -> {
-				this.pendingAcks.remove(way);
-				countSegment(way, 0);
+			.forEach((direction) -> {
+				this.pendingAcks.remove(direction);
+				countSegment(direction, 0);
 			});
 	}
 
-	private void countSegment(Direction way, int bytes) {
-		Stream.of(way.from(), way.to()).map(this.processes::get).filter(Objects::nonNull).forEach((process) -> {
-			process.segments++;
-			process.frameBytes += bytes;
-		});
+	private void countSegment(Direction direction, int bytes) {
+		Stream.of(direction.from(), direction.to())
+			.map(this.processes::get)
+			.filter(Objects::nonNull)
+			.forEach((process) -> {
+				process.segments++;
+				process.frameBytes += bytes;
+			});
 	}
 
 	private static ControlMessage decode(byte[] frame) {
--- a/bench/src/main/java/org/brasspier/bench/policy/KeyDistribution.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/KeyDistribution.java
@@ -33,15 +33,15 @@
 			sum += Math.pow(i + 1, -this.zipf);
 			cumulative[i] = sum;
 		}
-		double all = sum;
+		double total = sum;
 		return (random, now) -> {
-			long era = (this.changeIntervalNanos > 0) ? now / this.changeIntervalNanos : 0;
+			long period = (this.changeIntervalNanos > 0) ? now / this.changeIntervalNanos : 0;
 			if (random.nextDouble() < this.hottestShare) {
-				return "hot-" + era;
+				return "hot-" + period;
 			}
-			int found = Arrays.binarySearch(cumulative, random.nextDouble() * all);
+			int found = Arrays.binarySearch(cumulative, random.nextDouble() * total);
 			int rank = (found >= 0) ? found : -found - 1;
-			return "key-" + (rank + era * 7919) % this.keys;
+			return "key-" + (rank + period * 7919) % this.keys;
 		};
 	}
 
