--- a/bench/src/main/java/org/brasspier/bench/capacity/Measured.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/MeasuredSlopes.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * All slopes of one run. Immutable and thread-safe.
+ * All slopes of one benchmark run. Immutable and thread-safe.
  *
  * @param slopes the slopes
  */
-record Measured(List<Slope> slopes) {
+record MeasuredSlopes(List<Slope> slopes) {
 
-	Measured {
+	MeasuredSlopes {
 		slopes = List.copyOf(slopes);
 	}
 
-	Slope named(String name) {
+	Slope get(String name) {
 		return this.slopes.stream()
 			.filter((slope) -> slope.name().equals(name))
 			.findFirst()
--- a/bench/src/main/java/org/brasspier/bench/capacity/SimulatedCell.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/SimulatedCell.java
@@ -33,13 +33,16 @@
 import org.brasspier.wire.WireException;
 
 /**
- * A cell's ownership machines in one thread, with the real codecs between them and a
- * table that answers at once: what steady state costs each role in bytes, processor time
- * and calls of the table, without a network to blur it. Not thread-safe.
+ * Runs the ownership state machines of a cell in one thread, with the real codecs between
+ * them and a table that answers immediately. Counts bytes, processor time and table calls
+ * of each role in steady state without the variance of a network. Not thread-safe.
  */
 final class SimulatedCell {
 
-	/** As large as the stamps of our time are. */
+	/**
+	 * Of a present-day magnitude, so that it is encoded in as many bytes as in
+	 * production.
+	 */
 	private static final HybridTime STAMP = new HybridTime(System.currentTimeMillis() << 16);
 
 	private static final int TICK_MILLIS = 25;
@@ -50,13 +53,13 @@
 
 	private static final ServiceName SERVICE = new ServiceName("hullbook");
 
-	/** As long as Linux waits for something to send an acknowledgement with. */
-	private static final int ACK_MILLIS = 40;
+	/** How long Linux delays an acknowledgement to send it along with data. */
+	private static final int DELAYED_ACK_MILLIS = 40;
 
 	private final Map<InstanceId, Process> processes = new HashMap<>();
 
-	/** When a process received what it has sent nothing back for. */
-	private final Map<Way, Long> unacknowledged = new HashMap<>();
+	/** When the oldest segment arrived whose acknowledgement is still to be sent. */
+	private final Map<Direction, Long> pendingAcks = new HashMap<>();
 
 	private VersionedRow row = VersionedRow.NONE;
 
@@ -66,7 +69,7 @@
 
 	private long reads;
 
-	private int started;
+	private int startedMembers;
 
 	SimulatedCell(int members) {
 		IntStream.range(0, members).forEach((i) -> join());
@@ -74,32 +77,32 @@
 
 	/** Starts another member. */
 	void join() {
-		start(member(this.started++));
+		start(newMember(this.startedMembers++));
 	}
 
 	/**
-	 * Ends a process without warning.
-	 * @param instance which one
+	 * Ends a process without notice.
+	 * @param instance the process's instance
 	 */
-	void lose(InstanceId instance) {
+	void crash(InstanceId instance) {
 		this.processes.remove(instance);
 	}
 
 	/**
-	 * Ends all processes of the failure domain that the primary is in.
+	 * Ends all processes in the failure domain of the primary without notice.
 	 */
-	void loseDomainOfPrimary() {
+	void crashDomainOfPrimary() {
 		FailureDomain domain = this.row.row().member(primaryInstance()).orElseThrow().domain();
 		this.row.row()
 			.members()
 			.stream()
 			.filter((member) -> member.domain().equals(domain))
-			.forEach((member) -> lose(member.instance()));
+			.forEach((member) -> crash(member.instance()));
 	}
 
 	/**
-	 * Lets a member leave as planned.
-	 * @param instance which one
+	 * Starts the planned departure of a member.
+	 * @param instance the member's instance
 	 */
 	void leave(InstanceId instance) {
 		step(instance, (machine) -> machine.leave(this.now));
@@ -110,8 +113,8 @@
 	}
 
 	/**
-	 * A member that manages nothing.
-	 * @return its identity
+	 * Finds a member that is not a lease manager.
+	 * @return its instance
 	 */
 	InstanceId plainMember() {
 		return this.row.row()
@@ -127,7 +130,7 @@
 		return this.row.row().managers().orElseThrow();
 	}
 
-	private static MemberInfo member(int index) {
+	private static MemberInfo newMember(int index) {
 		return new MemberInfo(new MemberKey(new InstanceId("hullbook-%03d".formatted(index)), 1),
 				new FailureDomain("domain-" + index % DOMAINS),
 				new PeerAddress("10.0.0." + index, 7002, 7001, 7000, 7004), MemberPhase.ACTIVE,
@@ -140,8 +143,8 @@
 	}
 
 	/**
-	 * Runs the cell for a while.
-	 * @param millis how long, on its own clock
+	 * Runs the cell.
+	 * @param millis how long, by the simulated clock
 	 */
 	void run(long millis) {
 		long end = this.now + millis;
@@ -151,11 +154,10 @@
 				step(instance, (machine) -> machine.tick(this.now));
 				flush(instance);
 			});
-			acknowledge();
+			sendDelayedAcks();
 		}
 	}
 
-	/** Forgets what was counted so far. */
 	void resetCounts() {
 		this.processes.values().forEach(Process::reset);
 		this.writes = 0;
@@ -163,8 +165,8 @@
 	}
 
 	/**
-	 * What a process sent, received and computed since the counts were reset.
-	 * @param instance which one
+	 * Returns what a process sent, received and computed since the counts were reset.
+	 * @param instance the process's instance
 	 * @return the counts
 	 */
 	Counts counts(InstanceId instance) {
@@ -185,13 +187,13 @@
 
 	private void step(InstanceId instance, Step step) {
 		Process process = process(instance);
-		long begin = Probe.cpuNanos();
-		List<OwnershipAction> actions = step.take(process.machine);
-		process.nanos += Probe.cpuNanos() - begin;
-		actions.forEach((action) -> carryOut(instance, action));
+		long begin = ResourceProbe.cpuNanos();
+		List<OwnershipAction> actions = step.apply(process.machine);
+		process.nanos += ResourceProbe.cpuNanos() - begin;
+		actions.forEach((action) -> execute(instance, action));
 	}
 
-	private void carryOut(InstanceId instance, OwnershipAction action) {
+	private void execute(InstanceId instance, OwnershipAction action) {
 		switch (action) {
 			case OwnershipAction.Send send -> send(instance, send);
 			case OwnershipAction.ReadRow read -> {
@@ -207,7 +209,7 @@
 			}
 			case OwnershipAction.OrderDone done -> {
 			}
-			case OwnershipAction.Left left -> lose(instance);
+			case OwnershipAction.Left left -> crash(instance);
 		}
 	}
 
@@ -224,59 +226,62 @@
 
 	private void send(InstanceId from, OwnershipAction.Send send) {
 		Process sender = process(from);
-		long begin = Probe.cpuNanos();
+		long begin = ResourceProbe.cpuNanos();
 		byte[] frame = ControlCodec.encode(send.message(), STAMP);
-		sender.nanos += Probe.cpuNanos() - begin;
+		sender.nanos += ResourceProbe.cpuNanos() - begin;
 		sender.outgoing.computeIfAbsent(send.to(), (to) -> new ArrayList<>()).add(frame);
 	}
 
-	// As a daemon does at the end of each turn of its loop: all for one peer in a
-	// segment.
+	// Sends all frames for a peer in one segment, as a daemon does at the end of each
+	// pass of its event loop.
 	private void flush(InstanceId from) {
 		if (!this.processes.containsKey(from)) {
 			return;
 		}
 		Map<InstanceId, List<byte[]>> segments = Map.copyOf(process(from).outgoing);
 		process(from).outgoing.clear();
-		segments.forEach((to, frames) -> deliver(new Way(from, to), frames));
+		segments.forEach((to, frames) -> deliver(new Direction(from, to), frames));
 	}
 
-	private void deliver(Way way, List<byte[]> frames) {
-		if (!this.processes.containsKey(way.to())) {
+	private void deliver(Direction direction, List<byte[]> frames) {
+		if (!this.processes.containsKey(direction.to())) {
 			return;
 		}
-		count(way, frames.stream().mapToInt((frame) -> frame.length).sum());
+		countSegment(direction, frames.stream().mapToInt((frame) -> frame.length).sum());
 		frames.forEach((frame) -> {
-			Process receiver = process(way.to());
-			long begin = Probe.cpuNanos();
+			Process receiver = process(direction.to());
+			long begin = ResourceProbe.cpuNanos();
 			ControlMessage message = decode(frame);
-			receiver.nanos += Probe.cpuNanos() - begin;
-			receiver.kind(message, frame.length);
-			process(way.from()).kind(message, frame.length);
-			step(way.to(), (machine) -> machine.onMessage(way.from(), message, this.now));
+			receiver.nanos += ResourceProbe.cpuNanos() - begin;
+			receiver.countBytes(message, frame.length);
+			process(direction.from()).countBytes(message, frame.length);
+			step(direction.to(), (machine) -> machine.onMessage(direction.from(), message, this.now));
 		});
-		this.unacknowledged.putIfAbsent(way.back(), this.now);
-		this.unacknowledged.remove(way);
-		flush(way.to());
+		this.pendingAcks.putIfAbsent(direction.reverse(), this.now);
+		this.pendingAcks.remove(direction);
+		flush(direction.to());
 	}
 
-	private void acknowledge() {
-		this.unacknowledged.entrySet()
+	private void sendDelayedAcks() {
+		this.pendingAcks.entrySet()
 			.stream()
-			.filter((entry) -> this.now - entry.getValue() >= ACK_MILLIS)
+			.filter((entry) -> this.now - entry.getValue() >= DELAYED_ACK_MILLIS)
 			.map(Map.Entry::getKey)
 			.toList()
-			.forEach((way) -> {
-				this.unacknowledged.remove(way);
-				count(way, 0);
+			.forEach((direction) -> {
+				this.pendingAcks.remove(direction);
+				countSegment(direction, 0);
 			});
 	}
 
-	private void count(Way way, int bytes) {
-		Stream.of(way.from(), way.to()).map(this.processes::get).filter(Objects::nonNull).forEach((process) -> {
-			process.segments++;
-			process.frameBytes += bytes;
-		});
+	private void countSegment(Direction direction, int bytes) {
+		Stream.of(direction.from(), direction.to())
+			.map(this.processes::get)
+			.filter(Objects::nonNull)
+			.forEach((process) -> {
+				process.segments++;
+				process.frameBytes += bytes;
+			});
 	}
 
 	private static ControlMessage decode(byte[] frame) {
@@ -286,7 +291,7 @@
 			return ControlCodec.decode(reader);
 		}
 		catch (WireException ex) {
-			throw new IllegalStateException("a frame did not survive its own codec", ex);
+			throw new IllegalStateException("a control message could not be decoded after encoding", ex);
 		}
 	}
 
@@ -296,20 +301,20 @@
 
 	private interface Step {
 
-		List<OwnershipAction> take(OwnershipMachine machine);
+		List<OwnershipAction> apply(OwnershipMachine machine);
 
 	}
 
 	/**
-	 * One direction between two processes.
+	 * One direction of the connection between two processes.
 	 *
 	 * @param from the sender
 	 * @param to the receiver
 	 */
-	private record Way(InstanceId from, InstanceId to) {
+	private record Direction(InstanceId from, InstanceId to) {
 
-		Way back() {
-			return new Way(this.to, this.from);
+		Direction reverse() {
+			return new Direction(this.to, this.from);
 		}
 
 	}
@@ -319,10 +324,10 @@
 	 *
 	 * @param segments segments sent and received, acknowledgements included
 	 * @param frameBytes the bytes of the frames in them
-	 * @param nanos the time its decisions and codecs took, in nanoseconds
-	 * @param kinds the bytes of the frames by kind of message
+	 * @param nanos the processor time of its decisions and codecs, in nanoseconds
+	 * @param bytesByMessageType the bytes of the frames by message type
 	 */
-	record Counts(long segments, long frameBytes, long nanos, Map<String, Long> kinds) {
+	record Counts(long segments, long frameBytes, long nanos, Map<String, Long> bytesByMessageType) {
 
 	}
 
@@ -332,7 +337,7 @@
 
 		private final Map<InstanceId, List<byte[]>> outgoing = new HashMap<>();
 
-		private final Map<String, Long> kinds = new TreeMap<>();
+		private final Map<String, Long> bytesByMessageType = new TreeMap<>();
 
 		private long segments;
 
@@ -344,19 +349,19 @@
 			this.machine = machine;
 		}
 
-		void kind(ControlMessage message, int bytes) {
-			this.kinds.merge(message.getClass().getSimpleName(), (long) bytes, Long::sum);
+		void countBytes(ControlMessage message, int bytes) {
+			this.bytesByMessageType.merge(message.getClass().getSimpleName(), (long) bytes, Long::sum);
 		}
 
 		Counts counts() {
-			return new Counts(this.segments, this.frameBytes, this.nanos, Map.copyOf(this.kinds));
+			return new Counts(this.segments, this.frameBytes, this.nanos, Map.copyOf(this.bytesByMessageType));
 		}
 
 		void reset() {
 			this.segments = 0;
 			this.frameBytes = 0;
 			this.nanos = 0;
-			this.kinds.clear();
+			this.bytesByMessageType.clear();
 		}
 
 	}
--- a/bench/src/test/java/org/brasspier/bench/policy/PolicyLoadTests.java
+++ b/bench/src/test/java/org/brasspier/bench/policy/PolicyLoadTests.java
@@ -8,8 +8,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * The same recorded load through the policy and the naive version, in virtual time: the
- * outcome for callers is the same on each machine and each run.
+ * Runs the same recorded loads with the product's policy and with the naive strategy in
+ * virtual time, so that the results are the same on each machine and in each run.
  */
 class PolicyLoadTests {
 
@@ -20,12 +20,12 @@
 	}
 
 	/**
-	 * Three times as many callers as can be served: each waits in a queue that only
-	 * grows, is answered too late, and sends again. What can't be served must be refused.
+	 * At three times the capacity, callers wait in a queue that only grows, are answered
+	 * too late and send again. Requests that can't be served must be refused.
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void goodputHoldsAtThreeTimesCapacityWhileTheNaiveVersionCollapses(Deployment deployment) {
+	void goodputHoldsAtThreeTimesCapacityWhileTheNaiveStrategyCollapses(Deployment deployment) {
 		Comparison comparison = run(deployment, "saturation-x3");
 		assertThat(comparison.policy().goodput()).isAtLeast(0.95);
 		assertThat(comparison.naive().goodput()).isLessThan(0.5);
@@ -36,57 +36,58 @@
 	@ParameterizedTest
 	@MethodSource("deployments")
 	void answeredLookupsAtSaturationTakeThreeTimesTheUnloadedTimeAtMost(Deployment deployment) {
-		double unloaded = policy(deployment, Load.named("unloaded")).lookupP99Millis();
-		assertThat(policy(deployment, Load.named("saturation-x1.5")).lookupP99Millis()).isAtMost(3 * unloaded);
-		assertThat(policy(deployment, Load.named("saturation-x3")).lookupP99Millis()).isAtMost(3 * unloaded);
+		double unloaded = runPolicy(deployment, Load.get("unloaded")).lookupP99Millis();
+		assertThat(runPolicy(deployment, Load.get("saturation-x1.5")).lookupP99Millis()).isAtMost(3 * unloaded);
+		assertThat(runPolicy(deployment, Load.get("saturation-x3")).lookupP99Millis()).isAtMost(3 * unloaded);
 	}
 
 	/**
-	 * Auditors pull long histories and all slots hold one: a crew's lookup waits for half
-	 * a second. Audit reads must use what the lookups leave, and not less.
+	 * Long audit reads can occupy all slots, so that a lookup waits for half a second.
+	 * Audit reads must still use all the capacity that lookups leave.
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void longAuditReadsNeitherBlockLookupsNorStarve(Deployment deployment) {
-		double unloaded = policy(deployment, Load.named("unloaded")).lookupP99Millis();
-		Figures mixed = policy(deployment, Load.named("long-and-short"));
+	void longAuditReadsNeitherDelayLookupsNorStarve(Deployment deployment) {
+		double unloaded = runPolicy(deployment, Load.get("unloaded")).lookupP99Millis();
+		Figures mixed = runPolicy(deployment, Load.get("long-and-short"));
 		assertThat(mixed.lookupP99Millis()).isAtMost(1.5 * unloaded);
 		assertThat(mixed.goodput()).isAtLeast(0.88);
 	}
 
 	/**
-	 * A server takes five times as long while its health says that it is well. Crews
-	 * whose keys are on other servers must not notice.
+	 * One server takes five times as long while it reports itself healthy. Lookups of
+	 * keys on other servers must not become slower.
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void oneSlowServerLeavesLookupsElsewhereAlone(Deployment deployment) {
-		Load slow = Load.named("slow-server-x5");
-		Load well = new Load("well", true, slow.seconds(), slow.settleSeconds(), slow.level(), slow.classes(),
-				slow.keys(), Load.Trouble.NONE);
-		double usual = policy(deployment, well).elsewhereP99Millis();
-		assertThat(policy(deployment, slow).elsewhereP99Millis()).isAtMost(1.2 * usual);
+	void oneSlowServerDoesNotSlowLookupsOnOtherServers(Deployment deployment) {
+		Load slow = Load.get("slow-server-x5");
+		Load healthy = new Load("well", true, slow.seconds(), slow.settleSeconds(), slow.utilization(), slow.classes(),
+				slow.keys(), Load.Faults.NONE);
+		double baselineMillis = runPolicy(deployment, healthy).elsewhereP99Millis();
+		assertThat(runPolicy(deployment, slow).elsewhereP99Millis()).isAtMost(1.2 * baselineMillis);
 	}
 
 	/**
-	 * One office's script sends ten times what each other office does, more than can be
-	 * served: the others' crews wait behind it. Its own requests must pay for that.
+	 * One caller sends ten times as much as each other caller, more than can be served,
+	 * so that the requests of the others wait behind its own. Its own requests must be
+	 * delayed or refused instead.
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void oneOfficeThatSendsTenTimesItsShareCrowdsNobodyOut(Deployment deployment) {
-		double unloaded = policy(deployment, Load.named("unloaded")).lookupP99Millis();
-		Comparison crowded = run(deployment, "one-office-x10");
-		assertThat(crowded.policy().othersGoodput()).isAtLeast(0.9);
-		assertThat(crowded.policy().othersLookupP99Millis()).isAtMost(3 * unloaded);
-		assertThat(crowded.naive().othersGoodput()).isLessThan(0.5);
+	void oneCallerThatSendsTenTimesItsShareDoesNotStarveOthers(Deployment deployment) {
+		double unloaded = runPolicy(deployment, Load.get("unloaded")).lookupP99Millis();
+		Comparison comparison = run(deployment, "one-office-x10");
+		assertThat(comparison.policy().othersGoodput()).isAtLeast(0.9);
+		assertThat(comparison.policy().othersLookupP99Millis()).isAtMost(3 * unloaded);
+		assertThat(comparison.naive().othersGoodput()).isLessThan(0.5);
 	}
 
 	@ParameterizedTest
 	@MethodSource("deployments")
 	void loadStaysEvenUnderSkewedDemand(Deployment deployment) {
-		assertThat(policy(deployment, Load.named("zipf-1.2")).imbalance()).isAtMost(1.15);
-		assertThat(policy(deployment, Load.named("hot-keys-change")).imbalance()).isAtMost(1.15);
+		assertThat(runPolicy(deployment, Load.get("zipf-1.2")).imbalance()).isAtMost(1.15);
+		assertThat(runPolicy(deployment, Load.get("hot-keys-change")).imbalance()).isAtMost(1.15);
 	}
 
 	@ParameterizedTest
@@ -99,31 +100,31 @@
 
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void aLostFailureDomainMovesWhatItOwnedAndLittleMore(Deployment deployment) {
-		Figures policy = policy(deployment, Load.named("domain-lost"));
+	void aLostFailureDomainMovesOnlyLittleMoreThanItOwned(Deployment deployment) {
+		Figures policy = runPolicy(deployment, Load.get("domain-lost"));
 		double moved = policy.lossChurn() + policy.balanceChurnHourly() * 180 / 3600;
 		assertThat(moved).isAtMost(1.1 / deployment.servers());
 	}
 
 	/**
-	 * All servers stop for five seconds; what waited is late, its callers send again, and
-	 * the naive version never gets out of answering too late.
+	 * All servers stall for five seconds. Queued requests are then late and their callers
+	 * send again, so that the naive strategy keeps answering too late and never recovers.
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void afterAFullStallAllIsAnsweredAgainWithinASecond(Deployment deployment) {
+	void afterAFullStallAllRequestsAreAnsweredAgainWithinASecond(Deployment deployment) {
 		Comparison stall = run(deployment, "full-stall");
 		assertThat(stall.policy().recoveryMillis()).isGreaterThan(0);
 		assertThat(stall.policy().recoveryMillis()).isAtMost(1000);
 		assertThat(stall.naive().recoveryMillis()).isEqualTo(-1);
 	}
 
-	private static Figures policy(Deployment deployment, Load load) {
-		return Run.policy(deployment, load, load.record(deployment, SEED));
+	private static Figures runPolicy(Deployment deployment, Load load) {
+		return Simulation.runPolicy(deployment, load, load.record(deployment, SEED));
 	}
 
 	private static Comparison run(Deployment deployment, String load) {
-		return Comparison.run(deployment, Load.named(load), SEED);
+		return Comparison.run(deployment, Load.get(load), SEED);
 	}
 
 }
