--- a/integration/src/test/java/org/brasspier/integration/AbstractSceneTests.java
+++ b/integration/src/test/java/org/brasspier/integration/AbstractFaultTests.java
@@ -10,33 +10,33 @@
  * What the tests of single faults share: one deployment for the class, traffic before
  * each fault, and all promises judged after it.
  */
-abstract class AbstractSceneTests {
+abstract class AbstractFaultTests {
 
-	static Scene scene;
+	static TestDeployment testDeployment;
 
 	static Managers managers;
 
 	@BeforeAll
 	static void start() {
-		scene = Scene.keyed(4);
+		testDeployment = TestDeployment.shardedByKey(4);
 	}
 
 	@AfterAll
 	static void stop() {
-		scene.close();
+		testDeployment.close();
 	}
 
 	@BeforeEach
-	void send() {
-		scene.traffic();
-		scene.awaitAnswers();
-		scene.awaitAllOwn();
-		managers = Managers.await(scene.deployment());
+	void startTraffic() {
+		testDeployment.startTraffic();
+		testDeployment.awaitMoreAnswers();
+		testDeployment.awaitAllInstancesOwnRanges();
+		managers = Managers.await(testDeployment.deployment());
 	}
 
 	@AfterEach
-	void judge() {
-		scene.assertPromisesKept();
+	void verify() {
+		testDeployment.assertNoViolations();
 	}
 
 }
--- a/integration/src/test/java/org/brasspier/integration/AtMostOnceTests.java
+++ b/integration/src/test/java/org/brasspier/integration/AtMostOnceTests.java
@@ -24,34 +24,36 @@
 
 class AtMostOnceTests {
 
-	private Scene scene;
+	private TestDeployment testDeployment;
 
 	@BeforeEach
 	void start() {
-		this.scene = Scene.start(new ServiceShape(Scene.KEYED, true, 3, 8, 60, true),
-				new ServiceShape(Scene.UNKEYED, false, 2, 8, 60, false));
+		this.testDeployment = TestDeployment.start(
+				new ServiceShape(TestDeployment.SHARDED_SERVICE, true, 3, 8, 60, true),
+				new ServiceShape(TestDeployment.UNSHARDED_SERVICE, false, 2, 8, 60, false));
 	}
 
 	@AfterEach
-	void judge() {
-		this.scene.assertPromisesKept();
-		this.scene.close();
+	void verify() {
+		this.testDeployment.assertNoViolations();
+		this.testDeployment.close();
 	}
 
 	// A clerk posts a return, the line drops, and the clerk's program sends it again to
 	// another daemon while the first may still run. It runs once; the second sending gets
 	// the same answer.
 	@ParameterizedTest
-	@ValueSource(strings = { Scene.KEYED, Scene.UNKEYED })
+	@ValueSource(strings = { TestDeployment.SHARDED_SERVICE, TestDeployment.UNSHARDED_SERVICE })
 	void aPostingSentToAllDaemonsAtOnceRunsOnce(String service) {
-		String key = (service.equals(Scene.KEYED)) ? "a" : "";
+		String key = (service.equals(TestDeployment.SHARDED_SERVICE)) ? "a" : "";
 		List<CompletableFuture<CallerRecord>> sent = IntStream.range(0, 6)
-			.mapToObj((i) -> this.scene
-				.begin(StandInRequest.posting(service, key, "once-" + service).withWaitMillis(8000)))
+			.mapToObj((i) -> this.testDeployment
+				.callAsync(StandInRequest.posting(service, key, "once-" + service).withWaitMillis(8000)))
 			.toList();
 		sent.forEach(CompletableFuture::join);
-		assertThat(sent.stream().map((done) -> done.join().outcome()).toList()).contains(CallerRecord.Outcome.ANSWERED);
-		assertThat(effects("once-" + service)).isEqualTo(1);
+		assertThat(sent.stream().map((record) -> record.join().outcome()).toList())
+			.contains(CallerRecord.Outcome.ANSWERED);
+		assertThat(effectCount("once-" + service)).isEqualTo(1);
 	}
 
 	// A crew books a cleaning, and the answer is lost on its way. By the time that the
@@ -59,25 +61,25 @@
 	// key. The new owner can't know, and must not book a second time.
 	@Tag("known-red")
 	@ParameterizedTest
-	@ValueSource(strings = { Scene.KEYED, Scene.UNKEYED })
+	@ValueSource(strings = { TestDeployment.SHARDED_SERVICE, TestDeployment.UNSHARDED_SERVICE })
 	void aPostingWhoseAnswerWasLostIsNotRunByTheNextOwner(String service) {
-		String key = (service.equals(Scene.KEYED)) ? "a" : "";
+		String key = (service.equals(TestDeployment.SHARDED_SERVICE)) ? "a" : "";
 		StandInInstance owner = ownerOf(service, key);
-		List<OwnedRange> ranges = this.scene.deployment().ownedBy(owner);
-		try (CallerFleet cutOff = new CallerFleet(this.scene.deployment().callerAddresses())) {
+		List<OwnedRange> ranges = this.testDeployment.deployment().ownedBy(owner);
+		try (CallerFleet cutOff = new CallerFleet(this.testDeployment.deployment().callerAddresses())) {
 			CompletableFuture<CallerRecord> booking = cutOff
 				.call(StandInRequest.posting(service, key, "lost-" + service)
 					.withPath("/post?work=300")
 					.withWaitMillis(15_000));
-			Await.until("the booking runs", () -> begun("lost-" + service));
-			this.scene.deployment().setLinks((name) -> name.startsWith("callers>"), LinkState.HELD_BACK);
-			Await.until("the booking has taken effect", () -> effects("lost-" + service) == 1);
+			Await.until("the booking runs", () -> hasBegun("lost-" + service));
+			this.testDeployment.deployment().setLinks((name) -> name.startsWith("callers>"), LinkState.HELD_BACK);
+			Await.until("the booking has taken effect", () -> effectCount("lost-" + service) == 1);
 			owner.kill();
-			this.scene.deployment().setLinks((name) -> name.startsWith("callers>"), LinkState.HEALTHY);
-			this.scene.awaitRecovered(ranges);
+			this.testDeployment.deployment().setLinks((name) -> name.startsWith("callers>"), LinkState.HEALTHY);
+			this.testDeployment.awaitRecovered(ranges);
 			booking.join();
 		}
-		assertThat(effects("lost-" + service)).isEqualTo(1);
+		assertThat(effectCount("lost-" + service)).isEqualTo(1);
 	}
 
 	// A server sheds a posting, says that it did not run it, and is right: the next
@@ -85,25 +87,26 @@
 	@Test
 	void aPostingThatWasShedRunsOnALaterSending() {
 		List<CompletableFuture<CallerRecord>> flood = IntStream.range(0, 80)
-			.mapToObj((i) -> this.scene.begin(StandInRequest.posting(Scene.KEYED, "a", "flood-" + i)
-				.withPath("/post?work=60")
-				.withWaitMillis(20_000)))
+			.mapToObj((i) -> this.testDeployment
+				.callAsync(StandInRequest.posting(TestDeployment.SHARDED_SERVICE, "a", "flood-" + i)
+					.withPath("/post?work=60")
+					.withWaitMillis(20_000)))
 			.toList();
-		assertThat(flood.stream().map((done) -> done.join().outcome()).distinct().toList())
+		assertThat(flood.stream().map((record) -> record.join().outcome()).distinct().toList())
 			.containsExactly(CallerRecord.Outcome.ANSWERED);
 	}
 
 	private StandInInstance ownerOf(String service, String key) {
-		return (service.equals(Scene.KEYED)) ? this.scene.owner(key)
-				: this.scene.deployment().owner(service, "lost-" + service).orElseThrow();
+		return (service.equals(TestDeployment.SHARDED_SERVICE)) ? this.testDeployment.owner(key)
+				: this.testDeployment.deployment().owner(service, "lost-" + service).orElseThrow();
 	}
 
-	private boolean begun(String id) {
-		return this.scene.deployment().serverRecords().stream().anyMatch((line) -> line.id().equals(id));
+	private boolean hasBegun(String id) {
+		return this.testDeployment.deployment().serverRecords().stream().anyMatch((line) -> line.id().equals(id));
 	}
 
-	private long effects(String id) {
-		return this.scene.deployment()
+	private long effectCount(String id) {
+		return this.testDeployment.deployment()
 			.serverRecords()
 			.stream()
 			.filter((line) -> line.kind() == ServerRecord.Kind.TOOK_EFFECT && line.id().equals(id))
--- a/integration/src/test/java/org/brasspier/integration/BadInputTests.java
+++ b/integration/src/test/java/org/brasspier/integration/BadInputTests.java
@@ -32,9 +32,9 @@
  */
 class BadInputTests {
 
-	private static final int HALF_OPEN = 40;
+	private static final int HALF_OPEN_CONNECTIONS = 40;
 
-	private static Scene scene;
+	private static TestDeployment testDeployment;
 
 	private static DaemonPorts ports;
 
@@ -42,25 +42,25 @@
 
 	@BeforeAll
 	static void start() {
-		scene = Scene.keyed(2);
-		instance = scene.deployment().instances().getFirst();
+		testDeployment = TestDeployment.shardedByKey(2);
+		instance = testDeployment.deployment().instances().getFirst();
 		ports = instance.ports();
 	}
 
 	@AfterAll
 	static void stop() {
-		scene.close();
+		testDeployment.close();
 	}
 
 	@BeforeEach
-	void send() {
-		scene.traffic();
+	void startTraffic() {
+		testDeployment.startTraffic();
 	}
 
 	@AfterEach
-	void judge() {
-		scene.awaitAnswers();
-		scene.assertPromisesKept();
+	void verify() {
+		testDeployment.awaitMoreAnswers();
+		testDeployment.assertNoViolations();
 	}
 
 	@ParameterizedTest
@@ -72,10 +72,11 @@
 			"POST|/v1/hullbook/x|Brasspier-Key: a|BAD_REQUEST",
 			"POST|/v1/hullbook/x|Brasspier-Key: a,Brasspier-Request-Id: bad-1|TICKET_REQUIRED",
 			"POST|/v1/hullbook/x|Brasspier-Key: a,Brasspier-Request-Id: bad-2,Brasspier-Ticket: forged|BAD_REQUEST" })
-	void aMalformedRequestGetsAListedError(String method, String path, String headers, String kind) throws IOException {
+	void aMalformedRequestGetsAListedError(String method, String path, String headers, String errorKind)
+			throws IOException {
 		String fields = (headers != null) ? headers.replace(",", "\r\n") + "\r\n" : "";
 		String answer = RawHttp.send(ports.callers(), RawHttp.request(method, path, fields, ""));
-		assertThat(answer).contains("Brasspier-Error: " + kind);
+		assertThat(answer).contains("Brasspier-Error: " + errorKind);
 		assertThat(answer).contains("Brasspier-Ran: not_run");
 	}
 
@@ -95,7 +96,7 @@
 	}
 
 	@Test
-	void requestsThatAreNotHttpEndTheirConnectionOnly() throws IOException {
+	void requestsThatAreNotHttpCloseOnlyTheirConnection() throws IOException {
 		List<InetSocketAddress> http = List.of(ports.callers(), ports.backend(), ports.operators());
 		for (InetSocketAddress port : http) {
 			String answer = RawHttp.send(port, "\u0000\u0001\u0002 this is not HTTP\r\n\r\n");
@@ -123,28 +124,28 @@
 				.frame();
 			assertThat(new Handshake(new InstanceId("hullbook-1"), wrong, Handshake.MAX_VERSION).challenge())
 				.isNotEmpty();
-			assertThat(closes(port, forged)).isTrue();
+			assertThat(isConnectionClosed(port, forged)).isTrue();
 		}
 		awaitEvent("601 PEER_REFUSED");
 	}
 
 	// Frames of random bytes, each cut or prolonged at random, from a fixed seed.
 	@Test
-	void randomFramesEndTheirConnectionOnly() throws IOException {
+	void randomFramesCloseOnlyTheirConnection() throws IOException {
 		SplittableRandom random = new SplittableRandom(3);
 		for (int i = 0; i < 30; i++) {
 			byte[] noise = new byte[random.nextInt(1, 600)];
 			random.nextBytes(noise);
 			noise[0] = 0;
-			RawPeer.send((i % 2 == 0) ? ports.forwards() : ports.control(), noise);
+			RawPeer.sendAndAwaitClose((i % 2 == 0) ? ports.forwards() : ports.control(), noise);
 		}
 	}
 
 	@Test
 	void aFrameThatClaimsToBeHugeIsRefused() throws IOException {
 		byte[] huge = { 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff, 1, 2, 3 };
-		assertThat(closes(ports.forwards(), huge)).isTrue();
-		assertThat(closes(ports.control(), huge)).isTrue();
+		assertThat(isConnectionClosed(ports.forwards(), huge)).isTrue();
+		assertThat(isConnectionClosed(ports.control(), huge)).isTrue();
 	}
 
 	@Test
@@ -161,25 +162,25 @@
 	// Callers that connect and say nothing, or half of a request, hold a connection each
 	// and nothing else.
 	@Test
-	void halfOpenConnectionsDisturbNobody() throws IOException {
-		List<Socket> open = new ArrayList<>();
+	void halfOpenConnectionsDoNotAffectOtherCallers() throws IOException {
+		List<Socket> sockets = new ArrayList<>();
 		try {
-			for (int i = 0; i < HALF_OPEN; i++) {
+			for (int i = 0; i < HALF_OPEN_CONNECTIONS; i++) {
 				Socket socket = new Socket(ports.callers().getAddress(), ports.callers().getPort());
-				open.add(socket);
+				sockets.add(socket);
 				socket.getOutputStream().write("GET /v1/hullb".getBytes(StandardCharsets.US_ASCII));
 			}
-			scene.awaitAnswers();
+			testDeployment.awaitMoreAnswers();
 		}
 		finally {
-			for (Socket socket : open) {
+			for (Socket socket : sockets) {
 				socket.close();
 			}
 		}
 	}
 
-	private static boolean closes(InetSocketAddress port, byte[] bytes) throws IOException {
-		return RawPeer.send(port, bytes);
+	private static boolean isConnectionClosed(InetSocketAddress port, byte[] bytes) throws IOException {
+		return RawPeer.sendAndAwaitClose(port, bytes);
 	}
 
 	private static void awaitEvent(String event) {
--- a/integration/src/test/java/org/brasspier/integration/CrashingRequestTests.java
+++ b/integration/src/test/java/org/brasspier/integration/CrashingRequestTests.java
@@ -16,17 +16,17 @@
 
 class CrashingRequestTests {
 
-	private Scene scene;
+	private TestDeployment testDeployment;
 
 	@BeforeEach
 	void start() {
-		this.scene = Scene.keyed(4);
+		this.testDeployment = TestDeployment.shardedByKey(4);
 	}
 
 	@AfterEach
-	void judge() {
-		this.scene.assertPromisesKept();
-		this.scene.close();
+	void verify() {
+		this.testDeployment.assertNoViolations();
+		this.testDeployment.close();
 	}
 
 	// One lookup crashes each backend server that runs it, and its caller sends it again
@@ -34,28 +34,29 @@
 	// other servers live on.
 	@Tag("known-red")
 	@Test
-	void aLookupThatCrashesServersIsKeptAwayAfterTwo() {
-		CallerRecord done = ask(StandInRequest.lookup(Scene.KEYED, "a", "poison-lookup"));
-		assertThat(done.lastAttempt().error()).isEqualTo("CRASHED_BACKENDS");
-		assertThat(begun("poison-lookup")).isAtMost(2);
+	void aLookupThatCrashesServersIsRefusedAfterTwoCrashes() {
+		CallerRecord record = call(StandInRequest.lookup(TestDeployment.SHARDED_SERVICE, "a", "poison-lookup"));
+		assertThat(record.lastAttempt().error()).isEqualTo("CRASHED_BACKENDS");
+		assertThat(beginCount("poison-lookup")).isAtMost(2);
 	}
 
 	// The same as a posting: it may have run the first time, so it is not tried again.
 	@Test
 	void aPostingThatCrashesAServerIsNotRunAgain() {
-		CallerRecord done = ask(StandInRequest.posting(Scene.KEYED, "a", "poison-posting"));
-		assertThat(done.outcome()).isEqualTo(CallerRecord.Outcome.FAILED);
-		assertThat(begun("poison-posting")).isEqualTo(1);
+		CallerRecord record = call(StandInRequest.posting(TestDeployment.SHARDED_SERVICE, "a", "poison-posting"));
+		assertThat(record.outcome()).isEqualTo(CallerRecord.Outcome.FAILED);
+		assertThat(beginCount("poison-posting")).isEqualTo(1);
 	}
 
-	private CallerRecord ask(StandInRequest request) {
-		CompletableFuture<CallerRecord> done = this.scene.begin(request.withPath("/crash").withWaitMillis(15_000));
-		Await.until("the request is given up", Duration.ofSeconds(40), done::isDone);
-		return done.join();
+	private CallerRecord call(StandInRequest request) {
+		CompletableFuture<CallerRecord> record = this.testDeployment
+			.callAsync(request.withPath("/crash").withWaitMillis(15_000));
+		Await.until("the request is given up", Duration.ofSeconds(40), record::isDone);
+		return record.join();
 	}
 
-	private long begun(String id) {
-		return this.scene.deployment()
+	private long beginCount(String id) {
+		return this.testDeployment.deployment()
 			.serverRecords()
 			.stream()
 			.filter((line) -> line.kind() == ServerRecord.Kind.BEGAN && line.id().equals(id))
--- a/integration/src/test/java/org/brasspier/integration/DeploymentTests.java
+++ b/integration/src/test/java/org/brasspier/integration/DeploymentTests.java
@@ -13,7 +13,7 @@
 
 class DeploymentTests {
 
-	private static final int TIME_FOR_A_WRONG_ANSWER_SECONDS = 5;
+	private static final int EARLY_COMPLETION_WAIT_SECONDS = 5;
 
 	// Guards against tests that stop the next instance, or ask one, while its daemon is
 	// still starting: others answered in its place.
@@ -26,7 +26,7 @@
 			late.daemon().start();
 			late.daemon().pause();
 			CompletableFuture<Void> served = CompletableFuture.runAsync(deployment::awaitServed);
-			TimeUnit.SECONDS.sleep(TIME_FOR_A_WRONG_ANSWER_SECONDS);
+			TimeUnit.SECONDS.sleep(EARLY_COMPLETION_WAIT_SECONDS);
 			assertThat(served.isDone()).isFalse();
 			late.daemon().resume();
 			late.server().start();
--- a/integration/src/test/java/org/brasspier/integration/FaultMixTests.java
+++ b/integration/src/test/java/org/brasspier/integration/FaultMixTests.java
@@ -15,15 +15,15 @@
  */
 class FaultMixTests {
 
-	private static final int SEEDS_A_DEPLOYMENT = 5;
+	private static final int SEEDS_PER_DEPLOYMENT = 5;
 
 	// Faults of the brief come together or twice, at any moment: losses, pauses, planned
 	// stops, partitions, a store that is down, slow or loses answers. Whatever the mix,
 	// once it is over each service is served, and no promise was broken meanwhile.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 6, 11 })
-	void aMixOfFaultsBreaksNoPromise(long first) {
-		play(first);
+	void aMixOfFaultsViolatesNoInvariant(long firstSeed) {
+		runSeeds(firstSeed);
 	}
 
 	// Seeds 16 to 20 are played as the others are. In seed 19 a paused server that checks
@@ -31,13 +31,13 @@
 	// before: it counts an order's time from when it reads it, so the order that its
 	// owner had given up still looked in time.
 	@Test
-	void aMixOfFaultsWithAPausedServerBreaksNoPromise() {
-		play(16);
+	void aMixOfFaultsWithAPausedServerViolatesNoInvariant() {
+		runSeeds(16);
 	}
 
-	private static void play(long first) {
+	private static void runSeeds(long firstSeed) {
 		try (FaultTrial trial = FaultTrial.start()) {
-			LongStream.range(first, first + SEEDS_A_DEPLOYMENT)
+			LongStream.range(firstSeed, firstSeed + SEEDS_PER_DEPLOYMENT)
 				.forEach((seed) -> assertWithMessage("seed %s", seed).that(trial.run(seed)).isEmpty());
 		}
 	}
--- a/integration/src/test/java/org/brasspier/integration/PausedHolderTests.java
+++ b/integration/src/test/java/org/brasspier/integration/PausedHolderTests.java
@@ -18,19 +18,20 @@
  */
 class PausedHolderTests {
 
-	private Scene scene;
+	private TestDeployment testDeployment;
 
 	@AfterEach
-	void judge() {
-		this.scene.assertPromisesKept();
-		this.scene.close();
+	void verify() {
+		this.testDeployment.assertNoViolations();
+		this.testDeployment.close();
 	}
 
-	private StandInInstance holder(boolean checksFences) {
-		this.scene = Scene.start(new ServiceShape(Scene.KEYED, true, 3, 8, 60, checksFences));
-		this.scene.traffic();
-		this.scene.awaitAnswers();
-		return this.scene.owner("a");
+	private StandInInstance startAndFindOwner(boolean checksFences) {
+		this.testDeployment = TestDeployment
+			.start(new ServiceShape(TestDeployment.SHARDED_SERVICE, true, 3, 8, 60, checksFences));
+		this.testDeployment.startTraffic();
+		this.testDeployment.awaitMoreAnswers();
+		return this.testDeployment.owner("a");
 	}
 
 	// A daemon is paused with requests in hand. Its lease runs out unknown to it, others
@@ -39,12 +40,12 @@
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void aDaemonPausedPastItsLeaseDoesNothingUnderTheOldFence(boolean checksFences) {
-		StandInInstance holder = holder(checksFences);
-		List<OwnedRange> ranges = this.scene.deployment().ownedBy(holder);
-		holder.daemon().pause();
-		this.scene.awaitRecovered(ranges);
-		holder.daemon().resume();
-		this.scene.awaitAnswers();
+		StandInInstance owner = startAndFindOwner(checksFences);
+		List<OwnedRange> ranges = this.testDeployment.deployment().ownedBy(owner);
+		owner.daemon().pause();
+		this.testDeployment.awaitRecovered(ranges);
+		owner.daemon().resume();
+		this.testDeployment.awaitMoreAnswers();
 	}
 
 	// A server freezes with an order half done and comes back as if nothing had happened.
@@ -52,17 +53,18 @@
 	// that the daemon set, keeps the order from taking effect.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void aFrozenServerThatComesBackFinishesNothing(boolean checksFences) {
-		StandInInstance holder = holder(checksFences);
-		List<OwnedRange> ranges = this.scene.deployment().ownedBy(holder);
-		CompletableFuture<CallerRecord> half = this.scene
-			.begin(StandInRequest.posting(Scene.KEYED, "a", "half-" + checksFences).withPath("/post?work=400"));
-		this.scene.awaitAnswers();
-		holder.pause();
-		this.scene.awaitRecovered(ranges);
-		holder.resume();
-		half.join();
-		this.scene.awaitAnswers();
+	void aResumedInstanceCompletesNoUnfinishedOrder(boolean checksFences) {
+		StandInInstance owner = startAndFindOwner(checksFences);
+		List<OwnedRange> ranges = this.testDeployment.deployment().ownedBy(owner);
+		CompletableFuture<CallerRecord> unfinished = this.testDeployment
+			.callAsync(StandInRequest.posting(TestDeployment.SHARDED_SERVICE, "a", "half-" + checksFences)
+				.withPath("/post?work=400"));
+		this.testDeployment.awaitMoreAnswers();
+		owner.pause();
+		this.testDeployment.awaitRecovered(ranges);
+		owner.resume();
+		unfinished.join();
+		this.testDeployment.awaitMoreAnswers();
 	}
 
 	// Only the server freezes, and its daemon is well: it finds the server silent, gives
@@ -71,17 +73,18 @@
 	@Tag("known-red")
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void aServerThatFreezesBesideAWellDaemonFinishesNothing(boolean checksFences) {
-		StandInInstance holder = holder(checksFences);
-		List<OwnedRange> ranges = this.scene.deployment().ownedBy(holder);
-		CompletableFuture<CallerRecord> half = this.scene
-			.begin(StandInRequest.posting(Scene.KEYED, "a", "frozen-" + checksFences).withPath("/post?work=400"));
-		this.scene.awaitAnswers();
-		holder.server().pause();
-		this.scene.awaitRecovered(ranges);
-		holder.server().resume();
-		half.join();
-		this.scene.awaitAnswers();
+	void aFrozenServerBesideAHealthyDaemonCompletesNoUnfinishedOrder(boolean checksFences) {
+		StandInInstance owner = startAndFindOwner(checksFences);
+		List<OwnedRange> ranges = this.testDeployment.deployment().ownedBy(owner);
+		CompletableFuture<CallerRecord> unfinished = this.testDeployment
+			.callAsync(StandInRequest.posting(TestDeployment.SHARDED_SERVICE, "a", "frozen-" + checksFences)
+				.withPath("/post?work=400"));
+		this.testDeployment.awaitMoreAnswers();
+		owner.server().pause();
+		this.testDeployment.awaitRecovered(ranges);
+		owner.server().resume();
+		unfinished.join();
+		this.testDeployment.awaitMoreAnswers();
 	}
 
 }
--- a/integration/src/test/java/org/brasspier/integration/PlannedStopTests.java
+++ b/integration/src/test/java/org/brasspier/integration/PlannedStopTests.java
@@ -18,44 +18,45 @@
 
 class PlannedStopTests {
 
-	private Scene scene;
+	private TestDeployment testDeployment;
 
 	@BeforeEach
 	void start() {
-		this.scene = Scene.start(new ServiceShape(Scene.KEYED, true, 3, 8, 60, true),
-				new ServiceShape(Scene.UNKEYED, false, 2, 8, 60, false));
-		this.scene.traffic();
-		this.scene.awaitAnswers();
+		this.testDeployment = TestDeployment.start(
+				new ServiceShape(TestDeployment.SHARDED_SERVICE, true, 3, 8, 60, true),
+				new ServiceShape(TestDeployment.UNSHARDED_SERVICE, false, 2, 8, 60, false));
+		this.testDeployment.startTraffic();
+		this.testDeployment.awaitMoreAnswers();
 	}
 
 	@AfterEach
-	void judge() {
-		this.scene.assertPromisesKept();
-		this.scene.close();
+	void verify() {
+		this.testDeployment.assertNoViolations();
+		this.testDeployment.close();
 	}
 
 	// An operator stops a daemon under load. What it owns goes to others first, what is
 	// in flight ends, and no caller is turned away for good.
 	@Tag("known-red")
 	@Test
-	void aDaemonThatIsStoppedCutsNothingOff() {
-		StandInInstance leaving = this.scene.owner("a");
+	void aStoppedDaemonFinishesItsRequests() {
+		StandInInstance leaving = this.testDeployment.owner("a");
 		leaving.daemon().terminate();
 		leaving.daemon().awaitExit(Await.LIMIT);
-		this.scene.awaitAnswers();
-		assertNobodyFailed();
+		this.testDeployment.awaitMoreAnswers();
+		assertNoRequestFailed();
 	}
 
 	// A backend server is told to stop. It drains: its daemon gives it no new work, and
 	// it ends only when it is told that nothing is in flight any more.
 	@Test
-	void aBackendServerThatIsStoppedCutsNothingOffAndGetsNoNewWork() {
-		StandInInstance leaving = this.scene.owner("a");
+	void aStoppedBackendServerFinishesItsRequestsAndGetsNoNewOnes() {
+		StandInInstance leaving = this.testDeployment.owner("a");
 		leaving.server().terminate();
 		leaving.server().awaitExit(Await.LIMIT);
-		this.scene.awaitAnswers();
-		assertNobodyFailed();
-		List<ServerRecord> unfinished = unfinished(leaving);
+		this.testDeployment.awaitMoreAnswers();
+		assertNoRequestFailed();
+		List<ServerRecord> unfinished = unfinishedRecords(leaving);
 		assertWithMessage("orders that the server began and did not end").that(unfinished).isEmpty();
 	}
 
@@ -64,27 +65,27 @@
 	@Tag("known-red")
 	@Test
 	void aRollingReplacementOfAllInstancesFailsNoRequest() {
-		this.scene.deployment().instances().forEach((instance) -> {
+		this.testDeployment.deployment().instances().forEach((instance) -> {
 			instance.stop();
 			instance.start();
-			this.scene.deployment().awaitServed();
+			this.testDeployment.deployment().awaitServed();
 		});
-		this.scene.awaitAnswers();
-		assertNobodyFailed();
+		this.testDeployment.awaitMoreAnswers();
+		assertNoRequestFailed();
 	}
 
-	private void assertNobodyFailed() {
-		this.scene.callers().finish();
-		List<CallerRecord> failed = this.scene.callers()
+	private void assertNoRequestFailed() {
+		this.testDeployment.callers().finish();
+		List<CallerRecord> failed = this.testDeployment.callers()
 			.records()
 			.stream()
-			.filter((done) -> done.outcome() != Outcome.ANSWERED)
+			.filter((record) -> record.outcome() != Outcome.ANSWERED)
 			.toList();
 		assertThat(failed).isEmpty();
 	}
 
-	private List<ServerRecord> unfinished(StandInInstance instance) {
-		List<ServerRecord> lines = this.scene.deployment()
+	private List<ServerRecord> unfinishedRecords(StandInInstance instance) {
+		List<ServerRecord> lines = this.testDeployment.deployment()
 			.serverRecords()
 			.stream()
 			.filter((line) -> line.server().equals(instance.name()))
--- a/integration/src/test/java/org/brasspier/integration/RawHttp.java
+++ b/integration/src/test/java/org/brasspier/integration/RawHttp.java
@@ -12,7 +12,7 @@
  */
 final class RawHttp {
 
-	private static final int SILENCE_MILLIS = 1000;
+	private static final int READ_TIMEOUT_MILLIS = 1000;
 
 	private RawHttp() {
 	}
@@ -23,18 +23,19 @@
 
 	static String send(InetSocketAddress address, byte[] bytes) throws IOException {
 		try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-			socket.setSoTimeout(SILENCE_MILLIS);
+			socket.setSoTimeout(READ_TIMEOUT_MILLIS);
 			socket.getOutputStream().write(bytes);
-			return received(socket);
+			return readResponse(socket);
 		}
 	}
 
-	private static String received(Socket socket) throws IOException {
+	private static String readResponse(Socket socket) throws IOException {
 		StringBuilder text = new StringBuilder();
 		byte[] buffer = new byte[8192];
 		try {
-			for (int n = socket.getInputStream().read(buffer); n >= 0; n = socket.getInputStream().read(buffer)) {
-				text.append(new String(buffer, 0, n, StandardCharsets.ISO_8859_1));
+			for (int count = socket.getInputStream().read(buffer); count >= 0; count = socket.getInputStream()
+				.read(buffer)) {
+				text.append(new String(buffer, 0, count, StandardCharsets.ISO_8859_1));
 			}
 		}
 		catch (SocketTimeoutException ex) {
--- a/integration/src/test/java/org/brasspier/integration/RawPeer.java
+++ b/integration/src/test/java/org/brasspier/integration/RawPeer.java
@@ -10,21 +10,21 @@
  */
 final class RawPeer {
 
-	private static final int WAIT_MILLIS = 10_000;
+	private static final int READ_TIMEOUT_MILLIS = 10_000;
 
 	private RawPeer() {
 	}
 
 	/** Tells whether the other side closed the connection within ten seconds. */
-	static boolean send(InetSocketAddress address, byte[] bytes) throws IOException {
+	static boolean sendAndAwaitClose(InetSocketAddress address, byte[] bytes) throws IOException {
 		try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-			socket.setSoTimeout(WAIT_MILLIS);
+			socket.setSoTimeout(READ_TIMEOUT_MILLIS);
 			socket.getOutputStream().write(bytes);
-			return drained(socket);
+			return awaitClose(socket);
 		}
 	}
 
-	private static boolean drained(Socket socket) {
+	private static boolean awaitClose(Socket socket) {
 		try {
 			while (socket.getInputStream().read() >= 0) {
 				continue;
--- a/integration/src/test/java/org/brasspier/integration/RequestPathAtMostOnceTests.java
+++ b/integration/src/test/java/org/brasspier/integration/RequestPathAtMostOnceTests.java
@@ -24,16 +24,16 @@
  */
 class RequestPathAtMostOnceTests {
 
-	private static final PathCaller KEYED = new PathCaller("hullbook");
+	private static final SingleAttemptCaller SHARDED_CALLER = new SingleAttemptCaller("hullbook");
 
-	private static final PathCaller BY_ID = new PathCaller("returns-desk");
+	private static final SingleAttemptCaller UNSHARDED_CALLER = new SingleAttemptCaller("returns-desk");
 
 	private static Deployment deployment;
 
 	/**
 	 * More than the ranges of a deployment that has just started move before they rest.
 	 */
-	private static final int MOST_MOVES = 50;
+	private static final int MAX_MOVES = 50;
 
 	@BeforeAll
 	static void start() {
@@ -51,25 +51,26 @@
 
 	@Test
 	void aPostingOfAServiceDividedByKeyRunsOnceHoweverItIsSentAgain() throws Exception {
-		runsOnce(KEYED, "hullbook", "hull-1", "keyed");
+		assertRunsOnce(SHARDED_CALLER, "hullbook", "hull-1", "keyed");
 	}
 
 	@Test
 	void aPostingOfAServiceDividedByIdsRunsOnceHoweverItIsSentAgain() throws Exception {
-		runsOnce(BY_ID, "returns-desk", "", "by-id");
+		assertRunsOnce(UNSHARDED_CALLER, "returns-desk", "", "by-id");
 	}
 
 	// Ranges move for some seconds after a start, and the next owner of a posting's range
 	// rightly answers 409. It names its own fence, so any other 409 fails.
-	private static void runsOnce(PathCaller caller, String service, String key, String prefix) throws Exception {
-		for (int move = 0; move < MOST_MOVES; move++) {
+	private static void assertRunsOnce(SingleAttemptCaller caller, String service, String key, String prefix)
+			throws Exception {
+		for (int move = 0; move < MAX_MOVES; move++) {
 			String id = prefix + "-" + move;
-			PathCaller.Posting posting = caller.begin(deployment.instances().getFirst(), key, id);
+			SingleAttemptCaller.Posting posting = caller.requestTicket(deployment.instances().getFirst(), key, id);
 			List<HttpResponse<String>> answers = sendToAll(caller, posting);
-			assertThat(runs(id)).isAtMost(1);
+			assertThat(effectCount(id)).isAtMost(1);
 			if (answers.stream().allMatch((answer) -> answer.statusCode() == 200)) {
 				answers.forEach((answer) -> assertThat(answer.body()).contains(id));
-				assertThat(runs(id)).isEqualTo(1);
+				assertThat(effectCount(id)).isEqualTo(1);
 				return;
 			}
 			answers.stream()
@@ -79,17 +80,18 @@
 		throw new AssertionError("the ranges of %s never rest".formatted(service));
 	}
 
-	private static void assertOwnerChanged(HttpResponse<String> answer, PathCaller.Posting posting) {
+	private static void assertOwnerChanged(HttpResponse<String> answer, SingleAttemptCaller.Posting posting) {
 		assertThat(answer.statusCode()).isEqualTo(409);
-		assertThat(fence(PathCaller.field(answer, "Brasspier-Ticket"))).isGreaterThan(fence(posting.ticket()));
+		assertThat(fenceOf(SingleAttemptCaller.header(answer, "Brasspier-Ticket")))
+			.isGreaterThan(fenceOf(posting.ticket()));
 	}
 
 	// The third part of a ticket.
-	private static long fence(String ticket) {
+	private static long fenceOf(String ticket) {
 		return Long.parseLong(ticket.split("~")[2], 16);
 	}
 
-	private static List<HttpResponse<String>> sendToAll(PathCaller caller, PathCaller.Posting posting)
+	private static List<HttpResponse<String>> sendToAll(SingleAttemptCaller caller, SingleAttemptCaller.Posting posting)
 			throws Exception {
 		List<HttpResponse<String>> answers = new ArrayList<>();
 		for (StandInInstance daemon : deployment.instances()) {
@@ -103,48 +105,51 @@
 		// A crew books; the owner's instance is lost with the booking in its hands, and
 		// the answer with it. The crew sends the booking again, until somebody owns the
 		// key. It may have run, so it must not run again, and the crew must be told so.
-		PathCaller.Posting posting = KEYED.begin(deployment.instances().getFirst(), "hull-2", "lost-owner");
+		SingleAttemptCaller.Posting posting = SHARDED_CALLER.requestTicket(deployment.instances().getFirst(), "hull-2",
+				"lost-owner");
 		StandInInstance owner = deployment.owner("hullbook", "hull-2").orElseThrow();
 		StandInInstance other = deployment.instances()
 			.stream()
 			.filter((instance) -> !instance.equals(owner))
 			.findFirst()
 			.orElseThrow();
-		CompletableFuture<HttpResponse<String>> first = KEYED.send(other, "/book?work=1000", posting);
-		Await.until("the booking runs", () -> began("lost-owner"));
+		CompletableFuture<HttpResponse<String>> first = SHARDED_CALLER.send(other, "/book?work=1000", posting);
+		Await.until("the booking runs", () -> hasBegun("lost-owner"));
 		owner.kill();
 		try {
-			assertThat(PathCaller.field(first.get(20, TimeUnit.SECONDS), "Brasspier-Ran")).isEqualTo("unknown");
+			assertThat(SingleAttemptCaller.header(first.get(20, TimeUnit.SECONDS), "Brasspier-Ran"))
+				.isEqualTo("unknown");
 			Await.until("the next owner answers",
-					() -> PathCaller.field(quietly(other, posting), "Brasspier-Error").equals("POSSIBLY_RAN_BEFORE"));
-			assertThat(runs("lost-owner")).isAtMost(1);
+					() -> SingleAttemptCaller.header(sendAndJoin(other, posting), "Brasspier-Error")
+						.equals("POSSIBLY_RAN_BEFORE"));
+			assertThat(effectCount("lost-owner")).isAtMost(1);
 		}
 		finally {
 			owner.start();
-			Await.until("the instance is back", () -> answers(owner));
+			Await.until("the instance is back", () -> isAnswering(owner));
 		}
 	}
 
-	private static boolean answers(StandInInstance daemon) {
+	private static boolean isAnswering(StandInInstance daemon) {
 		try {
-			return KEYED.get(daemon, "/x", "hull-3", "back", 1000).statusCode() == 200;
+			return SHARDED_CALLER.get(daemon, "/x", "hull-3", "back", 1000).statusCode() == 200;
 		}
 		catch (IOException | InterruptedException ex) {
 			return false;
 		}
 	}
 
-	private static HttpResponse<String> quietly(StandInInstance daemon, PathCaller.Posting posting) {
-		return KEYED.send(daemon, "/book?work=1000", posting).join();
+	private static HttpResponse<String> sendAndJoin(StandInInstance daemon, SingleAttemptCaller.Posting posting) {
+		return SHARDED_CALLER.send(daemon, "/book?work=1000", posting).join();
 	}
 
-	private static boolean began(String id) {
+	private static boolean hasBegun(String id) {
 		return deployment.serverRecords()
 			.stream()
 			.anyMatch((record) -> record.id().equals(id) && record.kind() == ServerRecord.Kind.BEGAN);
 	}
 
-	private static long runs(String id) {
+	private static long effectCount(String id) {
 		return deployment.serverRecords()
 			.stream()
 			.filter((record) -> record.id().equals(id) && record.kind() == ServerRecord.Kind.TOOK_EFFECT)
--- a/integration/src/test/java/org/brasspier/integration/RequestPathFaultTests.java
+++ b/integration/src/test/java/org/brasspier/integration/RequestPathFaultTests.java
@@ -49,18 +49,18 @@
 		// Something between the daemons loses track of all open connections: they stay
 		// open and carry nothing. New ones work. Each crew still gets its record within
 		// its deadline.
-		answeredThoughSilent(":forward", "f");
+		assertAnsweredAfterSilence(":forward", "f");
 	}
 
 	@Tag("known-red")
 	@Test
 	void aLookupIsAnsweredThoughConnectionsToServersWentSilent() throws Exception {
 		// The same between the daemons and their backend servers.
-		answeredThoughSilent(">server", "b");
+		assertAnsweredAfterSilence(">server", "b");
 	}
 
-	private static void answeredThoughSilent(String links, String prefix) throws Exception {
-		PathCaller caller = new PathCaller(SERVICE);
+	private static void assertAnsweredAfterSilence(String links, String prefix) throws Exception {
+		SingleAttemptCaller caller = new SingleAttemptCaller(SERVICE);
 		for (StandInInstance entry : deployment.instances()) {
 			caller.get(entry, "/x", "warm", "warm-" + prefix + entry.name(), 1000);
 			deployment.proxy().links((name) -> name.endsWith(links)).forEach(FaultLink::silenceOpenConnections);
@@ -72,20 +72,20 @@
 	}
 
 	@Test
-	void lateAnswersReachNobodyElse() throws Exception {
+	void lateAnswersReachOnlyTheirOwnCallers() throws Exception {
 		// The links between daemons hold everything back for a while. Callers give up and
 		// ask for other things. When the links go on, the old answers come late.
 		deployment.awaitServed();
 		try (CallerFleet fleet = new CallerFleet(deployment.callerAddresses())) {
-			List<CompletableFuture<CallerRecord>> asked = new ArrayList<>(ask(fleet, "late", 100));
+			List<CompletableFuture<CallerRecord>> pending = new ArrayList<>(startLookups(fleet, "late", 100));
 			StandInInstance slow = deployment.instances().getLast();
 			deployment.setPeerLinks(slow, LinkState.HELD_BACK);
-			asked.addAll(ask(fleet, "held", 200));
-			Await.until("some gave up", () -> asked.stream().filter(CompletableFuture::isDone).count() > 100);
+			pending.addAll(startLookups(fleet, "held", 200));
+			Await.until("some gave up", () -> pending.stream().filter(CompletableFuture::isDone).count() > 100);
 			deployment.setPeerLinks(slow, LinkState.HEALTHY);
-			asked.addAll(ask(fleet, "after", 200));
-			List<CallerRecord> done = asked.stream().map(CompletableFuture::join).toList();
-			assertThat(done.stream()
+			pending.addAll(startLookups(fleet, "after", 200));
+			List<CallerRecord> records = pending.stream().map(CompletableFuture::join).toList();
+			assertThat(records.stream()
 				.flatMap((record) -> record.attempts().stream())
 				.filter((attempt) -> attempt.answered() && !attempt.matchesRequest())
 				.toList()).isEmpty();
@@ -93,28 +93,28 @@
 		deployment.awaitServed();
 	}
 
-	private static List<CompletableFuture<CallerRecord>> ask(CallerFleet fleet, String key, int count) {
-		List<CompletableFuture<CallerRecord>> asked = new ArrayList<>();
+	private static List<CompletableFuture<CallerRecord>> startLookups(CallerFleet fleet, String key, int count) {
+		List<CompletableFuture<CallerRecord>> pending = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
-			asked.add(fleet.call(StandInRequest.lookup(SERVICE, key + i, fleet.newId()).withWaitMillis(1500)));
+			pending.add(fleet.call(StandInRequest.lookup(SERVICE, key + i, fleet.newId()).withWaitMillis(1500)));
 		}
-		return asked;
+		return pending;
 	}
 
 	@Test
-	void aRequestThatCrashesServersIsKeptAwayAfterTwo() throws Exception {
+	void aRequestThatCrashesServersIsRefusedAfterTwoCrashes() throws Exception {
 		// One lookup ends each backend server that runs it, and its caller sends it again
 		// and again to any daemon. Two servers may fall; then it is refused by name, and
 		// the key's other requests go on.
-		PathCaller caller = new PathCaller(SERVICE);
+		SingleAttemptCaller caller = new SingleAttemptCaller(SERVICE);
 		List<StandInInstance> daemons = deployment.instances();
-		String last = "";
-		for (int i = 0; i < 40 && !last.equals("CRASHED_BACKENDS"); i++) {
+		String lastError = "";
+		for (int i = 0; i < 40 && !lastError.equals("CRASHED_BACKENDS"); i++) {
 			HttpResponse<String> answer = caller.get(daemons.get(i % daemons.size()), "/crash", "hull-c", "killer",
 					2000);
-			last = PathCaller.field(answer, "Brasspier-Error");
+			lastError = SingleAttemptCaller.header(answer, "Brasspier-Error");
 		}
-		assertThat(last).isEqualTo("CRASHED_BACKENDS");
+		assertThat(lastError).isEqualTo("CRASHED_BACKENDS");
 		long began = deployment.serverRecords()
 			.stream()
 			.filter((record) -> record.id().equals("killer") && record.kind() == ServerRecord.Kind.BEGAN)
@@ -135,18 +135,18 @@
 		deployment.awaitServed();
 		StandInInstance leaving = deployment.instances().get(1);
 		try (CallerFleet fleet = new CallerFleet(deployment.callerAddresses())) {
-			List<CompletableFuture<CallerRecord>> asked = new ArrayList<>();
+			List<CompletableFuture<CallerRecord>> pending = new ArrayList<>();
 			Thread stopping = Thread.ofPlatform().daemon().start(leaving::stop);
 			while (stopping.isAlive()) {
-				asked.addAll(ask(fleet, "stop", 5));
+				pending.addAll(startLookups(fleet, "stop", 5));
 				Thread.sleep(10);
 			}
 			stopping.join();
-			List<CallerRecord> failed = asked.stream()
+			List<CallerRecord> failed = pending.stream()
 				.map(CompletableFuture::join)
 				.filter((record) -> record.outcome() != CallerRecord.Outcome.ANSWERED)
 				.toList();
-			assertThat(asked).isNotEmpty();
+			assertThat(pending).isNotEmpty();
 			assertThat(failed).isEmpty();
 		}
 		finally {
--- a/integration/src/test/java/org/brasspier/integration/SilentConnectionTests.java
+++ b/integration/src/test/java/org/brasspier/integration/SilentConnectionTests.java
@@ -13,9 +13,9 @@
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 
-class SilentConnectionTests extends AbstractSceneTests {
+class SilentConnectionTests extends AbstractFaultTests {
 
-	private static final int PADDING = 60_000;
+	private static final int PADDING_BYTES = 60_000;
 
 	// Something between two daemons forgets their connections: what is sent over them is
 	// lost and neither end is told, while new ones work. Callers whose requests are
@@ -23,54 +23,55 @@
 	@Tag("known-red")
 	@Test
 	void silentConnectionsBetweenDaemonsAreNoticedAndReplaced() {
-		silence(":forward");
-		scene.awaitAnswers();
+		silenceOpenConnections(":forward");
+		testDeployment.awaitMoreAnswers();
 		assertEachKeyIsAnsweredThroughEachDaemon();
 	}
 
 	// The same between the daemons' control ports: leases are renewed over new ones.
 	@Test
 	void silentControlConnectionsAreNoticedAndReplaced() {
-		silence(":control");
-		scene.awaitAnswers();
+		silenceOpenConnections(":control");
+		testDeployment.awaitMoreAnswers();
 		assertEachKeyIsAnsweredThroughEachDaemon();
 	}
 
 	// The same between a daemon and the server beside it.
 	@Test
 	void silentConnectionsToTheBackendServerAreNoticedAndReplaced() {
-		silence(">server");
-		scene.awaitAnswers();
+		silenceOpenConnections(">server");
+		testDeployment.awaitMoreAnswers();
 		assertEachKeyIsAnsweredThroughEachDaemon();
 	}
 
 	// Answers between daemons are held for a while and then all arrive at once, late and
 	// after others of the same callers. Each caller gets its own, whole, or an error.
 	@Test
-	void lateAnswersReachNobodyElse() {
-		scene.callers()
-			.setTraffic(List.of(new TrafficStream(Scene.KEYED, true, "lookup", 150, 50, 0, "/look", PADDING),
-					TrafficStream.steady(Scene.KEYED, true, "posting", 50)));
+	void lateAnswersReachOnlyTheirOwnCallers() {
+		testDeployment.callers()
+			.setTraffic(List.of(new TrafficStream(TestDeployment.SHARDED_SERVICE, true, "lookup", 150, 50, 0, "/look",
+					PADDING_BYTES), TrafficStream.steady(TestDeployment.SHARDED_SERVICE, true, "posting", 50)));
 		for (int i = 0; i < 3; i++) {
-			scene.deployment().setLinks((name) -> name.endsWith(":forward"), LinkState.HELD_BACK);
-			scene.awaitAnswers();
-			scene.deployment().setLinks((name) -> name.endsWith(":forward"), LinkState.HEALTHY);
-			scene.awaitAnswers();
+			testDeployment.deployment().setLinks((name) -> name.endsWith(":forward"), LinkState.HELD_BACK);
+			testDeployment.awaitMoreAnswers();
+			testDeployment.deployment().setLinks((name) -> name.endsWith(":forward"), LinkState.HEALTHY);
+			testDeployment.awaitMoreAnswers();
 		}
 	}
 
-	private static void silence(String suffix) {
-		List<FaultLink> links = scene.deployment().proxy().links((name) -> name.endsWith(suffix));
-		int open = links.stream().mapToInt(FaultLink::openConnections).sum();
-		assertWithMessage("open connections of %s", suffix).that(open).isGreaterThan(0);
+	private static void silenceOpenConnections(String suffix) {
+		List<FaultLink> links = testDeployment.deployment().proxy().links((name) -> name.endsWith(suffix));
+		int openConnections = links.stream().mapToInt(FaultLink::openConnections).sum();
+		assertWithMessage("open connections of %s", suffix).that(openConnections).isGreaterThan(0);
 		links.forEach(FaultLink::silenceOpenConnections);
 	}
 
 	private static void assertEachKeyIsAnsweredThroughEachDaemon() {
 		for (int i = 0; i < 30; i++) {
-			CallerRecord done = scene
-				.ask(StandInRequest.lookup(Scene.KEYED, "key-" + i, scene.callers().newId()).withWaitMillis(10_000));
-			assertThat(done.outcome()).isEqualTo(CallerRecord.Outcome.ANSWERED);
+			CallerRecord record = testDeployment.call(
+					StandInRequest.lookup(TestDeployment.SHARDED_SERVICE, "key-" + i, testDeployment.callers().newId())
+						.withWaitMillis(10_000));
+			assertThat(record.outcome()).isEqualTo(CallerRecord.Outcome.ANSWERED);
 		}
 	}
 
--- a/integration/src/test/java/org/brasspier/integration/StoreFaultTests.java
+++ b/integration/src/test/java/org/brasspier/integration/StoreFaultTests.java
@@ -12,71 +12,71 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-class StoreFaultTests extends AbstractSceneTests {
+class StoreFaultTests extends AbstractFaultTests {
 
 	// The platform's store goes down for many times the length of a lease. Tellers notice
 	// nothing: the two lease managers go on confirming each other, and nothing moves.
 	@Tag("known-red")
 	@Test
 	void ownersServeThroughAnOutageOfTheStore() {
-		int before = scene.callers().records().size();
-		scene.deployment().platform().faults(PlatformFaults.OUTAGE);
+		int recordsBefore = testDeployment.callers().records().size();
+		testDeployment.deployment().platform().faults(PlatformFaults.OUTAGE);
 		for (int i = 0; i < 4; i++) {
-			scene.awaitAnswers();
+			testDeployment.awaitMoreAnswers();
 		}
-		scene.deployment().platform().faults(PlatformFaults.NONE);
-		assertThat(unanswered(before)).isEmpty();
+		testDeployment.deployment().platform().faults(PlatformFaults.NONE);
+		assertThat(unanswered(recordsBefore)).isEmpty();
 	}
 
 	// The store takes two seconds for each answer, far longer than a lease. Owners serve
 	// on, since a lease is renewed without the store.
 	@Test
 	void ownersServeWhileTheStoreIsSlow() {
-		int before = scene.callers().records().size();
-		scene.deployment().platform().faults(PlatformFaults.slow(2000));
+		int recordsBefore = testDeployment.callers().records().size();
+		testDeployment.deployment().platform().faults(PlatformFaults.slow(2000));
 		for (int i = 0; i < 4; i++) {
-			scene.awaitAnswers();
+			testDeployment.awaitMoreAnswers();
 		}
-		scene.deployment().platform().faults(PlatformFaults.NONE);
-		assertThat(unanswered(before)).isEmpty();
+		testDeployment.deployment().platform().faults(PlatformFaults.NONE);
+		assertThat(unanswered(recordsBefore)).isEmpty();
 	}
 
 	// An instance is lost, and the write that moves its ranges takes effect while the
 	// answer is lost. The manager reads the row back before it tells anybody; if it told
 	// the old state or wrote again blindly, two servers would own the ranges.
 	@Test
-	void aMoveWhoseAnswerIsLostIsSettledBeforeItIsTold() {
-		StandInInstance lost = scene.owner("a");
-		List<OwnedRange> ranges = scene.deployment().ownedBy(lost);
-		scene.deployment().platform().faults(PlatformFaults.losingAnswers(2));
+	void aMoveWhoseAnswerIsLostIsResolvedBeforeItIsAnnounced() {
+		StandInInstance lost = testDeployment.owner("a");
+		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(lost);
+		testDeployment.deployment().platform().faults(PlatformFaults.losingAnswers(2));
 		lost.kill();
-		scene.awaitRecovered(ranges);
+		testDeployment.awaitRecovered(ranges);
 	}
 
 	// The store is down, then a plain member is lost: its ranges can't move, callers of
 	// just these are turned away as not run. Once the store answers, others own them.
 	@Test
-	void aLossDuringAnOutageCostsItsRangesUntilTheStoreAnswers() {
-		StandInInstance lost = plainMember();
-		List<OwnedRange> ranges = scene.deployment().ownedBy(lost);
-		scene.deployment().platform().faults(PlatformFaults.OUTAGE);
-		scene.awaitAnswers();
+	void rangesLostDuringAnOutageAreUnavailableUntilTheStoreAnswers() {
+		StandInInstance lost = memberThatIsNotManager();
+		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(lost);
+		testDeployment.deployment().platform().faults(PlatformFaults.OUTAGE);
+		testDeployment.awaitMoreAnswers();
 		lost.kill();
-		scene.awaitAnswers();
-		scene.deployment().platform().faults(PlatformFaults.NONE);
-		scene.awaitRecovered(ranges);
+		testDeployment.awaitMoreAnswers();
+		testDeployment.deployment().platform().faults(PlatformFaults.NONE);
+		testDeployment.awaitRecovered(ranges);
 	}
 
 	// A plain member is lost, and the store goes down before the ranges have moved.
 	@Test
 	void anOutageRightAfterALossOnlyDelaysTheMove() {
-		StandInInstance lost = plainMember();
-		List<OwnedRange> ranges = scene.deployment().ownedBy(lost);
+		StandInInstance lost = memberThatIsNotManager();
+		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(lost);
 		lost.kill();
-		scene.deployment().platform().faults(PlatformFaults.OUTAGE);
-		scene.awaitAnswers();
-		scene.deployment().platform().faults(PlatformFaults.NONE);
-		scene.awaitRecovered(ranges);
+		testDeployment.deployment().platform().faults(PlatformFaults.OUTAGE);
+		testDeployment.awaitMoreAnswers();
+		testDeployment.deployment().platform().faults(PlatformFaults.NONE);
+		testDeployment.awaitRecovered(ranges);
 	}
 
 	// A lease manager is lost while the store is down. The other one can't replace it, so
@@ -84,25 +84,25 @@
 	// answers, all is served again, and nothing that was in place is lost.
 	@Test
 	void aManagerLostDuringAnOutageStopsTheCellUntilTheStoreAnswers() {
-		List<OwnedRange> ranges = scene.deployment().ownedBy(managers.secondary());
-		scene.deployment().platform().faults(PlatformFaults.OUTAGE);
-		scene.awaitAnswers();
-		int before = scene.callers().records().size();
+		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(managers.secondary());
+		testDeployment.deployment().platform().faults(PlatformFaults.OUTAGE);
+		testDeployment.awaitMoreAnswers();
+		int recordsBefore = testDeployment.callers().records().size();
 		managers.secondary().kill();
-		Await.until("callers are turned away", () -> !unanswered(before).isEmpty());
-		scene.deployment().platform().faults(PlatformFaults.NONE);
-		scene.awaitRecovered(ranges);
+		Await.until("callers are turned away", () -> !unanswered(recordsBefore).isEmpty());
+		testDeployment.deployment().platform().faults(PlatformFaults.NONE);
+		testDeployment.awaitRecovered(ranges);
 	}
 
 	// The same with a store that takes two seconds for each answer: it costs the cell as
 	// long as the store takes, and no mending.
 	@Test
 	void aManagerLostWhileTheStoreIsSlowIsReplacedOnceTheStoreHasAnswered() {
-		List<OwnedRange> ranges = scene.deployment().ownedBy(managers.primary());
-		scene.deployment().platform().faults(PlatformFaults.slow(2000));
-		scene.awaitAnswers();
+		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(managers.primary());
+		testDeployment.deployment().platform().faults(PlatformFaults.slow(2000));
+		testDeployment.awaitMoreAnswers();
 		managers.primary().kill();
-		scene.awaitRecovered(ranges);
+		testDeployment.awaitRecovered(ranges);
 	}
 
 	// A member is lost, and the write that moves its ranges takes effect while its answer
@@ -110,17 +110,17 @@
 	// just been given ranges of the first. Neither the settling nor the second recovery
 	// may undo the other.
 	@Test
-	void aSecondLossBeforeALostAnswerIsSettledLosesNothing() {
-		StandInInstance first = scene.otherThan(managers.primary(), managers.secondary());
-		StandInInstance second = scene.otherThan(managers.primary(), managers.secondary(), first);
-		List<OwnedRange> ranges = scene.deployment().ownedBy(first);
-		List<OwnedRange> more = scene.deployment().ownedBy(second);
-		scene.deployment().platform().faults(PlatformFaults.losingAnswers(1));
+	void aSecondLossBeforeALostAnswerIsResolvedLosesNoRange() {
+		StandInInstance first = testDeployment.instanceOtherThan(managers.primary(), managers.secondary());
+		StandInInstance second = testDeployment.instanceOtherThan(managers.primary(), managers.secondary(), first);
+		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(first);
+		List<OwnedRange> rangesOfSecond = testDeployment.deployment().ownedBy(second);
+		testDeployment.deployment().platform().faults(PlatformFaults.losingAnswers(1));
 		first.kill();
-		Await.until("the answer is lost", () -> scene.deployment().platform().faults().lostAnswers() == 0);
+		Await.until("the answer is lost", () -> testDeployment.deployment().platform().faults().lostAnswers() == 0);
 		second.kill();
-		scene.awaitRecovered(ranges);
-		scene.awaitRecovered(more);
+		testDeployment.awaitRecovered(ranges);
+		testDeployment.awaitRecovered(rangesOfSecond);
 	}
 
 	// While the store is down a server stands still for a moment, as in a long garbage
@@ -129,31 +129,31 @@
 	// away for as long as the store was down.
 	@Tag("known-red")
 	@Test
-	void aServerThatStoodStillDuringAnOutageServesOnBeforeTheStoreAnswers() {
-		StandInInstance still = plainMember();
-		List<OwnedRange> ranges = scene.deployment().ownedBy(still);
-		scene.deployment().platform().faults(PlatformFaults.OUTAGE);
-		scene.awaitAnswers();
-		int before = scene.callers().records().size();
-		still.server().pause();
-		Await.until("callers are turned away", () -> !unanswered(before).isEmpty());
-		still.server().resume();
-		scene.awaitRecovered(ranges);
+	void aServerPausedDuringAnOutageServesAgainBeforeTheStoreAnswers() {
+		StandInInstance paused = memberThatIsNotManager();
+		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(paused);
+		testDeployment.deployment().platform().faults(PlatformFaults.OUTAGE);
+		testDeployment.awaitMoreAnswers();
+		int recordsBefore = testDeployment.callers().records().size();
+		paused.server().pause();
+		Await.until("callers are turned away", () -> !unanswered(recordsBefore).isEmpty());
+		paused.server().resume();
+		testDeployment.awaitRecovered(ranges);
 	}
 
 	// Not a lease manager: with the store down, the other one's authority would end, and
 	// the cell would stop until the store answers, as docs/DESIGN.md says.
-	private static StandInInstance plainMember() {
-		StandInInstance plain = scene.otherThan(managers.primary(), managers.secondary());
+	private static StandInInstance memberThatIsNotManager() {
+		StandInInstance member = testDeployment.instanceOtherThan(managers.primary(), managers.secondary());
 		// It may be the one that the test before has lost, and just be coming back.
-		Await.until(plain.name() + " owns ranges", () -> !scene.deployment().ownedBy(plain).isEmpty());
-		return plain;
+		Await.until(member.name() + " owns ranges", () -> !testDeployment.deployment().ownedBy(member).isEmpty());
+		return member;
 	}
 
-	private static List<CallerRecord> unanswered(int from) {
-		Await.until("requests have ended", () -> scene.callers().records().size() > from);
-		List<CallerRecord> records = scene.callers().records();
-		return records.subList(from, records.size())
+	private static List<CallerRecord> unanswered(int firstIndex) {
+		Await.until("requests have ended", () -> testDeployment.callers().records().size() > firstIndex);
+		List<CallerRecord> records = testDeployment.callers().records();
+		return records.subList(firstIndex, records.size())
 			.stream()
 			.filter((done) -> done.outcome() != CallerRecord.Outcome.ANSWERED)
 			.toList();
--- a/integration/src/test/java/org/brasspier/integration/StoredStateTests.java
+++ b/integration/src/test/java/org/brasspier/integration/StoredStateTests.java
@@ -16,21 +16,21 @@
 
 class StoredStateTests {
 
-	private static final String ROW = "cell/small";
+	private static final String CELL_ROW = "cell/small";
 
-	private Scene scene;
+	private TestDeployment testDeployment;
 
 	@BeforeEach
 	void start() {
-		this.scene = Scene.keyed(3);
-		this.scene.traffic();
-		this.scene.awaitAnswers();
+		this.testDeployment = TestDeployment.shardedByKey(3);
+		this.testDeployment.startTraffic();
+		this.testDeployment.awaitMoreAnswers();
 	}
 
 	@AfterEach
-	void judge() {
-		this.scene.assertPromisesKept();
-		this.scene.close();
+	void verify() {
+		this.testDeployment.assertNoViolations();
+		this.testDeployment.close();
 	}
 
 	// Somebody damages the cell's row, or a newer version of the daemon has written it.
@@ -41,28 +41,28 @@
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void aRowThatCannotBeReadIsNeverOverwritten(boolean newer) {
-		Managers managers = Managers.await(this.scene.deployment());
-		byte[] good = this.scene.deployment().platform().row(ROW).orElseThrow();
-		byte[] bad = (newer) ? newer(good) : damaged(good);
-		this.scene.deployment().platform().corruptRow(ROW, bad);
-		StandInInstance lost = this.scene.otherThan(managers.primary(), managers.secondary());
-		List<OwnedRange> ranges = this.scene.deployment().ownedBy(lost);
-		this.scene.awaitAnswers();
+		Managers managers = Managers.await(this.testDeployment.deployment());
+		byte[] validRow = this.testDeployment.deployment().platform().row(CELL_ROW).orElseThrow();
+		byte[] unreadableRow = (newer) ? withNewerFormat(validRow) : withFlippedBit(validRow);
+		this.testDeployment.deployment().platform().corruptRow(CELL_ROW, unreadableRow);
+		StandInInstance lost = this.testDeployment.instanceOtherThan(managers.primary(), managers.secondary());
+		List<OwnedRange> ranges = this.testDeployment.deployment().ownedBy(lost);
+		this.testDeployment.awaitMoreAnswers();
 		lost.kill();
-		this.scene.awaitAnswers();
-		assertThat(this.scene.deployment().platform().row(ROW).orElseThrow()).isEqualTo(bad);
-		this.scene.deployment().platform().corruptRow(ROW, good);
-		this.scene.awaitRecovered(ranges);
+		this.testDeployment.awaitMoreAnswers();
+		assertThat(this.testDeployment.deployment().platform().row(CELL_ROW).orElseThrow()).isEqualTo(unreadableRow);
+		this.testDeployment.deployment().platform().corruptRow(CELL_ROW, validRow);
+		this.testDeployment.awaitRecovered(ranges);
 	}
 
-	private static byte[] damaged(byte[] good) {
-		byte[] bad = Arrays.copyOf(good, good.length);
-		bad[bad.length - 1] ^= 1;
-		return bad;
+	private static byte[] withFlippedBit(byte[] validRow) {
+		byte[] unreadableRow = Arrays.copyOf(validRow, validRow.length);
+		unreadableRow[unreadableRow.length - 1] ^= 1;
+		return unreadableRow;
 	}
 
-	private static byte[] newer(byte[] good) {
-		String line = new String(good, StandardCharsets.ISO_8859_1);
+	private static byte[] withNewerFormat(byte[] validRow) {
+		String line = new String(validRow, StandardCharsets.ISO_8859_1);
 		return line.replaceFirst("brasspier 1 ", "brasspier 99 ").getBytes(StandardCharsets.ISO_8859_1);
 	}
 
--- a/integration/src/test/java/org/brasspier/integration/Scene.java
+++ b/integration/src/test/java/org/brasspier/integration/TestDeployment.java
@@ -23,33 +23,33 @@
 /**
  * A small deployment under light traffic, for one test class.
  */
-final class Scene implements AutoCloseable {
+final class TestDeployment implements AutoCloseable {
 
-	static final String KEYED = "hullbook";
+	static final String SHARDED_SERVICE = "hullbook";
 
-	static final String UNKEYED = "jobdesk";
+	static final String UNSHARDED_SERVICE = "jobdesk";
 
 	private final Deployment deployment;
 
 	private final CallerFleet callers;
 
-	private Scene(Deployment deployment) {
+	private TestDeployment(Deployment deployment) {
 		this.deployment = deployment;
 		this.callers = deployment.newCallers();
 	}
 
-	static Scene start(ServiceShape... services) {
-		return of(DeploymentShape.small(services));
+	static TestDeployment start(ServiceShape... services) {
+		return start(DeploymentShape.small(services));
 	}
 
-	static Scene of(DeploymentShape shape) {
-		Scene scene = new Scene(Deployment.start(shape));
-		scene.deployment.awaitServed();
-		return scene;
+	static TestDeployment start(DeploymentShape shape) {
+		TestDeployment testDeployment = new TestDeployment(Deployment.start(shape));
+		testDeployment.deployment.awaitServed();
+		return testDeployment;
 	}
 
-	static Scene keyed(int servers) {
-		return start(new ServiceShape(KEYED, true, servers, 8, 60, true));
+	static TestDeployment shardedByKey(int servers) {
+		return start(new ServiceShape(SHARDED_SERVICE, true, servers, 8, 60, true));
 	}
 
 	Deployment deployment() {
@@ -61,7 +61,7 @@
 	}
 
 	/** Lookups and postings for each service, until the test ends. */
-	void traffic() {
+	void startTraffic() {
 		this.callers.setTraffic(this.deployment.shape()
 			.services()
 			.stream()
@@ -73,46 +73,46 @@
 	}
 
 	/** Waits until callers have been answered some hundred times more. */
-	void awaitAnswers() {
-		long enough = answered() + 200;
-		Await.until("200 more requests are answered", () -> answered() > enough);
+	void awaitMoreAnswers() {
+		long targetCount = answeredCount() + 200;
+		Await.until("200 more requests are answered", () -> answeredCount() > targetCount);
 	}
 
 	/**
 	 * Waits until each instance owns something: one that was lost in an earlier test owns
 	 * nothing until its share comes back.
 	 */
-	void awaitAllOwn() {
+	void awaitAllInstancesOwnRanges() {
 		Await.until("each instance owns something",
 				() -> this.deployment.instances()
 					.stream()
 					.noneMatch((instance) -> this.deployment.ownedBy(instance).isEmpty()));
 	}
 
-	long answered() {
+	long answeredCount() {
 		return this.callers.records()
 			.stream()
-			.filter((done) -> done.outcome() == CallerRecord.Outcome.ANSWERED)
+			.filter((record) -> record.outcome() == CallerRecord.Outcome.ANSWERED)
 			.count();
 	}
 
 	StandInInstance owner(String key) {
-		return this.deployment.owner(KEYED, key).orElseThrow();
+		return this.deployment.owner(SHARDED_SERVICE, key).orElseThrow();
 	}
 
-	StandInInstance otherThan(StandInInstance... taken) {
+	StandInInstance instanceOtherThan(StandInInstance... excluded) {
 		return this.deployment.instances()
 			.stream()
-			.filter((instance) -> !List.of(taken).contains(instance))
+			.filter((instance) -> !List.of(excluded).contains(instance))
 			.findFirst()
 			.orElseThrow();
 	}
 
-	CallerRecord ask(StandInRequest request) {
+	CallerRecord call(StandInRequest request) {
 		return this.callers.call(request).join();
 	}
 
-	CompletableFuture<CallerRecord> begin(StandInRequest request) {
+	CompletableFuture<CallerRecord> callAsync(StandInRequest request) {
 		return this.callers.call(request);
 	}
 
@@ -125,7 +125,7 @@
 	}
 
 	/** Mends all faults, ends the traffic, and judges the histories. */
-	void assertPromisesKept() {
+	void assertNoViolations() {
 		new FaultInjector(this.deployment).mend();
 		this.deployment.awaitServed();
 		this.callers.finish();
--- a/integration/src/test/java/org/brasspier/integration/TwoVersionsTests.java
+++ b/integration/src/test/java/org/brasspier/integration/TwoVersionsTests.java
@@ -11,34 +11,34 @@
 
 class TwoVersionsTests {
 
-	private Scene scene;
+	private TestDeployment testDeployment;
 
 	@BeforeEach
 	void start() {
-		this.scene = Scene.of(DeploymentShape.small(4).withTwoPeerVersions());
-		this.scene.traffic();
-		this.scene.awaitAnswers();
-		this.scene.awaitAllOwn();
+		this.testDeployment = TestDeployment.start(DeploymentShape.small(4).withTwoPeerVersions());
+		this.testDeployment.startTraffic();
+		this.testDeployment.awaitMoreAnswers();
+		this.testDeployment.awaitAllInstancesOwnRanges();
 	}
 
 	@AfterEach
-	void judge() {
-		this.scene.assertPromisesKept();
-		this.scene.close();
+	void verify() {
+		this.testDeployment.assertNoViolations();
+		this.testDeployment.close();
 	}
 
 	// In the midst of a rolling replacement half of the daemons speak the earlier
 	// protocol. Instances of each version are lost; whoever manages tells the new row to
 	// members of both, and each loss is made good as if all were alike.
 	@Test
-	void lossesAreMadeGoodWhileDaemonsOfTwoVersionsRunSideBySide() {
-		for (StandInInstance lost : this.scene.deployment().instances()) {
-			List<OwnedRange> ranges = this.scene.deployment().ownedBy(lost);
+	void lossesAreRecoveredWhileDaemonsOfTwoVersionsRunSideBySide() {
+		for (StandInInstance lost : this.testDeployment.deployment().instances()) {
+			List<OwnedRange> ranges = this.testDeployment.deployment().ownedBy(lost);
 			lost.kill();
-			this.scene.awaitRecovered(ranges);
+			this.testDeployment.awaitRecovered(ranges);
 			lost.start();
-			this.scene.deployment().awaitServed();
-			this.scene.awaitAllOwn();
+			this.testDeployment.deployment().awaitServed();
+			this.testDeployment.awaitAllInstancesOwnRanges();
 		}
 	}
 
--- a/integration/src/test/java/org/brasspier/integration/document/DocumentDistributionTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/DocumentDistributionTests.java
@@ -36,58 +36,59 @@
 
 	private final Deployment deployment = Deployment.prepare(DeploymentShape.small(3));
 
-	private OperatorTool lena;
+	private OperatorTool firstOperator;
 
-	private OperatorTool budi;
+	private OperatorTool secondOperator;
 
 	@BeforeEach
 	void startDaemons() {
 		this.deployment.instances().forEach((instance) -> instance.daemon().start());
 		String daemons = this.deployment.instances()
 			.stream()
-			.map(DocumentDistributionTests::operators)
+			.map(DocumentDistributionTests::operatorAddress)
 			.collect(Collectors.joining(","));
-		this.lena = tool("lena", daemons);
-		this.budi = tool("budi", daemons);
+		this.firstOperator = tool("lena", daemons);
+		this.secondOperator = tool("budi", daemons);
 		Await.until("all daemons know that there is no document yet",
-				() -> this.deployment.instances().stream().allMatch((instance) -> read(instance)));
+				() -> this.deployment.instances().stream().allMatch((instance) -> hasReadDocument(instance)));
 	}
 
 	@AfterEach
-	void endDaemons() {
+	void stopDaemons() {
 		this.deployment.close();
 	}
 
 	@Test
 	void aSubmissionIsInForceOnEveryDaemon() {
-		fillIn(this.lena);
-		OperatorTool.Result result = this.lena.run("draft", "submit");
+		fillInMinimalDraft(this.firstOperator);
+		OperatorTool.Result result = this.firstOperator.run("draft", "submit");
 		assertWithMessage(result.err()).that(result.exit()).isEqualTo(0);
 		assertThat(result.out()).contains("version 1 is in force on all 3 daemons");
 		assertThat(versions()).containsExactly(1L, 1L, 1L);
-		assertThat(this.lena.run("config", "history").out()).contains("VERSION");
-		assertThat(this.lena.run("config", "diff").out()).contains("service/hullbook/divided-by-key: (none) -> yes");
+		assertThat(this.firstOperator.run("config", "history").out()).contains("VERSION");
+		assertThat(this.firstOperator.run("config", "diff").out())
+			.contains("service/hullbook/divided-by-key: (none) -> yes");
 	}
 
 	// Two operators begin from version 1 and press submit at the same moment, each at
 	// another daemon. One of them must win; the other must see what the winner changed,
 	// and can move the draft onto it.
 	@Test
-	void ofTwoOperatorsWhoSubmitAtOnceOneWinsAndTheOtherSeesWhatChanged() {
-		fillIn(this.lena);
-		this.lena.run("draft", "submit");
-		this.lena.run("form", "weights", "--churn", "2");
-		this.budi.run("form", "weights", "--imbalance", "3");
+	void ofTwoConcurrentSubmissionsOneIsAcceptedAndTheOtherSeesWhatChanged() {
+		fillInMinimalDraft(this.firstOperator);
+		this.firstOperator.run("draft", "submit");
+		this.firstOperator.run("form", "weights", "--churn", "2");
+		this.secondOperator.run("form", "weights", "--imbalance", "3");
 		CompletableFuture<OperatorTool.Result> one = CompletableFuture
-			.supplyAsync(() -> this.lena.run("--daemon", address(0), "draft", "submit", "--no-wait"));
+			.supplyAsync(() -> this.firstOperator.run("--daemon", operatorAddress(0), "draft", "submit", "--no-wait"));
 		CompletableFuture<OperatorTool.Result> other = CompletableFuture
-			.supplyAsync(() -> this.budi.run("--daemon", address(1), "draft", "submit", "--no-wait"));
+			.supplyAsync(() -> this.secondOperator.run("--daemon", operatorAddress(1), "draft", "submit", "--no-wait"));
 		List<OperatorTool.Result> results = List.of(one.join(), other.join());
 		assertThat(results.stream().map(OperatorTool.Result::exit)).containsExactly(0,
 				ErrorKind.DOCUMENT_CONFLICT.exitCode());
-		OperatorTool loser = (one.join().exit() == 0) ? this.budi : this.lena;
-		String said = (one.join().exit() == 0) ? other.join().err() : one.join().err();
-		assertThat(said)
+		OperatorTool loser = (one.join().exit() == 0) ? this.secondOperator : this.firstOperator;
+		String loserMessage = (one.join().exit() == 0) ? other.join().err() : one.join().err();
+		assertThat(loserMessage)
 			.contains((one.join().exit() == 0) ? "weights/churn: (none) -> 2" : "weights/imbalance: (none) -> 3");
 		assertThat(loser.run("draft", "rebase").exit()).isEqualTo(0);
 		assertThat(loser.run("draft", "submit").exit()).isEqualTo(0);
@@ -100,18 +101,18 @@
 	// the field was changed twice, and submits again; her other change stays.
 	@Test
 	void atATerminalAConflictIsShownAndTheDraftMovedOnRequest() {
-		fillIn(this.lena);
-		this.lena.run("draft", "submit");
-		this.lena.run("form", "weights", "--churn", "2", "--imbalance", "3");
-		this.budi.run("form", "weights", "--churn", "4");
-		assertThat(this.lena.run("draft", "submit").exit()).isEqualTo(0);
-		OperatorTool.Result conflict = this.budi.typing("yes\n", "draft", "submit");
+		fillInMinimalDraft(this.firstOperator);
+		this.firstOperator.run("draft", "submit");
+		this.firstOperator.run("form", "weights", "--churn", "2", "--imbalance", "3");
+		this.secondOperator.run("form", "weights", "--churn", "4");
+		assertThat(this.firstOperator.run("draft", "submit").exit()).isEqualTo(0);
+		OperatorTool.Result conflict = this.secondOperator.runInteractively("yes\n", "draft", "submit");
 		assertThat(conflict.exit()).isEqualTo(ErrorKind.DOCUMENT_CONFLICT.exitCode());
 		assertThat(conflict.err()).contains("weights/imbalance: (none) -> 3");
 		assertThat(conflict.err()).contains("the draft is on version 2 now, with 1 changes");
 		assertThat(conflict.err()).contains("both changed weights/churn");
-		assertThat(this.budi.run("draft", "submit").exit()).isEqualTo(0);
-		String inForce = this.lena.run("config", "show").out();
+		assertThat(this.secondOperator.run("draft", "submit").exit()).isEqualTo(0);
+		String inForce = this.firstOperator.run("config", "show").out();
 		assertThat(inForce).containsMatch("weights/churn +4\n");
 		assertThat(inForce).containsMatch("weights/imbalance +3\n");
 	}
@@ -119,9 +120,9 @@
 	// Somebody asks whether the change is everywhere. While one daemon is down, the
 	// status must say so rather than leave it out.
 	@Test
-	void theStatusShowsTheVersionOnEachDaemonAndWhichOneIsSilent() {
-		fillIn(this.lena);
-		this.lena.run("draft", "submit");
+	void theStatusShowsTheVersionOnEachDaemonAndWhichOneDoesNotAnswer() {
+		fillInMinimalDraft(this.firstOperator);
+		this.firstOperator.run("draft", "submit");
 		Await.until("the status lists all three", () -> statusLines("hullbook-[0-2] +1") == 3);
 		this.deployment.instances().get(2).daemon().kill();
 		Await.until("two have the version, one is silent",
@@ -129,29 +130,33 @@
 	}
 
 	private long statusLines(String pattern) {
-		return this.lena.run("config", "status").out().lines().filter((line) -> line.matches(".* " + pattern)).count();
+		return this.firstOperator.run("config", "status")
+			.out()
+			.lines()
+			.filter((line) -> line.matches(".* " + pattern))
+			.count();
 	}
 
 	// An operator watches the time line while another one submits.
 	@Test
 	void theTimeLineIsFollowedLive() {
-		fillIn(this.lena);
+		fillInMinimalDraft(this.firstOperator);
 		CompletableFuture<OperatorTool.Result> watching = CompletableFuture
-			.supplyAsync(() -> this.budi.run("timeline", "--follow", "--for-seconds", "8", "--kind", "402"));
-		assertThat(this.lena.run("draft", "submit").exit()).isEqualTo(0);
-		String seen = watching.join().out();
-		assertThat(seen.lines().filter((line) -> line.contains("DOCUMENT_IN_FORCE"))).hasSize(3);
+			.supplyAsync(() -> this.secondOperator.run("timeline", "--follow", "--for-seconds", "8", "--kind", "402"));
+		assertThat(this.firstOperator.run("draft", "submit").exit()).isEqualTo(0);
+		String output = watching.join().out();
+		assertThat(output.lines().filter((line) -> line.contains("DOCUMENT_IN_FORCE"))).hasSize(3);
 	}
 
 	// The table takes the write of the pointer, and its answer is lost. The operator must
 	// be told that the submission was accepted, and it must be in force once.
 	@Test
-	void aSubmissionWhoseAnswerWasLostIsSettledBeforeTheOperatorIsTold() {
-		fillIn(this.lena);
+	void aSubmissionWhoseAnswerWasLostIsResolvedBeforeTheOperatorIsAnswered() {
+		fillInMinimalDraft(this.firstOperator);
 		this.deployment.platform().faults(PlatformFaults.losingAnswers(10_000));
-		OperatorTool.Result result = this.lena.run("draft", "submit");
+		OperatorTool.Result result = this.firstOperator.run("draft", "submit");
 		assertWithMessage(result.err()).that(result.exit()).isEqualTo(0);
-		assertThat(this.lena.run("timeline", "--kind", "DOCUMENT_UNSETTLED").out()).contains("403");
+		assertThat(this.firstOperator.run("timeline", "--kind", "DOCUMENT_UNSETTLED").out()).contains("403");
 		assertThat(versions()).containsExactly(1L, 1L, 1L);
 	}
 
@@ -160,11 +165,11 @@
 	// says otherwise about, and has the version again once anybody can tell it.
 	@Test
 	void neitherAnOutageNorARestartRevertsTheVersionInForce() {
-		fillIn(this.lena);
-		this.lena.run("draft", "submit");
+		fillInMinimalDraft(this.firstOperator);
+		this.firstOperator.run("draft", "submit");
 		this.deployment.platform().faults(PlatformFaults.OUTAGE);
-		this.lena.run("form", "weights", "--churn", "2");
-		assertThat(this.lena.run("draft", "submit").exit()).isEqualTo(ErrorKind.STORE_UNAVAILABLE.exitCode());
+		this.firstOperator.run("form", "weights", "--churn", "2");
+		assertThat(this.firstOperator.run("draft", "submit").exit()).isEqualTo(ErrorKind.STORE_UNAVAILABLE.exitCode());
 		StandInInstance replaced = this.deployment.instances().get(2);
 		replaced.daemon().kill();
 		replaced.daemon().start();
@@ -174,17 +179,17 @@
 		assertThat(version(this.deployment.instances().get(0))).isEqualTo(1);
 		this.deployment.platform().faults(PlatformFaults.NONE);
 		Await.until("the replaced daemon has the version again", () -> version(replaced) == 1);
-		assertThat(this.lena.run("draft", "submit").exit()).isEqualTo(0);
+		assertThat(this.firstOperator.run("draft", "submit").exit()).isEqualTo(0);
 		assertThat(versions()).containsExactly(2L, 2L, 2L);
 	}
 
 	@Test
-	void withoutTheSecretNothingIsToldAndAllFaultsAreListedAtOnce() {
-		OperatorTool stranger = new OperatorTool(this.folder.resolve("stranger"), address(0), "wrong");
+	void requestsWithoutTheSecretAreRefusedAndAllFaultsAreListedTogether() {
+		OperatorTool stranger = new OperatorTool(this.folder.resolve("stranger"), operatorAddress(0), "wrong");
 		OperatorTool.Result refused = stranger.run("config", "show");
 		assertThat(refused.exit()).isEqualTo(ErrorKind.UNAUTHORIZED.exitCode());
-		this.lena.run("form", "limits", "divecal", "--lookup-share-percent", "100");
-		OperatorTool.Result faults = this.lena.run("draft", "check");
+		this.firstOperator.run("form", "limits", "divecal", "--lookup-share-percent", "100");
+		OperatorTool.Result faults = this.firstOperator.run("draft", "check");
 		assertThat(faults.exit()).isEqualTo(ErrorKind.DOCUMENT_INVALID.exitCode());
 		assertThat(faults.err()).contains("fill in the form of at least one service");
 		assertThat(faults.err()).contains("limits/divecal/lookup-share-percent");
@@ -193,17 +198,19 @@
 
 	@Test
 	void theTimeLineOfAllDaemonsShowsASubmissionBeforeItIsInForce() {
-		fillIn(this.lena);
-		this.lena.run("draft", "submit");
-		String line = this.lena.run("timeline", "--count", "1000").out();
+		fillInMinimalDraft(this.firstOperator);
+		this.firstOperator.run("draft", "submit");
+		String line = this.firstOperator.run("timeline", "--count", "1000").out();
 		assertThat(line).contains("DOCUMENT_IN_FORCE");
 		assertThat(line.indexOf("DOCUMENT_ACCEPTED")).isLessThan(line.indexOf("DOCUMENT_IN_FORCE"));
-		assertThat(this.lena.run("timeline", "--kind", "402").out().lines().filter((entry) -> !entry.startsWith("#")))
-			.hasSize(3);
-		assertThat(this.lena.run("--output", "json", "measures").out()).contains("\"kept_until_millis\"");
+		assertThat(this.firstOperator.run("timeline", "--kind", "402")
+			.out()
+			.lines()
+			.filter((entry) -> !entry.startsWith("#"))).hasSize(3);
+		assertThat(this.firstOperator.run("--output", "json", "measures").out()).contains("\"kept_until_millis\"");
 	}
 
-	private static void fillIn(OperatorTool tool) {
+	private static void fillInMinimalDraft(OperatorTool tool) {
 		assertThat(tool.run("form", "service", "hullbook", "--divided-by-key", "yes").exit()).isEqualTo(0);
 		assertThat(tool
 			.run("form", "domains", "--regions", "domain-0=great-lakes,domain-1=great-lakes,domain-2=great-lakes")
@@ -214,20 +221,20 @@
 		return new OperatorTool(this.folder.resolve(name), daemons, this.deployment.operatorSecret());
 	}
 
-	private String address(int index) {
-		return operators(this.deployment.instances().get(index));
+	private String operatorAddress(int index) {
+		return operatorAddress(this.deployment.instances().get(index));
 	}
 
-	private static String operators(StandInInstance instance) {
+	private static String operatorAddress(StandInInstance instance) {
 		return Ports.text(instance.ports().operators());
 	}
 
 	private Either<ErrorAnswer, StatusAnswer> status(StandInInstance instance) {
 		return new OperatorClient(List.of(), this.deployment.operatorSecret(), Duration.ofSeconds(5))
-			.get(operators(instance), "/v1/status", StatusAnswer.class);
+			.get(operatorAddress(instance), "/v1/status", StatusAnswer.class);
 	}
 
-	private boolean read(StandInInstance instance) {
+	private boolean hasReadDocument(StandInInstance instance) {
 		return status(instance).map(StatusAnswer::documentRead).getOrElse(false);
 	}
 
--- a/integration/src/test/java/org/brasspier/integration/document/OperatorPortTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/OperatorPortTests.java
@@ -52,16 +52,16 @@
 	}
 
 	@AfterEach
-	void endDaemon() {
+	void stopDaemon() {
 		this.deployment.close();
 	}
 
 	// A stranger reaches the operator port and tries each call that docs/API.md names,
 	// with no secret, a wrong one, a cut one, and the secret without its scheme.
 	@Test
-	void eachCallOfTheInterfaceIsClosedWithoutTheSecret() throws IOException {
+	void eachCallOfTheInterfaceIsRefusedWithoutTheSecret() throws IOException {
 		String secret = this.deployment.operatorSecret();
-		List<MatchResult> calls = calls();
+		List<MatchResult> calls = documentedCalls();
 		assertThat(calls.size()).isAtLeast(15);
 		for (MatchResult call : calls) {
 			for (String offered : List.of(NO_SECRET, "a-wrong-secret", secret.substring(1), secret + "x")) {
@@ -94,7 +94,7 @@
 		assertThat(unexplained).isEmpty();
 	}
 
-	private static List<MatchResult> calls() throws IOException {
+	private static List<MatchResult> documentedCalls() throws IOException {
 		String page = Files.readString(Path.of("..", "docs", "API.md"));
 		String part = page.substring(page.indexOf("## Towards operators"), page.indexOf("## Errors"));
 		return Stream.of(part).flatMap((text) -> CALL.matcher(text).results()).toList();
--- a/integration/src/test/java/org/brasspier/integration/document/OperatorTool.java
+++ b/integration/src/test/java/org/brasspier/integration/document/OperatorTool.java
@@ -35,14 +35,14 @@
 	}
 
 	/** Runs a command in a terminal, where the operator types the lines. */
-	Result typing(String lines, String... arguments) {
+	Result runInteractively(String lines, String... arguments) {
 		return run(lines, true, arguments);
 	}
 
-	private Result run(String typed, boolean interactive, String... arguments) {
+	private Result run(String input, boolean interactive, String... arguments) {
 		ByteArrayOutputStream out = new ByteArrayOutputStream();
 		ByteArrayOutputStream err = new ByteArrayOutputStream();
-		Terminal terminal = new Terminal(new BufferedReader(new StringReader(typed)),
+		Terminal terminal = new Terminal(new BufferedReader(new StringReader(input)),
 				new PrintStream(out, true, StandardCharsets.UTF_8), new PrintStream(err, true, StandardCharsets.UTF_8),
 				interactive);
 		List<String> all = new ArrayList<>(List.of("--draft", this.draft.toString()));
--- a/integration/src/test/java/org/brasspier/integration/document/OperatorsViewTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/OperatorsViewTests.java
@@ -44,12 +44,12 @@
 				Ports.text(this.deployment.instances().getFirst().ports().operators()),
 				this.deployment.operatorSecret());
 		Await.until("each daemon knows that all three instances own ranges",
-				() -> this.deployment.instances().stream().allMatch((instance) -> spread(instance)));
+				() -> this.deployment.instances().stream().allMatch((instance) -> seesThreeOwners(instance)));
 		this.deployment.awaitServed();
 	}
 
 	@AfterEach
-	void end() {
+	void stopDeployment() {
 		this.deployment.close();
 	}
 
@@ -63,7 +63,7 @@
 				.mapToObj((i) -> callers.call(StandInRequest.lookup("hullbook", "hull-" + i, "followed-" + i)).join())
 				.toList();
 			CallerRecord forwarded = records.stream()
-				.filter((done) -> !ranAt(done.request().id()).equals(entry.name()))
+				.filter((record) -> !serverThatRan(record.request().id()).equals(entry.name()))
 				.findFirst()
 				.orElseThrow();
 			String line = this.tool.run("timeline", "--request", forwarded.request().id()).out();
@@ -72,13 +72,13 @@
 			assertWithMessage(line).that(atEntry).isAtLeast(0);
 			assertWithMessage(line).that(atOwner).isGreaterThan(atEntry);
 			assertWithMessage(line).that(line.lastIndexOf("REQUEST_ANSWERED")).isGreaterThan(atOwner);
-			assertThat(line).contains(ranAt(forwarded.request().id()));
+			assertThat(line).contains(serverThatRan(forwarded.request().id()));
 		}
 	}
 
 	// Where the server's own record says that it ran. The owner that is asked for later
 	// may be another one, as ranges move for some seconds after a start.
-	private String ranAt(String id) {
+	private String serverThatRan(String id) {
 		return this.deployment.serverRecords()
 			.stream()
 			.filter((record) -> record.kind() == ServerRecord.Kind.BEGAN && record.id().equals(id))
@@ -102,11 +102,11 @@
 		String started = timeline("--instance", "hullbook-1", "--kind", "DAEMON_STARTED");
 		assertThat(started.lines().filter((line) -> !line.startsWith("#"))).hasSize(1);
 		assertThat(timeline("--kind", "DAEMON_STARTED").lines().filter((line) -> !line.startsWith("#"))).hasSize(3);
-		JsonObject forPrograms = JsonParser
+		JsonObject json = JsonParser
 			.parseString(this.tool.run("--output", "json", "timeline", "--kind", "DAEMON_STARTED").out())
 			.getAsJsonObject();
-		assertThat(forPrograms.getAsJsonArray("events")).hasSize(3);
-		assertThat(forPrograms.has("losses")).isTrue();
+		assertThat(json.getAsJsonArray("events")).hasSize(3);
+		assertThat(json.has("losses")).isTrue();
 	}
 
 	private String timeline(String... filters) {
@@ -153,7 +153,7 @@
 		assertThat(this.tool.run("declare-lost", "hullbook-1").exit()).isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
 	}
 
-	private boolean spread(StandInInstance instance) {
+	private boolean seesThreeOwners(StandInInstance instance) {
 		return this.tool.run("--daemon", Ports.text(instance.ports().operators()), "status")
 			.out()
 			.lines()
@@ -161,8 +161,8 @@
 	}
 
 	private String owner(String key) {
-		String[] cells = this.tool.run("owner", "hullbook", key).out().lines().toList().getLast().split(" +");
-		return cells[3];
+		String[] columns = this.tool.run("owner", "hullbook", key).out().lines().toList().getLast().split(" +");
+		return columns[3];
 	}
 
 }
--- a/integration/src/test/java/org/brasspier/integration/document/PageCommandsTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/PageCommandsTests.java
@@ -44,7 +44,7 @@
 	}
 
 	@AfterEach
-	void end() {
+	void stopDeployment() {
 		this.deployment.close();
 	}
 
@@ -57,12 +57,12 @@
 		List<String> operating = commands("OPERATING.md", "```console").toList();
 		assertThat(guide.size()).isGreaterThan(15);
 		assertThat(operating.size()).isGreaterThan(15);
-		Stream.concat(guide.stream(), operating.stream()).forEach(this::runs);
+		Stream.concat(guide.stream(), operating.stream()).forEach(this::runCommand);
 		OperatorTool.Result mistyped = this.tool.run("drain", "--nonsense");
 		assertThat(mistyped.exit()).isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
 	}
 
-	private void runs(String command) {
+	private void runCommand(String command) {
 		switch (command) {
 			case "brasspier draft rebase" -> letAnotherOperatorSubmit();
 			case "brasspier declare-lost hullbook-1 --yes" -> this.deployment.instance("hullbook-1").kill();
@@ -71,10 +71,10 @@
 		}
 		if (command.contains("declare-lost") || command.contains("move")) {
 			// Refused until the loss is noticed, and where the range has just moved.
-			Await.until(command, () -> this.tool.run(words(command)).exit() == 0);
+			Await.until(command, () -> this.tool.run(arguments(command)).exit() == 0);
 			return;
 		}
-		OperatorTool.Result result = this.tool.run(words(command));
+		OperatorTool.Result result = this.tool.run(arguments(command));
 		assertWithMessage("%s: %s", command, result.err()).that(result.exit()).isEqualTo(0);
 	}
 
@@ -87,7 +87,7 @@
 	}
 
 	@Test
-	void theProgramsThatPagesNameAreThere() throws IOException {
+	void theProgramsNamedInThePagesExist() throws IOException {
 		for (String page : List.of("README.md", "CONTRIBUTING.md", "docs/USER_GUIDE.md", "docs/OPERATING.md")) {
 			PROGRAM.matcher(Files.readString(Path.of("..", page))).results().forEach((found) -> {
 				Path program = Path.of("..", "bin", found.group(1));
@@ -102,14 +102,14 @@
 				this.deployment.operatorSecret());
 	}
 
-	private String[] words(String command) {
+	private String[] arguments(String command) {
 		return Arrays.stream(command.substring(TOOL.length()).split(" "))
-			.map((word) -> (word.equals("RANGE")) ? range() : word)
+			.map((word) -> (word.equals("RANGE")) ? rangeToMove() : word)
 			.toArray(String[]::new);
 	}
 
 	/** A range that the page's target does not own. */
-	private String range() {
+	private String rangeToMove() {
 		return this.tool.run("status", "--ranges")
 			.out()
 			.lines()
--- a/integration/src/test/java/org/brasspier/integration/document/SecretsRotationTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/SecretsRotationTests.java
@@ -52,7 +52,7 @@
 	}
 
 	@AfterEach
-	void end() {
+	void stopDeployment() {
 		this.deployment.close();
 	}
 
@@ -66,13 +66,13 @@
 		try (CallerFleet callers = this.deployment.newCallers()) {
 			callers.setTraffic(List.of(TrafficStream.steady("hullbook", true, "lookup", 100)));
 			rotate("peers", (secrets, lines) -> secrets.sharedKeys(lines), this.oldKey, NEW_KEY);
-			long answered = answered(callers);
-			Await.until("callers are answered after the rotation", () -> answered(callers) > answered + 300);
+			long answered = answeredCount(callers);
+			Await.until("callers are answered after the rotation", () -> answeredCount(callers) > answered + 300);
 			callers.finish();
 			assertWithMessage("requests that failed")
 				.that(callers.records()
 					.stream()
-					.filter((done) -> done.outcome() != CallerRecord.Outcome.ANSWERED)
+					.filter((record) -> record.outcome() != CallerRecord.Outcome.ANSWERED)
 					.toList())
 				.isEmpty();
 		}
@@ -102,9 +102,9 @@
 	// An operator's secret was seen by somebody: a new one is added to every daemon, then
 	// the old one is taken out. From then on the old one opens nothing.
 	@Test
-	void theOperatorsSecretIsReplacedAndTheOldOneOpensNothing() {
+	void theOperatorsSecretIsReplacedAndTheOldOneIsRefused() {
 		this.deployment.instances().forEach((instance) -> instance.secrets().operators(NEW_SECRET));
-		OperatorTool tool = new OperatorTool(this.folder.resolve("draft"), operators(), NEW_SECRET);
+		OperatorTool tool = new OperatorTool(this.folder.resolve("draft"), operatorAddress(), NEW_SECRET);
 		Await.until("the new secret is accepted", () -> tool.run("status").exit() == 0);
 		assertThat(tool().run("status").exit()).isEqualTo(ErrorKind.UNAUTHORIZED.exitCode());
 	}
@@ -113,40 +113,43 @@
 	// tried, with right secrets, with wrong ones and with a file of unfit ones.
 	@Test
 	void noSecretShowsInAnyOutput() throws IOException {
-		StringBuilder shown = new StringBuilder();
-		OperatorTool stranger = new OperatorTool(this.folder.resolve("other"), operators(), "a-stranger-s-secret");
+		StringBuilder output = new StringBuilder();
+		OperatorTool stranger = new OperatorTool(this.folder.resolve("other"), operatorAddress(),
+				"a-stranger-s-secret");
 		for (OperatorTool tool : List.of(tool(), stranger)) {
 			for (List<String> command : List.of(List.of("status", "--ranges"), List.of("config", "show"),
 					List.of("timeline", "--count", "5000"), List.of("measures"), List.of("form", "secrets"),
 					List.of("move", "hullbook", "nonsense", "nobody"), List.of("--output", "json", "status"))) {
 				OperatorTool.Result result = tool.run(command.toArray(String[]::new));
-				shown.append(result.out()).append(result.err());
+				output.append(result.out()).append(result.err());
 			}
 		}
-		InstanceSecrets unfit = this.deployment.instances().getFirst().secrets();
-		unfit.sharedKeys(this.oldKey, "tooshort");
+		InstanceSecrets secretsFiles = this.deployment.instances().getFirst().secrets();
+		secretsFiles.sharedKeys(this.oldKey, "tooshort");
 		Await.until("the unfit file is told of", () -> !events("SECRETS_REFUSED").isEmpty());
 		this.deployment.instances().getFirst().stop();
 		try (Stream<Path> files = Files.list(this.deployment.folder())) {
 			for (Path file : files.filter((path) -> path.toString().matches(".*\\.(log|out)")).toList()) {
-				shown.append(Files.readString(file));
+				output.append(Files.readString(file));
 			}
 		}
-		assertThat(shown.toString()).contains("SECRETS_REFUSED");
+		assertThat(output.toString()).contains("SECRETS_REFUSED");
 		Stream.concat(this.deployment.secrets().stream(), Stream.of("tooshort", "a-stranger-s-secret"))
-			.forEach((secret) -> assertThat(shown.toString().contains(secret)).isFalse());
+			.forEach((secret) -> assertThat(output.toString().contains(secret)).isFalse());
 	}
 
 	/** Adds the new one everywhere, then takes the old one out, daemon by daemon. */
-	private void rotate(String whose, BiConsumer<InstanceSecrets, String[]> write, String old, String fresh) {
-		if (whose.equals("platform")) {
-			this.deployment.platform().acceptTokens(old, fresh);
+	private void rotate(String secretKind, BiConsumer<InstanceSecrets, String[]> write, String old,
+			String replacement) {
+		if (secretKind.equals("platform")) {
+			this.deployment.platform().acceptTokens(old, replacement);
 		}
-		for (String[] lines : List.of(new String[] { old, fresh }, new String[] { fresh })) {
+		for (String[] lines : List.of(new String[] { old, replacement }, new String[] { replacement })) {
 			for (StandInInstance instance : this.deployment.instances()) {
-				long before = taken(instance, whose);
+				long before = secretsReadCount(instance, secretKind);
 				write.accept(instance.secrets(), lines);
-				Await.until(instance.name() + " has read its file anew", () -> taken(instance, whose) > before);
+				Await.until(instance.name() + " has read its file anew",
+						() -> secretsReadCount(instance, secretKind) > before);
 			}
 		}
 	}
@@ -155,24 +158,24 @@
 		return tool().run("timeline", "--kind", kind).out().lines().filter((line) -> !line.startsWith("#")).toList();
 	}
 
-	private long taken(StandInInstance instance, String whose) {
+	private long secretsReadCount(StandInInstance instance, String secretKind) {
 		String daemon = Ports.text(instance.ports().operators());
 		return tool().run("--daemon", daemon, "timeline", "--kind", "SECRETS_READ")
 			.out()
 			.lines()
-			.filter((line) -> line.contains(instance.name() + " ") && line.contains(whose))
+			.filter((line) -> line.contains(instance.name() + " ") && line.contains(secretKind))
 			.count();
 	}
 
-	private static long answered(CallerFleet callers) {
-		return callers.records().stream().filter((done) -> done.outcome() == CallerRecord.Outcome.ANSWERED).count();
+	private static long answeredCount(CallerFleet callers) {
+		return callers.records().stream().filter((record) -> record.outcome() == CallerRecord.Outcome.ANSWERED).count();
 	}
 
 	private OperatorTool tool() {
-		return new OperatorTool(this.folder.resolve("draft"), operators(), this.deployment.operatorSecret());
+		return new OperatorTool(this.folder.resolve("draft"), operatorAddress(), this.deployment.operatorSecret());
 	}
 
-	private String operators() {
+	private String operatorAddress() {
 		return Ports.text(this.deployment.instances().getFirst().ports().operators());
 	}
 
