--- a/integration/src/test/java/org/brasspier/integration/AbstractFaultTests.java
+++ b/integration/src/test/java/org/brasspier/integration/AbstractFaultTests.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /**
- * What the tests of single faults share: one deployment for the class, traffic before
- * each fault, and all promises judged after it.
+ * Base class for tests of single faults: one deployment for each class, traffic before
+ * each fault, and a check of all invariants after it.
  */
 abstract class AbstractFaultTests {
 
--- a/integration/src/test/java/org/brasspier/integration/AtMostOnceTests.java
+++ b/integration/src/test/java/org/brasspier/integration/AtMostOnceTests.java
@@ -39,9 +39,9 @@
 		this.testDeployment.close();
 	}
 
-	// A clerk posts a return, the line drops, and the clerk's program sends it again to
-	// another daemon while the first may still run. It runs once; the second sending gets
-	// the same answer.
+	// A caller sends a posting, loses the connection, and sends the posting again to
+	// another daemon while the first may still be running. The posting must run once, and
+	// each repetition gets the same answer.
 	@ParameterizedTest
 	@ValueSource(strings = { TestDeployment.SHARDED_SERVICE, TestDeployment.UNSHARDED_SERVICE })
 	void aPostingSentToAllDaemonsAtOnceRunsOnce(String service) {
@@ -56,9 +56,9 @@
 		assertThat(effectCount("once-" + service)).isEqualTo(1);
 	}
 
-	// A crew books a cleaning, and the answer is lost on its way. By the time that the
-	// program sends the booking again its owner's machine has died and another owns the
-	// key. The new owner can't know, and must not book a second time.
+	// A posting takes effect and its answer is lost. By the time the caller sends it
+	// again, its owner has been killed and another instance owns the key. The new owner
+	// cannot know whether the posting ran and must not run it a second time.
 	@Tag("known-red")
 	@ParameterizedTest
 	@ValueSource(strings = { TestDeployment.SHARDED_SERVICE, TestDeployment.UNSHARDED_SERVICE })
@@ -82,8 +82,8 @@
 		assertThat(effectCount("lost-" + service)).isEqualTo(1);
 	}
 
-	// A server sheds a posting, says that it did not run it, and is right: the next
-	// sending runs it.
+	// A posting is refused under load and correctly reported as not run: sent again, it
+	// runs.
 	@Test
 	void aPostingThatWasShedRunsOnALaterSending() {
 		List<CompletableFuture<CallerRecord>> flood = IntStream.range(0, 80)
--- a/integration/src/test/java/org/brasspier/integration/BadInputTests.java
+++ b/integration/src/test/java/org/brasspier/integration/BadInputTests.java
@@ -27,8 +27,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Malformed input to each port, under normal traffic: a listed error, an event on the
- * time line, and nobody else disturbed.
+ * Malformed input to each port, under normal traffic: the sender gets a documented error,
+ * the time line an event, and other callers are not affected.
  */
 class BadInputTests {
 
@@ -129,7 +129,7 @@
 		awaitEvent("601 PEER_REFUSED");
 	}
 
-	// Frames of random bytes, each cut or prolonged at random, from a fixed seed.
+	// Sends frames of random bytes and random length, from a fixed seed.
 	@Test
 	void randomFramesCloseOnlyTheirConnection() throws IOException {
 		SplittableRandom random = new SplittableRandom(3);
@@ -159,8 +159,8 @@
 		}
 	}
 
-	// Callers that connect and say nothing, or half of a request, hold a connection each
-	// and nothing else.
+	// Callers that connect and then send only half a request occupy one connection each
+	// and no other resource.
 	@Test
 	void halfOpenConnectionsDoNotAffectOtherCallers() throws IOException {
 		List<Socket> sockets = new ArrayList<>();
--- a/integration/src/test/java/org/brasspier/integration/CrashingRequestTests.java
+++ b/integration/src/test/java/org/brasspier/integration/CrashingRequestTests.java
@@ -29,9 +29,9 @@
 		this.testDeployment.close();
 	}
 
-	// One lookup crashes each backend server that runs it, and its caller sends it again
-	// and again. After two crashes it is refused with an error kind of its own, and the
-	// other servers live on.
+	// One lookup crashes each backend server that runs it, and its caller keeps sending
+	// it. After two crashes it is refused with an error kind of its own, and the other
+	// servers keep running.
 	@Tag("known-red")
 	@Test
 	void aLookupThatCrashesServersIsRefusedAfterTwoCrashes() {
@@ -40,7 +40,8 @@
 		assertThat(beginCount("poison-lookup")).isAtMost(2);
 	}
 
-	// The same as a posting: it may have run the first time, so it is not tried again.
+	// The same as a posting: it may have run at the first attempt, so it is not run
+	// again.
 	@Test
 	void aPostingThatCrashesAServerIsNotRunAgain() {
 		CallerRecord record = call(StandInRequest.posting(TestDeployment.SHARDED_SERVICE, "a", "poison-posting"));
@@ -51,7 +52,7 @@
 	private CallerRecord call(StandInRequest request) {
 		CompletableFuture<CallerRecord> record = this.testDeployment
 			.callAsync(request.withPath("/crash").withWaitMillis(15_000));
-		Await.until("the request is given up", Duration.ofSeconds(40), record::isDone);
+		Await.until("the caller gives up", Duration.ofSeconds(40), record::isDone);
 		return record.join();
 	}
 
--- a/integration/src/test/java/org/brasspier/integration/DeploymentTests.java
+++ b/integration/src/test/java/org/brasspier/integration/DeploymentTests.java
@@ -15,8 +15,9 @@
 
 	private static final int EARLY_COMPLETION_WAIT_SECONDS = 5;
 
-	// Guards against tests that stop the next instance, or ask one, while its daemon is
-	// still starting: others answered in its place.
+	// Guards against tests that stop the next instance, or send requests to one, while
+	// its daemon is still starting. That happened because other daemons answered in its
+	// place.
 	@Test
 	void aDeploymentIsServedOnlyOnceEachRunningDaemonAnswers() throws Exception {
 		try (Deployment deployment = Deployment.prepare(DeploymentShape.small(3))) {
--- a/integration/src/test/java/org/brasspier/integration/InstanceLossTests.java
+++ b/integration/src/test/java/org/brasspier/integration/InstanceLossTests.java
@@ -8,9 +8,9 @@
 
 class InstanceLossTests extends AbstractFaultTests {
 
-	// A crew asks for a record and its owner's machine dies. The managers hear no more
-	// heartbeats, let the lease run out and move the ranges. The crew's next tries are
-	// turned away for a moment, then another server answers.
+	// The instance that owns a key is killed. The managers receive no more heartbeats
+	// from it, let its lease expire and move its ranges. Callers are refused for a
+	// moment, then another server answers.
 	@Test
 	void theRangesOfALostInstanceAreServedByOthers() {
 		StandInInstance lost = testDeployment.owner("a");
@@ -19,8 +19,9 @@
 		testDeployment.awaitRecovered(ranges);
 	}
 
-	// The backend server's process dies, its daemon is well and knows of it at once: the
-	// server's port refuses. The daemon gives the ranges up.
+	// The process of the backend server is killed while its daemon is healthy. The daemon
+	// detects this immediately, since the port of the server refuses connections, and
+	// releases the ranges.
 	@Test
 	void theRangesOfALostBackendServerAreServedByOthers() {
 		StandInInstance lost = testDeployment.owner("a");
@@ -29,9 +30,9 @@
 		testDeployment.awaitRecovered(ranges);
 	}
 
-	// The daemon's process dies and its server lives on, with orders still running. The
-	// grants that the server holds run out with the lease, so what it finishes later has
-	// no effect, and others serve the ranges.
+	// The process of the daemon is killed and its server survives, with orders still
+	// running. The grants of the server expire with the lease, so orders that it
+	// completes later have no effect, and other instances serve the ranges.
 	@Test
 	void theRangesOfALostDaemonAreServedByOthersThoughItsServerLives() {
 		StandInInstance lost = testDeployment.owner("a");
@@ -40,8 +41,8 @@
 		testDeployment.awaitRecovered(ranges);
 	}
 
-	// While the ranges of a lost instance are on their way to others, a second one is
-	// lost. The first recovery must not be undone nor the second forgotten.
+	// While the ranges of a lost instance are being moved to others, a second instance is
+	// lost. The first recovery must not be undone nor the second skipped.
 	@Test
 	void aSecondLossDuringARecoveryLosesNoRange() {
 		StandInInstance first = testDeployment.owner("a");
--- a/integration/src/test/java/org/brasspier/integration/ManagerLossTests.java
+++ b/integration/src/test/java/org/brasspier/integration/ManagerLossTests.java
@@ -9,8 +9,8 @@
 
 class ManagerLossTests extends AbstractFaultTests {
 
-	// The primary lease manager's machine dies. The secondary goes on renewing the
-	// others, replaces it and moves its ranges.
+	// The instance of the primary lease manager is killed. The secondary keeps renewing
+	// the other leases, replaces the primary and moves its ranges.
 	@Test
 	void theRangesOfALostPrimaryAreServedByOthers() {
 		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(managers.primary());
@@ -18,7 +18,7 @@
 		testDeployment.awaitRecovered(ranges);
 	}
 
-	// The same for the secondary.
+	// The same loss, of the secondary lease manager.
 	@Test
 	void theRangesOfALostSecondaryAreServedByOthers() {
 		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(managers.secondary());
@@ -26,8 +26,8 @@
 		testDeployment.awaitRecovered(ranges);
 	}
 
-	// Both managers die at once. The others go on under new managers; the ranges of the
-	// two wait until one of them is back, as docs/DESIGN.md says.
+	// Both managers are killed at once. The other members continue under new managers;
+	// the ranges of the two wait until one of them is back, as docs/DESIGN.md specifies.
 	@Test
 	void afterBothManagersAreLostOneThatComesBackFreesTheirRanges() {
 		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(managers.primary());
@@ -38,8 +38,8 @@
 		testDeployment.awaitRecovered(ranges);
 	}
 
-	// A member is lost, and the primary dies while it moves the member's ranges. Whoever
-	// follows it finishes the move, once.
+	// A member is lost, and the primary is killed while it moves the ranges of that
+	// member. Its successor must complete the move exactly once.
 	@Test
 	void aPrimaryLostDuringAMoveLosesNoRange() {
 		StandInInstance member = testDeployment.instanceOtherThan(managers.primary(), managers.secondary());
@@ -51,7 +51,7 @@
 		testDeployment.awaitRecovered(rangesOfManager);
 	}
 
-	// The same with the secondary, whose promise the move waits for.
+	// The same with the secondary, on whose promise the move depends.
 	@Test
 	void aSecondaryLostDuringAMoveLosesNoRange() {
 		StandInInstance member = testDeployment.instanceOtherThan(managers.primary(), managers.secondary());
@@ -63,8 +63,8 @@
 		testDeployment.awaitRecovered(rangesOfManager);
 	}
 
-	// The primary is paused for long and wakes as if nothing had happened, with renewals
-	// and moves in its hands that are worth nothing any more.
+	// The primary is paused for longer than its authority lasts and then resumes, with
+	// pending renewals and moves that are no longer valid.
 	@Test
 	void aPrimaryResumedAfterAPauseChangesNothing() {
 		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(managers.primary());
@@ -74,7 +74,7 @@
 		testDeployment.awaitMoreAnswers();
 	}
 
-	// Both managers stand still together and wake together, as on one frozen host.
+	// Both managers are paused and resumed together, as on one frozen host.
 	@Test
 	void bothManagersResumedTogetherDoNotCauseTwoOwners() {
 		managers.primary().pause();
@@ -85,7 +85,8 @@
 		testDeployment.awaitMoreAnswers();
 	}
 
-	// The primary hears nothing of one member, the secondary does: it must not promise.
+	// The primary gets no heartbeats from one member, but the secondary does. The
+	// secondary must therefore not promise to stop renewing the lease of that member.
 	@Test
 	void aMemberWhoseHeartbeatsReachTheSecondaryIsNotRevoked() {
 		StandInInstance member = testDeployment.instanceOtherThan(managers.primary(), managers.secondary());
--- a/integration/src/test/java/org/brasspier/integration/PartitionTests.java
+++ b/integration/src/test/java/org/brasspier/integration/PartitionTests.java
@@ -13,8 +13,8 @@
 
 class PartitionTests extends AbstractFaultTests {
 
-	// A member does not reach one of the two lease managers. The other one goes on
-	// renewing its lease, so nothing moves and callers notice nothing.
+	// A member cannot reach one of the two lease managers. The other manager keeps
+	// renewing its lease, so no range moves and callers are not affected.
 	@ParameterizedTest
 	@EnumSource(names = { "RESET", "HELD", "HELD_FORTH", "HELD_BACK" })
 	void aMemberCutOffFromOneManagerKeepsItsRanges(LinkState state) {
@@ -26,8 +26,9 @@
 		assertThat(testDeployment.deployment().ownedBy(member)).containsAtLeastElementsIn(ranges);
 	}
 
-	// A member reaches neither manager, but its callers and the store. Its lease runs
-	// out, it stops by its own clock, and others serve its ranges.
+	// A member reaches neither manager, but still its callers and the store. When its
+	// lease expires, it stops serving by its own clock and other members serve its
+	// ranges.
 	@ParameterizedTest
 	@EnumSource(names = { "RESET", "HELD", "HELD_FORTH", "HELD_BACK" })
 	void aMemberCutOffFromBothManagersStopsServingBeforeOthersStart(LinkState state) {
@@ -38,8 +39,9 @@
 		testDeployment.awaitRecovered(ranges);
 	}
 
-	// A manager is cut off from everybody but its callers. It knows that its authority
-	// ends, renews nobody, and the other one replaces it.
+	// The primary is cut off from all other daemons and the store, but not from its
+	// callers. It detects that its authority expires and renews no leases, and the
+	// secondary replaces it.
 	@ParameterizedTest
 	@EnumSource(names = { "RESET", "HELD" })
 	void aPrimaryCutOffFromAllIsReplaced(LinkState state) {
@@ -49,8 +51,9 @@
 		testDeployment.awaitRecovered(ranges);
 	}
 
-	// The two managers don't reach each other, but everybody else. One of them replaces
-	// the other by a write; until then neither may move anything on its own word.
+	// The two managers cannot reach each other, but can reach all other daemons. One of
+	// them replaces the other by a write to the store; until then neither may move a
+	// range on its own authority.
 	@Test
 	void managersCutOffFromEachOtherDoNotBothMoveRanges() {
 		testDeployment.deployment().setLinksBetween(managers.primary(), managers.secondary(), LinkState.HELD);
@@ -58,8 +61,8 @@
 		testDeployment.awaitMoreAnswers();
 	}
 
-	// One failure domain is cut off from the rest and from the store. What it owns is
-	// served by the rest.
+	// One failure domain is cut off from the other domains and from the store. The ranges
+	// it owns are served by the others.
 	@Test
 	void aFailureDomainCutOffFromTheRestIsServedByTheRest() {
 		StandInInstance isolated = testDeployment.owner("a");
@@ -69,8 +72,8 @@
 		testDeployment.awaitRecovered(ranges);
 	}
 
-	// A member does not reach the store, but its managers: its lease does not hang on the
-	// store.
+	// A member cannot reach the store, but reaches the managers. It keeps its ranges,
+	// since renewing its lease does not depend on the store.
 	@Test
 	void aMemberCutOffFromTheStoreKeepsItsRanges() {
 		StandInInstance member = testDeployment.instanceOtherThan(managers.primary(), managers.secondary());
--- a/integration/src/test/java/org/brasspier/integration/PausedHolderTests.java
+++ b/integration/src/test/java/org/brasspier/integration/PausedHolderTests.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Each test once with servers that check fences and once with servers that don't.
+ * Tests of owners that are paused until their lease expires. Each test runs once with
+ * servers that check fences and once with servers that do not.
  */
 class PausedHolderTests {
 
@@ -34,9 +35,10 @@
 		return this.testDeployment.owner("a");
 	}
 
-	// A daemon is paused with requests in hand. Its lease runs out unknown to it, others
-	// own its ranges. When it wakes it must not hand over or answer anything under the
-	// old fence: the crew would see a record that is no longer the true one.
+	// A daemon is paused while it handles requests. Its lease expires without its
+	// knowledge and other instances own its ranges. When it resumes, it must not hand
+	// over a request or answer one under the old fence: the caller would read a record
+	// that is out of date.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void aDaemonPausedPastItsLeaseDoesNothingUnderTheOldFence(boolean checksFences) {
@@ -48,9 +50,9 @@
 		this.testDeployment.awaitMoreAnswers();
 	}
 
-	// A server freezes with an order half done and comes back as if nothing had happened.
-	// Meanwhile its ranges have moved. Its fence, or where it checks none the deadline
-	// that the daemon set, keeps the order from taking effect.
+	// An instance is paused with an order half done and then resumes. Meanwhile its
+	// ranges have moved. The fence keeps the order from taking effect or, where the
+	// server checks no fences, the deadline that the daemon set.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void aResumedInstanceCompletesNoUnfinishedOrder(boolean checksFences) {
@@ -67,9 +69,9 @@
 		this.testDeployment.awaitMoreAnswers();
 	}
 
-	// Only the server freezes, and its daemon is well: it finds the server silent, gives
-	// the ranges up, and others serve them. The server wakes with an order half done that
-	// nobody waits for any more.
+	// Only the server is paused and its daemon is healthy. The daemon gets no answer from
+	// the server and releases the ranges, and other instances serve them. The server
+	// resumes with an order half done whose result no caller awaits any more.
 	@Tag("known-red")
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
--- a/integration/src/test/java/org/brasspier/integration/PlannedStopTests.java
+++ b/integration/src/test/java/org/brasspier/integration/PlannedStopTests.java
@@ -35,8 +35,8 @@
 		this.testDeployment.close();
 	}
 
-	// An operator stops a daemon under load. What it owns goes to others first, what is
-	// in flight ends, and no caller is turned away for good.
+	// An operator stops a daemon under load. Its ranges move to other instances first,
+	// requests in flight complete, and no request ultimately fails.
 	@Tag("known-red")
 	@Test
 	void aStoppedDaemonFinishesItsRequests() {
@@ -47,8 +47,8 @@
 		assertNoRequestFailed();
 	}
 
-	// A backend server is told to stop. It drains: its daemon gives it no new work, and
-	// it ends only when it is told that nothing is in flight any more.
+	// A backend server is asked to stop. It drains: its daemon sends it no new work, and
+	// it exits only when the daemon reports that no request is in flight any more.
 	@Test
 	void aStoppedBackendServerFinishesItsRequestsAndGetsNoNewOnes() {
 		StandInInstance leaving = this.testDeployment.owner("a");
@@ -57,11 +57,11 @@
 		this.testDeployment.awaitMoreAnswers();
 		assertNoRequestFailed();
 		List<ServerRecord> unfinished = unfinishedRecords(leaving);
-		assertWithMessage("orders that the server began and did not end").that(unfinished).isEmpty();
+		assertWithMessage("orders that the server began and did not complete").that(unfinished).isEmpty();
 	}
 
-	// All instances are replaced, one after another, as on a day of upgrades. Not one
-	// caller's request fails.
+	// All instances are replaced one after another, as in a rolling upgrade. No request
+	// of a caller may fail.
 	@Tag("known-red")
 	@Test
 	void aRollingReplacementOfAllInstancesFailsNoRequest() {
--- a/integration/src/test/java/org/brasspier/integration/RawHttp.java
+++ b/integration/src/test/java/org/brasspier/integration/RawHttp.java
@@ -7,8 +7,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Sends bytes to a port and gives what comes back until the other side closes or is
- * silent for a second.
+ * Sends bytes to a port and returns what is received until the other side closes the
+ * connection or sends nothing for a second.
  */
 final class RawHttp {
 
@@ -39,7 +39,7 @@
 			}
 		}
 		catch (SocketTimeoutException ex) {
-			// The other side has said all it wants to say.
+			// The other side sent nothing for a second: the response is complete.
 		}
 		catch (IOException ex) {
 			text.append("[closed]");
--- a/integration/src/test/java/org/brasspier/integration/RawPeer.java
+++ b/integration/src/test/java/org/brasspier/integration/RawPeer.java
@@ -6,7 +6,7 @@
 import java.net.SocketTimeoutException;
 
 /**
- * Sends bytes to a port for daemons.
+ * Sends bytes to a port on which a daemon accepts other daemons.
  */
 final class RawPeer {
 
@@ -15,7 +15,7 @@
 	private RawPeer() {
 	}
 
-	/** Tells whether the other side closed the connection within ten seconds. */
+	/** Returns whether the other side closed the connection within ten seconds. */
 	static boolean sendAndAwaitClose(InetSocketAddress address, byte[] bytes) throws IOException {
 		try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
 			socket.setSoTimeout(READ_TIMEOUT_MILLIS);
--- a/integration/src/test/java/org/brasspier/integration/RequestPathAtMostOnceTests.java
+++ b/integration/src/test/java/org/brasspier/integration/RequestPathAtMostOnceTests.java
@@ -20,7 +20,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Postings that are sent again, to any daemon, before and after their owner changed.
+ * Tests of postings that are sent repeatedly, to any daemon, before and after their owner
+ * changed.
  */
 class RequestPathAtMostOnceTests {
 
@@ -31,7 +32,8 @@
 	private static Deployment deployment;
 
 	/**
-	 * More than the ranges of a deployment that has just started move before they rest.
+	 * Upper bound on the ownership changes tolerated after a start. It exceeds the number
+	 * of moves until the ranges of a new deployment are stable.
 	 */
 	private static final int MAX_MOVES = 50;
 
@@ -40,7 +42,7 @@
 		deployment = Deployment.start(DeploymentShape.small(new ServiceShape("hullbook", true, 3, 8, 60, true),
 				new ServiceShape("returns-desk", false, 3, 8, 60, false)));
 		deployment.awaitServed();
-		Await.until("each instance owns something",
+		Await.until("each instance owns a range",
 				() -> deployment.instances().stream().noneMatch((instance) -> deployment.ownedBy(instance).isEmpty()));
 	}
 
@@ -59,8 +61,9 @@
 		assertRunsOnce(UNSHARDED_CALLER, "returns-desk", "", "by-id");
 	}
 
-	// Ranges move for some seconds after a start, and the next owner of a posting's range
-	// rightly answers 409. It names its own fence, so any other 409 fails.
+	// Ranges move for some seconds after a start, and the next owner of a range correctly
+	// answers 409 to a posting that its predecessor accepted. Such an answer carries the
+	// fence of the new owner; any other 409 fails the test.
 	private static void assertRunsOnce(SingleAttemptCaller caller, String service, String key, String prefix)
 			throws Exception {
 		for (int move = 0; move < MAX_MOVES; move++) {
@@ -77,7 +80,7 @@
 				.filter((answer) -> answer.statusCode() != 200)
 				.forEach((answer) -> assertOwnerChanged(answer, posting));
 		}
-		throw new AssertionError("the ranges of %s never rest".formatted(service));
+		throw new AssertionError("the ranges of %s did not become stable".formatted(service));
 	}
 
 	private static void assertOwnerChanged(HttpResponse<String> answer, SingleAttemptCaller.Posting posting) {
@@ -86,7 +89,7 @@
 			.isGreaterThan(fenceOf(posting.ticket()));
 	}
 
-	// The third part of a ticket.
+	// The fence is the third part of a ticket.
 	private static long fenceOf(String ticket) {
 		return Long.parseLong(ticket.split("~")[2], 16);
 	}
@@ -102,9 +105,10 @@
 
 	@Test
 	void aPostingWhoseOwnerWasLostWhileItRanDoesNotRunAgain() throws Exception {
-		// A crew books; the owner's instance is lost with the booking in its hands, and
-		// the answer with it. The crew sends the booking again, until somebody owns the
-		// key. It may have run, so it must not run again, and the crew must be told so.
+		// The instance of the owner is killed while it runs a posting, and the answer is
+		// lost with it. The caller sends the posting again until another instance owns
+		// the key. The posting may have run, so it must not run again, and the caller
+		// must be told so.
 		SingleAttemptCaller.Posting posting = SHARDED_CALLER.requestTicket(deployment.instances().getFirst(), "hull-2",
 				"lost-owner");
 		StandInInstance owner = deployment.owner("hullbook", "hull-2").orElseThrow();
@@ -126,7 +130,7 @@
 		}
 		finally {
 			owner.start();
-			Await.until("the instance is back", () -> isAnswering(owner));
+			Await.until("the restarted instance answers", () -> isAnswering(owner));
 		}
 	}
 
--- a/integration/src/test/java/org/brasspier/integration/RequestPathFaultTests.java
+++ b/integration/src/test/java/org/brasspier/integration/RequestPathFaultTests.java
@@ -23,8 +23,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Silent connections, late answers, a request that crashes servers, and planned stops, as
- * callers see them.
+ * Tests of the request path, from the view of callers, with silent connections, late
+ * answers, a request that crashes servers, and planned stops.
  */
 class RequestPathFaultTests {
 
@@ -46,16 +46,16 @@
 	@Tag("known-red")
 	@Test
 	void aLookupIsAnsweredThoughConnectionsBetweenDaemonsWentSilent() throws Exception {
-		// Something between the daemons loses track of all open connections: they stay
-		// open and carry nothing. New ones work. Each crew still gets its record within
-		// its deadline.
+		// A network device between the daemons drops the state of all open connections:
+		// they stay open and carry no data, while new ones work. Each caller must still
+		// get its record within its deadline.
 		assertAnsweredAfterSilence(":forward", "f");
 	}
 
 	@Tag("known-red")
 	@Test
 	void aLookupIsAnsweredThoughConnectionsToServersWentSilent() throws Exception {
-		// The same between the daemons and their backend servers.
+		// The same fault between the daemons and their backend servers.
 		assertAnsweredAfterSilence(">server", "b");
 	}
 
@@ -73,15 +73,16 @@
 
 	@Test
 	void lateAnswersReachOnlyTheirOwnCallers() throws Exception {
-		// The links between daemons hold everything back for a while. Callers give up and
-		// ask for other things. When the links go on, the old answers come late.
+		// One daemon's links to the others hold all data back for a while. Callers give
+		// up and send other requests. When the links recover, the old answers arrive
+		// late.
 		deployment.awaitServed();
 		try (CallerFleet fleet = new CallerFleet(deployment.callerAddresses())) {
 			List<CompletableFuture<CallerRecord>> pending = new ArrayList<>(startLookups(fleet, "late", 100));
 			StandInInstance slow = deployment.instances().getLast();
 			deployment.setPeerLinks(slow, LinkState.HELD_BACK);
 			pending.addAll(startLookups(fleet, "held", 200));
-			Await.until("some gave up", () -> pending.stream().filter(CompletableFuture::isDone).count() > 100);
+			Await.until("some callers gave up", () -> pending.stream().filter(CompletableFuture::isDone).count() > 100);
 			deployment.setPeerLinks(slow, LinkState.HEALTHY);
 			pending.addAll(startLookups(fleet, "after", 200));
 			List<CallerRecord> records = pending.stream().map(CompletableFuture::join).toList();
@@ -103,9 +104,10 @@
 
 	@Test
 	void aRequestThatCrashesServersIsRefusedAfterTwoCrashes() throws Exception {
-		// One lookup ends each backend server that runs it, and its caller sends it again
-		// and again to any daemon. Two servers may fall; then it is refused by name, and
-		// the key's other requests go on.
+		// One lookup crashes each backend server that runs it, and its caller sends it
+		// repeatedly, to any daemon. At most two servers may crash; then the request is
+		// refused with an error kind of its own, and other requests for the key are
+		// served.
 		SingleAttemptCaller caller = new SingleAttemptCaller(SERVICE);
 		List<StandInInstance> daemons = deployment.instances();
 		String lastError = "";
@@ -130,8 +132,8 @@
 
 	@Test
 	void aPlannedStopUnderLoadFailsNoRequest() throws Exception {
-		// An instance is stopped for replacement while crews keep looking up and booking.
-		// Its server drains, its ranges go, and nobody notices.
+		// An instance is stopped for replacement while callers send lookups. Its server
+		// drains and its ranges move to other instances, without a failed request.
 		deployment.awaitServed();
 		StandInInstance leaving = deployment.instances().get(1);
 		try (CallerFleet fleet = new CallerFleet(deployment.callerAddresses())) {
--- a/integration/src/test/java/org/brasspier/integration/SilentConnectionTests.java
+++ b/integration/src/test/java/org/brasspier/integration/SilentConnectionTests.java
@@ -17,9 +17,10 @@
 
 	private static final int PADDING_BYTES = 60_000;
 
-	// Something between two daemons forgets their connections: what is sent over them is
-	// lost and neither end is told, while new ones work. Callers whose requests are
-	// forwarded get their answers as soon as the daemons have replaced them.
+	// A network device between two daemons drops the state of their connections: data
+	// sent over them is lost and neither end is notified, while new connections work.
+	// Callers whose requests are forwarded get their answers as soon as the daemons have
+	// replaced the connections.
 	@Tag("known-red")
 	@Test
 	void silentConnectionsBetweenDaemonsAreNoticedAndReplaced() {
@@ -28,7 +29,8 @@
 		assertEachKeyIsAnsweredThroughEachDaemon();
 	}
 
-	// The same between the daemons' control ports: leases are renewed over new ones.
+	// The same fault between the control ports of the daemons: leases are renewed over
+	// new connections.
 	@Test
 	void silentControlConnectionsAreNoticedAndReplaced() {
 		silenceOpenConnections(":control");
@@ -36,7 +38,7 @@
 		assertEachKeyIsAnsweredThroughEachDaemon();
 	}
 
-	// The same between a daemon and the server beside it.
+	// The same fault between a daemon and the backend server beside it.
 	@Test
 	void silentConnectionsToTheBackendServerAreNoticedAndReplaced() {
 		silenceOpenConnections(">server");
@@ -44,8 +46,9 @@
 		assertEachKeyIsAnsweredThroughEachDaemon();
 	}
 
-	// Answers between daemons are held for a while and then all arrive at once, late and
-	// after others of the same callers. Each caller gets its own, whole, or an error.
+	// Answers between daemons are held back and then all delivered at once, late and
+	// after other answers to the same callers. Each caller must get its own complete
+	// answer or an error.
 	@Test
 	void lateAnswersReachOnlyTheirOwnCallers() {
 		testDeployment.callers()
--- a/integration/src/test/java/org/brasspier/integration/SingleAttemptCaller.java
+++ b/integration/src/test/java/org/brasspier/integration/SingleAttemptCaller.java
@@ -12,8 +12,7 @@
 import org.brasspier.standins.StandInInstance;
 
 /**
- * A caller that sends one request to one daemon, just as a test says, and never again by
- * itself.
+ * A caller that sends one request to one given daemon and never retries by itself.
  */
 final class SingleAttemptCaller {
 
@@ -42,7 +41,7 @@
 		return newHttpClient().send(builder.build(), HttpResponse.BodyHandlers.ofString());
 	}
 
-	// Asks for a ticket for a posting that was never sent before.
+	// Requests a ticket for a posting that has not been sent before.
 	Posting requestTicket(StandInInstance daemon, String key, String id) throws IOException, InterruptedException {
 		Posting withoutTicket = new Posting(key, id, "");
 		return new Posting(key, id, header(post(daemon, "/book", withoutTicket), "Brasspier-Ticket"));
@@ -52,7 +51,8 @@
 		return response.headers().firstValue(name).orElse("");
 	}
 
-	// A new one each time, so that no connection of a daemon that was killed is used.
+	// Uses a new client for each request, so that no connection to a killed daemon is
+	// reused.
 	private static HttpClient newHttpClient() {
 		return HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 	}
@@ -80,7 +80,7 @@
 	}
 
 	/**
-	 * A posting with the ticket that each send of it repeats.
+	 * A posting with the ticket that is repeated each time the posting is sent.
 	 */
 	record Posting(String key, String id, String ticket) {
 
--- a/integration/src/test/java/org/brasspier/integration/StoreFaultTests.java
+++ b/integration/src/test/java/org/brasspier/integration/StoreFaultTests.java
@@ -14,8 +14,9 @@
 
 class StoreFaultTests extends AbstractFaultTests {
 
-	// The platform's store goes down for many times the length of a lease. Tellers notice
-	// nothing: the two lease managers go on confirming each other, and nothing moves.
+	// The store of the platform is down for many times the length of a lease. Callers are
+	// not affected: the two lease managers keep confirming each other, and no range
+	// moves.
 	@Tag("known-red")
 	@Test
 	void ownersServeThroughAnOutageOfTheStore() {
@@ -28,8 +29,8 @@
 		assertThat(unanswered(recordsBefore)).isEmpty();
 	}
 
-	// The store takes two seconds for each answer, far longer than a lease. Owners serve
-	// on, since a lease is renewed without the store.
+	// The store takes two seconds for each answer, far longer than a lease. Owners keep
+	// serving, since a lease is renewed without the store.
 	@Test
 	void ownersServeWhileTheStoreIsSlow() {
 		int recordsBefore = testDeployment.callers().records().size();
@@ -41,9 +42,10 @@
 		assertThat(unanswered(recordsBefore)).isEmpty();
 	}
 
-	// An instance is lost, and the write that moves its ranges takes effect while the
-	// answer is lost. The manager reads the row back before it tells anybody; if it told
-	// the old state or wrote again blindly, two servers would own the ranges.
+	// An instance is lost, and the write that moves its ranges takes effect while its
+	// answer is lost. The manager reads the row back before it announces the result; if
+	// it announced the old state or repeated the write unconditionally, two servers would
+	// own the ranges.
 	@Test
 	void aMoveWhoseAnswerIsLostIsResolvedBeforeItIsAnnounced() {
 		StandInInstance lost = testDeployment.owner("a");
@@ -53,8 +55,9 @@
 		testDeployment.awaitRecovered(ranges);
 	}
 
-	// The store is down, then a plain member is lost: its ranges can't move, callers of
-	// just these are turned away as not run. Once the store answers, others own them.
+	// The store is down, then a plain member is lost: its ranges cannot move, and only
+	// callers of these ranges are refused, with their requests reported as not run. Once
+	// the store answers, other members own the ranges.
 	@Test
 	void rangesLostDuringAnOutageAreUnavailableUntilTheStoreAnswers() {
 		StandInInstance lost = memberThatIsNotManager();
@@ -79,9 +82,9 @@
 		testDeployment.awaitRecovered(ranges);
 	}
 
-	// A lease manager is lost while the store is down. The other one can't replace it, so
-	// its authority ends and the cell stops, as docs/DESIGN.md says. Once the store
-	// answers, all is served again, and nothing that was in place is lost.
+	// A lease manager is lost while the store is down. The other manager cannot replace
+	// it, so its authority expires and the cell stops, as docs/DESIGN.md specifies. Once
+	// the store answers, all ranges are served again and no existing state is lost.
 	@Test
 	void aManagerLostDuringAnOutageStopsTheCellUntilTheStoreAnswers() {
 		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(managers.secondary());
@@ -89,13 +92,13 @@
 		testDeployment.awaitMoreAnswers();
 		int recordsBefore = testDeployment.callers().records().size();
 		managers.secondary().kill();
-		Await.until("callers are turned away", () -> !unanswered(recordsBefore).isEmpty());
+		Await.until("callers are refused", () -> !unanswered(recordsBefore).isEmpty());
 		testDeployment.deployment().platform().faults(PlatformFaults.NONE);
 		testDeployment.awaitRecovered(ranges);
 	}
 
-	// The same with a store that takes two seconds for each answer: it costs the cell as
-	// long as the store takes, and no mending.
+	// The same with a store that takes two seconds for each answer: the cell is
+	// unavailable for as long as the store takes, and recovers without manual repair.
 	@Test
 	void aManagerLostWhileTheStoreIsSlowIsReplacedOnceTheStoreHasAnswered() {
 		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(managers.primary());
@@ -106,9 +109,9 @@
 	}
 
 	// A member is lost, and the write that moves its ranges takes effect while its answer
-	// is lost. Before the write is settled, a second member is lost, perhaps one that has
-	// just been given ranges of the first. Neither the settling nor the second recovery
-	// may undo the other.
+	// is lost. Before the outcome of the write is known, a second member is lost,
+	// possibly one that has just received ranges of the first. Neither resolving the
+	// write nor the second recovery may undo the other.
 	@Test
 	void aSecondLossBeforeALostAnswerIsResolvedLosesNoRange() {
 		StandInInstance first = testDeployment.instanceOtherThan(managers.primary(), managers.secondary());
@@ -123,10 +126,10 @@
 		testDeployment.awaitRecovered(rangesOfSecond);
 	}
 
-	// While the store is down a server stands still for a moment, as in a long garbage
-	// collection. Its daemon gave the ranges up at once, nobody could be given them, and
-	// it might not take them back: callers of a server that was well again were turned
-	// away for as long as the store was down.
+	// While the store is down, a server is paused for a moment, as by a long garbage
+	// collection. The daemon used to release the ranges immediately, and with the store
+	// down they could neither be assigned to another instance nor taken back: callers of
+	// a server that was healthy again were refused until the store answered.
 	@Tag("known-red")
 	@Test
 	void aServerPausedDuringAnOutageServesAgainBeforeTheStoreAnswers() {
@@ -136,22 +139,23 @@
 		testDeployment.awaitMoreAnswers();
 		int recordsBefore = testDeployment.callers().records().size();
 		paused.server().pause();
-		Await.until("callers are turned away", () -> !unanswered(recordsBefore).isEmpty());
+		Await.until("callers are refused", () -> !unanswered(recordsBefore).isEmpty());
 		paused.server().resume();
 		testDeployment.awaitRecovered(ranges);
 	}
 
-	// Not a lease manager: with the store down, the other one's authority would end, and
-	// the cell would stop until the store answers, as docs/DESIGN.md says.
+	// Not a lease manager: with the store down, the authority of the other manager would
+	// expire, and the cell would stop until the store answers, as docs/DESIGN.md
+	// specifies.
 	private static StandInInstance memberThatIsNotManager() {
 		StandInInstance member = testDeployment.instanceOtherThan(managers.primary(), managers.secondary());
-		// It may be the one that the test before has lost, and just be coming back.
+		// The previous test may have stopped this member, which may still be rejoining.
 		Await.until(member.name() + " owns ranges", () -> !testDeployment.deployment().ownedBy(member).isEmpty());
 		return member;
 	}
 
 	private static List<CallerRecord> unanswered(int firstIndex) {
-		Await.until("requests have ended", () -> testDeployment.callers().records().size() > firstIndex);
+		Await.until("a request has completed", () -> testDeployment.callers().records().size() > firstIndex);
 		List<CallerRecord> records = testDeployment.callers().records();
 		return records.subList(firstIndex, records.size())
 			.stream()
--- a/integration/src/test/java/org/brasspier/integration/StoredStateTests.java
+++ b/integration/src/test/java/org/brasspier/integration/StoredStateTests.java
@@ -33,11 +33,11 @@
 		this.testDeployment.close();
 	}
 
-	// Somebody damages the cell's row, or a newer version of the daemon has written it.
-	// Who owns what is not to be guessed from it: owners serve on, nothing moves even
-	// when an instance is lost, and the row stays as it is until somebody has mended it.
-	// The one lost is a plain member: with a manager lost the cell stops, as in an
-	// outage.
+	// The row of the cell is corrupted, or was written by a newer version of the daemon.
+	// Ownership must not be guessed from it: owners keep serving, no range moves even
+	// when an instance is lost, and the row stays unchanged until it has been repaired.
+	// The lost instance is a plain member: with a manager lost the cell would stop, as in
+	// an outage.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void aRowThatCannotBeReadIsNeverOverwritten(boolean newer) {
--- a/integration/src/test/java/org/brasspier/integration/TestDeployment.java
+++ b/integration/src/test/java/org/brasspier/integration/TestDeployment.java
@@ -21,7 +21,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * A small deployment under light traffic, for one test class.
+ * A small deployment with light traffic, shared by the tests of one class.
  */
 final class TestDeployment implements AutoCloseable {
 
@@ -60,7 +60,7 @@
 		return this.callers;
 	}
 
-	/** Lookups and postings for each service, until the test ends. */
+	/** Sends lookups and postings to each service until the test ends. */
 	void startTraffic() {
 		this.callers.setTraffic(this.deployment.shape()
 			.services()
@@ -72,18 +72,18 @@
 			.toList());
 	}
 
-	/** Waits until callers have been answered some hundred times more. */
+	/** Waits until 200 more requests have been answered. */
 	void awaitMoreAnswers() {
 		long targetCount = answeredCount() + 200;
 		Await.until("200 more requests are answered", () -> answeredCount() > targetCount);
 	}
 
 	/**
-	 * Waits until each instance owns something: one that was lost in an earlier test owns
-	 * nothing until its share comes back.
+	 * Waits until each instance owns a range. An instance that was lost in an earlier
+	 * test owns nothing until ranges are moved back to it.
 	 */
 	void awaitAllInstancesOwnRanges() {
-		Await.until("each instance owns something",
+		Await.until("each instance owns a range",
 				() -> this.deployment.instances()
 					.stream()
 					.noneMatch((instance) -> this.deployment.ownedBy(instance).isEmpty()));
@@ -116,15 +116,15 @@
 		return this.callers.call(request);
 	}
 
-	/** Waits until callers get answers for each range that an instance owned. */
+	/** Waits until callers get answers for each of the given ranges. */
 	void awaitRecovered(List<OwnedRange> ranges) {
-		assertWithMessage("ranges of the lost owner").that(ranges).isNotEmpty();
+		assertWithMessage("ranges that the lost instance owned").that(ranges).isNotEmpty();
 		try (RecoveryProbe probe = new RecoveryProbe(this.callers, ranges, this.deployment.shardedServices())) {
 			probe.await();
 		}
 	}
 
-	/** Mends all faults, ends the traffic, and judges the histories. */
+	/** Removes all faults, ends the traffic and checks the recorded histories. */
 	void assertNoViolations() {
 		new FaultInjector(this.deployment).mend();
 		this.deployment.awaitServed();
@@ -134,7 +134,7 @@
 		if (!violations.isEmpty()) {
 			System.err.println("histories and logs are kept in " + this.deployment.keepFiles());
 		}
-		assertWithMessage("broken promises").that(violations).isEmpty();
+		assertWithMessage("violated invariants").that(violations).isEmpty();
 	}
 
 	@Override
--- a/integration/src/test/java/org/brasspier/integration/TwoVersionsTests.java
+++ b/integration/src/test/java/org/brasspier/integration/TwoVersionsTests.java
@@ -27,9 +27,9 @@
 		this.testDeployment.close();
 	}
 
-	// In the midst of a rolling replacement half of the daemons speak the earlier
-	// protocol. Instances of each version are lost; whoever manages tells the new row to
-	// members of both, and each loss is made good as if all were alike.
+	// During a rolling replacement half of the daemons use the earlier protocol version.
+	// Instances of each version are lost. The managers send the new row to members of
+	// both versions, and each loss is recovered as in a deployment of one version.
 	@Test
 	void lossesAreRecoveredWhileDaemonsOfTwoVersionsRunSideBySide() {
 		for (StandInInstance lost : this.testDeployment.deployment().instances()) {
--- a/integration/src/test/java/org/brasspier/integration/document/DocumentDistributionTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/DocumentDistributionTests.java
@@ -26,8 +26,9 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * An accepted document is in force on every daemon and never reverts; real daemons, the
- * platform's stand-in, and operators with the command line tool.
+ * Tests that an accepted document is in force on every daemon and never reverts, with
+ * real daemons, the stand-in of the platform, and operators who use the command line
+ * tool.
  */
 class DocumentDistributionTests {
 
@@ -70,9 +71,9 @@
 			.contains("service/hullbook/divided-by-key: (none) -> yes");
 	}
 
-	// Two operators begin from version 1 and press submit at the same moment, each at
-	// another daemon. One of them must win; the other must see what the winner changed,
-	// and can move the draft onto it.
+	// Two operators start from version 1 and submit at the same time, each to another
+	// daemon. One submission must be accepted; the other operator must see what it
+	// changed and can rebase the draft onto it.
 	@Test
 	void ofTwoConcurrentSubmissionsOneIsAcceptedAndTheOtherSeesWhatChanged() {
 		fillInMinimalDraft(this.firstOperator);
@@ -96,9 +97,11 @@
 		assertThat(loser.run("config", "show").out()).contains("weights/imbalance");
 	}
 
-	// Both operators change the same field from version 1, Lena first. Budi, at a
-	// terminal, is shown what she changed, lets his draft be moved onto it, is told that
-	// the field was changed twice, and submits again; her other change stays.
+	// Both operators change the same field from version 1, the first operator before the
+	// second. The
+	// second, at a terminal, is shown the other change, confirms the rebase of the draft,
+	// is told that both changed the field, and submits again. The other change of the
+	// first operator is kept.
 	@Test
 	void atATerminalAConflictIsShownAndTheDraftMovedOnRequest() {
 		fillInMinimalDraft(this.firstOperator);
@@ -117,15 +120,15 @@
 		assertThat(inForce).containsMatch("weights/imbalance +3\n");
 	}
 
-	// Somebody asks whether the change is everywhere. While one daemon is down, the
-	// status must say so rather than leave it out.
+	// An operator checks whether a change is in force everywhere. While one daemon is
+	// down, the status must list it as not answering rather than omit it.
 	@Test
 	void theStatusShowsTheVersionOnEachDaemonAndWhichOneDoesNotAnswer() {
 		fillInMinimalDraft(this.firstOperator);
 		this.firstOperator.run("draft", "submit");
-		Await.until("the status lists all three", () -> statusLines("hullbook-[0-2] +1") == 3);
+		Await.until("the status lists all three daemons", () -> statusLines("hullbook-[0-2] +1") == 3);
 		this.deployment.instances().get(2).daemon().kill();
-		Await.until("two have the version, one is silent",
+		Await.until("two daemons report the version and one does not answer",
 				() -> statusLines("hullbook-[0-2] +1") == 2 && statusLines("\\(no answer\\) +\\?") == 1);
 	}
 
@@ -137,7 +140,7 @@
 			.count();
 	}
 
-	// An operator watches the time line while another one submits.
+	// An operator follows the time line while another one submits.
 	@Test
 	void theTimeLineIsFollowedLive() {
 		fillInMinimalDraft(this.firstOperator);
@@ -149,7 +152,7 @@
 	}
 
 	// The table takes the write of the pointer, and its answer is lost. The operator must
-	// be told that the submission was accepted, and it must be in force once.
+	// be told that the submission was accepted, and it must be in force exactly once.
 	@Test
 	void aSubmissionWhoseAnswerWasLostIsResolvedBeforeTheOperatorIsAnswered() {
 		fillInMinimalDraft(this.firstOperator);
@@ -160,9 +163,10 @@
 		assertThat(versions()).containsExactly(1L, 1L, 1L);
 	}
 
-	// The store goes down. Nobody can submit; the version in force stays. A daemon is
-	// replaced meanwhile: it must not serve by usual limits what the document in force
-	// says otherwise about, and has the version again once anybody can tell it.
+	// The store goes down. No submission is accepted, and the version in force stays. A
+	// daemon that is replaced meanwhile must not serve by default limits where the
+	// document in force sets others, and has the version again once the store or another
+	// daemon can report it.
 	@Test
 	void neitherAnOutageNorARestartRevertsTheVersionInForce() {
 		fillInMinimalDraft(this.firstOperator);
--- a/integration/src/test/java/org/brasspier/integration/document/OperatorPortTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/OperatorPortTests.java
@@ -26,7 +26,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * The operator port of a real daemon, asked without the command line tool.
+ * Tests of the operator port of a real daemon, called without the command line tool.
  */
 class OperatorPortTests {
 
@@ -56,8 +56,9 @@
 		this.deployment.close();
 	}
 
-	// A stranger reaches the operator port and tries each call that docs/API.md names,
-	// with no secret, a wrong one, a cut one, and the secret without its scheme.
+	// An unauthorized client reaches the operator port and tries each call that
+	// docs/API.md lists, with no secret, a wrong one, one with its first character cut
+	// off, and one with a character added.
 	@Test
 	void eachCallOfTheInterfaceIsRefusedWithoutTheSecret() throws IOException {
 		String secret = this.deployment.operatorSecret();
@@ -74,8 +75,9 @@
 		}
 	}
 
-	// What monitoring systems read: names and lines as the exposition format has them,
-	// each series under its type, each metric explained, nothing twice.
+	// The metrics as monitoring systems read them: names and lines conform to the
+	// exposition format, each series has a type, each metric has an explanation, and no
+	// series occurs twice.
 	@Test
 	void theMetricsAreWellFormedAndEachIsExplained() throws IOException {
 		String text = call("GET", "/metrics", this.deployment.operatorSecret()).body();
--- a/integration/src/test/java/org/brasspier/integration/document/OperatorTool.java
+++ b/integration/src/test/java/org/brasspier/integration/document/OperatorTool.java
@@ -14,7 +14,7 @@
 import org.brasspier.cli.internal.Terminal;
 
 /**
- * One operator with the command line tool. Not thread-safe.
+ * Runs the command line tool for one operator. Not thread-safe.
  */
 final class OperatorTool {
 
@@ -34,7 +34,7 @@
 		return run("", false, arguments);
 	}
 
-	/** Runs a command in a terminal, where the operator types the lines. */
+	/** Runs a command at an interactive terminal with the given input lines. */
 	Result runInteractively(String lines, String... arguments) {
 		return run(lines, true, arguments);
 	}
@@ -54,11 +54,11 @@
 	}
 
 	/**
-	 * What a command did.
+	 * The outcome of a command.
 	 *
-	 * @param exit its exit code
-	 * @param out its result
-	 * @param err its progress and errors
+	 * @param exit the exit code
+	 * @param out the standard output, which holds the result
+	 * @param err the standard error, which holds progress and errors
 	 */
 	record Result(int exit, String out, String err) {
 
--- a/integration/src/test/java/org/brasspier/integration/document/OperatorsViewTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/OperatorsViewTests.java
@@ -27,7 +27,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * What operators see and order in a deployment that serves.
+ * Tests of what operators see and order in a deployment under load.
  */
 class OperatorsViewTests {
 
@@ -53,8 +53,8 @@
 		this.deployment.close();
 	}
 
-	// A crew asks what became of a lookup. It reached one daemon, was forwarded to the
-	// owner's, and ran there; the operator follows it by its id through both.
+	// An operator traces a lookup that reached one daemon, was forwarded to the daemon of
+	// the owner and ran there. The time line shows it by its id across both daemons.
 	@Test
 	void aRequestIsFollowedByItsIdThroughEveryProcess() {
 		StandInInstance entry = this.deployment.instances().getFirst();
@@ -76,8 +76,8 @@
 		}
 	}
 
-	// Where the server's own record says that it ran. The owner that is asked for later
-	// may be another one, as ranges move for some seconds after a start.
+	// Returns the server whose own record says that the request began there. The owner
+	// reported later may be another one, as ranges move for some seconds after a start.
 	private String serverThatRan(String id) {
 		return this.deployment.serverRecords()
 			.stream()
@@ -87,8 +87,8 @@
 			.orElseThrow();
 	}
 
-	// An operator looks for what became of one key, one range, one kind of event, one
-	// instance. Each filter shows what is about it and nothing else.
+	// An operator filters the time line by one key, one range, one kind of event or one
+	// instance. Each filter shows the events that concern it and no others.
 	@Test
 	void theTimeLineIsFilteredByKeyRangeKindAndInstance() {
 		try (CallerFleet callers = this.deployment.newCallers()) {
@@ -122,8 +122,8 @@
 		assertThat(owner("hull-4711")).startsWith("hullbook-");
 	}
 
-	// Crews complain that lookups take long. The operator sees at which instance they
-	// wait, how many of which class, and that its slots are taken.
+	// Callers report slow lookups. The status shows at which instance requests wait, how
+	// many of which class, and that its slots are occupied.
 	@Test
 	void theStatusShowsWhatRunsAndWaitsAtEachInstance() {
 		try (CallerFleet callers = this.deployment.newCallers()) {
@@ -135,7 +135,7 @@
 						"hullbook-[0-9] +8 +[1-9][0-9]* +[1-9][0-9]* +internal 0\\+0, lookup [1-9][0-9]*\\+[1-9].*")));
 			callers.finish();
 		}
-		Await.until("nothing waits any more",
+		Await.until("no request waits any more",
 				() -> this.tool.run("status")
 					.out()
 					.lines()
--- a/integration/src/test/java/org/brasspier/integration/document/PageCommandsTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/PageCommandsTests.java
@@ -22,7 +22,8 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * The commands in the pages work as they stand, against a small deployment that serves.
+ * Tests that the commands in the documentation work as written, against a small running
+ * deployment.
  */
 class PageCommandsTests {
 
@@ -48,9 +49,9 @@
 		this.deployment.close();
 	}
 
-	// An operator works through the guide and then through the page for faults, while
-	// what each section tells of happens: two operators submit at once, an instance is
-	// lost. Each command must do what the page says.
+	// Runs the commands of the user guide and then those of the operating guide, while
+	// the situations that they describe occur: two operators submit concurrently, an
+	// instance is lost. Each command must succeed.
 	@Test
 	void theCommandsOfThePagesRunInTheirOrder() throws IOException {
 		List<String> guide = commands("USER_GUIDE.md", "```sh").toList();
@@ -70,7 +71,7 @@
 			}
 		}
 		if (command.contains("declare-lost") || command.contains("move")) {
-			// Refused until the loss is noticed, and where the range has just moved.
+			// Refused until the loss is detected, and while a range has only just moved.
 			Await.until(command, () -> this.tool.run(arguments(command)).exit() == 0);
 			return;
 		}
@@ -108,7 +109,7 @@
 			.toArray(String[]::new);
 	}
 
-	/** A range that the page's target does not own. */
+	/** Returns a range that the target of the documented move does not own. */
 	private String rangeToMove() {
 		return this.tool.run("status", "--ranges")
 			.out()
--- a/integration/src/test/java/org/brasspier/integration/document/SecretsRotationTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/SecretsRotationTests.java
@@ -26,8 +26,8 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * All three kinds of secrets are replaced while everything runs, and none of them shows
- * anywhere.
+ * Tests that all three kinds of secrets can be replaced in a running deployment, and that
+ * no output contains a secret.
  */
 class SecretsRotationTests {
 
@@ -56,11 +56,12 @@
 		this.deployment.close();
 	}
 
-	// An operator replaces the key that daemons share, one daemon after another, while
-	// callers ask. In between some daemons know one key and others two; where those could
-	// not prove themselves to each other, requests would be turned away for the whole
-	// time. A daemon that starts afterwards knows the new key only, and joins. Lookups,
-	// since a posting also ends unknown where a starved machine breaks its connection.
+	// An operator replaces the key that the daemons share, one daemon after another,
+	// under traffic. Meanwhile some daemons know one key and others two; if those could
+	// not authenticate to each other, requests would be refused for the whole time. A
+	// daemon that starts afterwards knows only the new key, and joins. The traffic is
+	// lookups only, since a posting also ends as unknown when an overloaded machine
+	// breaks its connection.
 	@Test
 	void thePeersKeyIsReplacedUnderTrafficAndNoRequestFails() {
 		try (CallerFleet callers = this.deployment.newCallers()) {
@@ -84,9 +85,9 @@
 				() -> tool().run("status").out().lines().anyMatch((line) -> line.matches("hullbook +[0-9]+ +0 +3")));
 	}
 
-	// The platform's operators replace its token: both are accepted for a while, then
-	// only the new one. Daemons that went on with the old one could neither move a range
-	// nor bring a document into force.
+	// The operators of the platform replace its token: both tokens are accepted for a
+	// while, then only the new one. Daemons that kept using the old one could neither
+	// move a range nor bring a document into force.
 	@Test
 	void thePlatformsTokenIsReplacedWithoutAStop() {
 		rotate("platform", (secrets, lines) -> secrets.platform(lines), this.oldToken, NEW_TOKEN);
@@ -99,8 +100,8 @@
 		assertThat(tool.run("drain", "hullbook-1").exit()).isEqualTo(0);
 	}
 
-	// An operator's secret was seen by somebody: a new one is added to every daemon, then
-	// the old one is taken out. From then on the old one opens nothing.
+	// An operator secret has been disclosed: a new one replaces it in the file of every
+	// daemon. Once the new one is accepted, the old one must be refused.
 	@Test
 	void theOperatorsSecretIsReplacedAndTheOldOneIsRefused() {
 		this.deployment.instances().forEach((instance) -> instance.secrets().operators(NEW_SECRET));
@@ -109,8 +110,8 @@
 		assertThat(tool().run("status").exit()).isEqualTo(ErrorKind.UNAUTHORIZED.exitCode());
 	}
 
-	// Somebody reads logs, listings and errors of a deployment on which everything was
-	// tried, with right secrets, with wrong ones and with a file of unfit ones.
+	// Collects logs, command output and errors of a deployment on which many commands
+	// were tried, with valid secrets, with wrong ones and with a file of invalid ones.
 	@Test
 	void noSecretShowsInAnyOutput() throws IOException {
 		StringBuilder output = new StringBuilder();
@@ -126,7 +127,7 @@
 		}
 		InstanceSecrets secretsFiles = this.deployment.instances().getFirst().secrets();
 		secretsFiles.sharedKeys(this.oldKey, "tooshort");
-		Await.until("the unfit file is told of", () -> !events("SECRETS_REFUSED").isEmpty());
+		Await.until("the invalid file is reported", () -> !events("SECRETS_REFUSED").isEmpty());
 		this.deployment.instances().getFirst().stop();
 		try (Stream<Path> files = Files.list(this.deployment.folder())) {
 			for (Path file : files.filter((path) -> path.toString().matches(".*\\.(log|out)")).toList()) {
@@ -138,7 +139,7 @@
 			.forEach((secret) -> assertThat(output.toString().contains(secret)).isFalse());
 	}
 
-	/** Adds the new one everywhere, then takes the old one out, daemon by daemon. */
+	/** Adds the new secret everywhere, then removes the old one, one daemon at a time. */
 	private void rotate(String secretKind, BiConsumer<InstanceSecrets, String[]> write, String old,
 			String replacement) {
 		if (secretKind.equals("platform")) {
@@ -148,7 +149,7 @@
 			for (StandInInstance instance : this.deployment.instances()) {
 				long before = secretsReadCount(instance, secretKind);
 				write.accept(instance.secrets(), lines);
-				Await.until(instance.name() + " has read its file anew",
+				Await.until(instance.name() + " has reread its file",
 						() -> secretsReadCount(instance, secretKind) > before);
 			}
 		}
--- a/integration/src/test/java/org/brasspier/integration/document/package-info.java
+++ b/integration/src/test/java/org/brasspier/integration/document/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The configuration document over real processes.
+ * Tests of the configuration document and the operator interface on deployments of real
+ * processes.
  */
 package org.brasspier.integration.document;
--- a/integration/src/test/java/org/brasspier/integration/package-info.java
+++ b/integration/src/test/java/org/brasspier/integration/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Failures and bad input, tried on deployments of real processes.
+ * Tests of failures and invalid input on deployments of real processes.
  */
 @NullMarked
 package org.brasspier.integration;
