--- a/integration/src/test/java/org/brasspier/integration/AtMostOnceTests.java
+++ b/integration/src/test/java/org/brasspier/integration/AtMostOnceTests.java
@@ -46,12 +46,12 @@
 	@ValueSource(strings = { TestDeployment.SHARDED_SERVICE, TestDeployment.UNSHARDED_SERVICE })
 	void aPostingSentToAllDaemonsAtOnceRunsOnce(String service) {
 		String key = (service.equals(TestDeployment.SHARDED_SERVICE)) ? "a" : "";
-		List<CompletableFuture<CallerRecord>> sent = IntStream.range(0, 6)
+		List<CompletableFuture<CallerRecord>> postings = IntStream.range(0, 6)
 			.mapToObj((i) -> this.testDeployment
 				.callAsync(StandInRequest.posting(service, key, "once-" + service).withWaitMillis(8000)))
 			.toList();
-		sent.forEach(CompletableFuture::join);
-		assertThat(sent.stream().map((record) -> record.join().outcome()).toList())
+		postings.forEach(CompletableFuture::join);
+		assertThat(postings.stream().map((record) -> record.join().outcome()).toList())
 			.contains(CallerRecord.Outcome.ANSWERED);
 		assertThat(effectCount("once-" + service)).isEqualTo(1);
 	}
@@ -66,18 +66,18 @@
 		String key = (service.equals(TestDeployment.SHARDED_SERVICE)) ? "a" : "";
 		StandInInstance owner = ownerOf(service, key);
 		List<OwnedRange> ranges = this.testDeployment.deployment().ownedBy(owner);
-		try (CallerFleet cutOff = new CallerFleet(this.testDeployment.deployment().callerAddresses())) {
-			CompletableFuture<CallerRecord> booking = cutOff
+		try (CallerFleet fleetLosingAnswers = new CallerFleet(this.testDeployment.deployment().callerAddresses())) {
+			CompletableFuture<CallerRecord> posting = fleetLosingAnswers
 				.call(StandInRequest.posting(service, key, "lost-" + service)
 					.withPath("/post?work=300")
 					.withWaitMillis(15_000));
-			Await.until("the booking runs", () -> hasBegun("lost-" + service));
+			Await.until("the posting runs", () -> hasBegun("lost-" + service));
 			this.testDeployment.deployment().setLinks((name) -> name.startsWith("callers>"), LinkState.HELD_BACK);
-			Await.until("the booking has taken effect", () -> effectCount("lost-" + service) == 1);
+			Await.until("the posting has taken effect", () -> effectCount("lost-" + service) == 1);
 			owner.kill();
 			this.testDeployment.deployment().setLinks((name) -> name.startsWith("callers>"), LinkState.HEALTHY);
 			this.testDeployment.awaitRecovered(ranges);
-			booking.join();
+			posting.join();
 		}
 		assertThat(effectCount("lost-" + service)).isEqualTo(1);
 	}
@@ -86,13 +86,13 @@
 	// runs.
 	@Test
 	void aPostingThatWasShedRunsOnALaterSending() {
-		List<CompletableFuture<CallerRecord>> flood = IntStream.range(0, 80)
+		List<CompletableFuture<CallerRecord>> postings = IntStream.range(0, 80)
 			.mapToObj((i) -> this.testDeployment
 				.callAsync(StandInRequest.posting(TestDeployment.SHARDED_SERVICE, "a", "flood-" + i)
 					.withPath("/post?work=60")
 					.withWaitMillis(20_000)))
 			.toList();
-		assertThat(flood.stream().map((record) -> record.join().outcome()).distinct().toList())
+		assertThat(postings.stream().map((record) -> record.join().outcome()).distinct().toList())
 			.containsExactly(CallerRecord.Outcome.ANSWERED);
 	}
 
@@ -102,14 +102,14 @@
 	}
 
 	private boolean hasBegun(String id) {
-		return this.testDeployment.deployment().serverRecords().stream().anyMatch((line) -> line.id().equals(id));
+		return this.testDeployment.deployment().serverRecords().stream().anyMatch((record) -> record.id().equals(id));
 	}
 
 	private long effectCount(String id) {
 		return this.testDeployment.deployment()
 			.serverRecords()
 			.stream()
-			.filter((line) -> line.kind() == ServerRecord.Kind.TOOK_EFFECT && line.id().equals(id))
+			.filter((record) -> record.kind() == ServerRecord.Kind.TOOK_EFFECT && record.id().equals(id))
 			.count();
 	}
 
--- a/integration/src/test/java/org/brasspier/integration/CrashingRequestTests.java
+++ b/integration/src/test/java/org/brasspier/integration/CrashingRequestTests.java
@@ -60,7 +60,7 @@
 		return this.testDeployment.deployment()
 			.serverRecords()
 			.stream()
-			.filter((line) -> line.kind() == ServerRecord.Kind.BEGAN && line.id().equals(id))
+			.filter((serverRecord) -> serverRecord.kind() == ServerRecord.Kind.BEGAN && serverRecord.id().equals(id))
 			.count();
 	}
 
--- a/integration/src/test/java/org/brasspier/integration/PlannedStopTests.java
+++ b/integration/src/test/java/org/brasspier/integration/PlannedStopTests.java
@@ -40,9 +40,9 @@
 	@Tag("known-red")
 	@Test
 	void aStoppedDaemonFinishesItsRequests() {
-		StandInInstance leaving = this.testDeployment.owner("a");
-		leaving.daemon().terminate();
-		leaving.daemon().awaitExit(Await.LIMIT);
+		StandInInstance stopping = this.testDeployment.owner("a");
+		stopping.daemon().terminate();
+		stopping.daemon().awaitExit(Await.LIMIT);
 		this.testDeployment.awaitMoreAnswers();
 		assertNoRequestFailed();
 	}
@@ -51,12 +51,12 @@
 	// it exits only when the daemon reports that no request is in flight any more.
 	@Test
 	void aStoppedBackendServerFinishesItsRequestsAndGetsNoNewOnes() {
-		StandInInstance leaving = this.testDeployment.owner("a");
-		leaving.server().terminate();
-		leaving.server().awaitExit(Await.LIMIT);
+		StandInInstance stopping = this.testDeployment.owner("a");
+		stopping.server().terminate();
+		stopping.server().awaitExit(Await.LIMIT);
 		this.testDeployment.awaitMoreAnswers();
 		assertNoRequestFailed();
-		List<ServerRecord> unfinished = unfinishedRecords(leaving);
+		List<ServerRecord> unfinished = unfinishedRecords(stopping);
 		assertWithMessage("orders that the server began and did not complete").that(unfinished).isEmpty();
 	}
 
@@ -85,16 +85,16 @@
 	}
 
 	private List<ServerRecord> unfinishedRecords(StandInInstance instance) {
-		List<ServerRecord> lines = this.testDeployment.deployment()
+		List<ServerRecord> records = this.testDeployment.deployment()
 			.serverRecords()
 			.stream()
-			.filter((line) -> line.server().equals(instance.name()))
+			.filter((record) -> record.server().equals(instance.name()))
 			.toList();
-		return lines.stream()
-			.filter((line) -> line.kind() == ServerRecord.Kind.BEGAN)
-			.filter((begun) -> lines.stream()
-				.noneMatch((line) -> line.id().equals(begun.id())
-						&& (line.kind() == ServerRecord.Kind.TOOK_EFFECT || line.kind() == ServerRecord.Kind.NOT_RUN)))
+		return records.stream()
+			.filter((record) -> record.kind() == ServerRecord.Kind.BEGAN)
+			.filter((begun) -> records.stream()
+				.noneMatch((record) -> record.id().equals(begun.id()) && (record.kind() == ServerRecord.Kind.TOOK_EFFECT
+						|| record.kind() == ServerRecord.Kind.NOT_RUN)))
 			.toList();
 	}
 
--- a/integration/src/test/java/org/brasspier/integration/RequestPathAtMostOnceTests.java
+++ b/integration/src/test/java/org/brasspier/integration/RequestPathAtMostOnceTests.java
@@ -118,7 +118,7 @@
 			.findFirst()
 			.orElseThrow();
 		CompletableFuture<HttpResponse<String>> first = SHARDED_CALLER.send(other, "/book?work=1000", posting);
-		Await.until("the booking runs", () -> hasBegun("lost-owner"));
+		Await.until("the posting runs", () -> hasBegun("lost-owner"));
 		owner.kill();
 		try {
 			assertThat(SingleAttemptCaller.header(first.get(20, TimeUnit.SECONDS), "Brasspier-Ran"))
--- a/integration/src/test/java/org/brasspier/integration/RequestPathFaultTests.java
+++ b/integration/src/test/java/org/brasspier/integration/RequestPathFaultTests.java
@@ -59,11 +59,11 @@
 		assertAnsweredAfterSilence(">server", "b");
 	}
 
-	private static void assertAnsweredAfterSilence(String links, String prefix) throws Exception {
+	private static void assertAnsweredAfterSilence(String linkSuffix, String prefix) throws Exception {
 		SingleAttemptCaller caller = new SingleAttemptCaller(SERVICE);
 		for (StandInInstance entry : deployment.instances()) {
 			caller.get(entry, "/x", "warm", "warm-" + prefix + entry.name(), 1000);
-			deployment.proxy().links((name) -> name.endsWith(links)).forEach(FaultLink::silenceOpenConnections);
+			deployment.proxy().links((name) -> name.endsWith(linkSuffix)).forEach(FaultLink::silenceOpenConnections);
 			for (int i = 0; i < 8; i++) {
 				String id = prefix + entry.name() + i;
 				assertThat(caller.get(entry, "/x", "silent-" + i, id, 1000).body()).contains(id);
@@ -79,11 +79,11 @@
 		deployment.awaitServed();
 		try (CallerFleet fleet = new CallerFleet(deployment.callerAddresses())) {
 			List<CompletableFuture<CallerRecord>> pending = new ArrayList<>(startLookups(fleet, "late", 100));
-			StandInInstance slow = deployment.instances().getLast();
-			deployment.setPeerLinks(slow, LinkState.HELD_BACK);
+			StandInInstance delayed = deployment.instances().getLast();
+			deployment.setPeerLinks(delayed, LinkState.HELD_BACK);
 			pending.addAll(startLookups(fleet, "held", 200));
 			Await.until("some callers gave up", () -> pending.stream().filter(CompletableFuture::isDone).count() > 100);
-			deployment.setPeerLinks(slow, LinkState.HEALTHY);
+			deployment.setPeerLinks(delayed, LinkState.HEALTHY);
 			pending.addAll(startLookups(fleet, "after", 200));
 			List<CallerRecord> records = pending.stream().map(CompletableFuture::join).toList();
 			assertThat(records.stream()
--- a/integration/src/test/java/org/brasspier/integration/document/DocumentDistributionTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/DocumentDistributionTests.java
@@ -80,17 +80,17 @@
 		this.firstOperator.run("draft", "submit");
 		this.firstOperator.run("form", "weights", "--churn", "2");
 		this.secondOperator.run("form", "weights", "--imbalance", "3");
-		CompletableFuture<OperatorTool.Result> one = CompletableFuture
+		CompletableFuture<OperatorTool.Result> firstResult = CompletableFuture
 			.supplyAsync(() -> this.firstOperator.run("--daemon", operatorAddress(0), "draft", "submit", "--no-wait"));
-		CompletableFuture<OperatorTool.Result> other = CompletableFuture
+		CompletableFuture<OperatorTool.Result> secondResult = CompletableFuture
 			.supplyAsync(() -> this.secondOperator.run("--daemon", operatorAddress(1), "draft", "submit", "--no-wait"));
-		List<OperatorTool.Result> results = List.of(one.join(), other.join());
+		List<OperatorTool.Result> results = List.of(firstResult.join(), secondResult.join());
 		assertThat(results.stream().map(OperatorTool.Result::exit)).containsExactly(0,
 				ErrorKind.DOCUMENT_CONFLICT.exitCode());
-		OperatorTool loser = (one.join().exit() == 0) ? this.secondOperator : this.firstOperator;
-		String loserMessage = (one.join().exit() == 0) ? other.join().err() : one.join().err();
-		assertThat(loserMessage)
-			.contains((one.join().exit() == 0) ? "weights/churn: (none) -> 2" : "weights/imbalance: (none) -> 3");
+		OperatorTool loser = (firstResult.join().exit() == 0) ? this.secondOperator : this.firstOperator;
+		String loserMessage = (firstResult.join().exit() == 0) ? secondResult.join().err() : firstResult.join().err();
+		assertThat(loserMessage).contains(
+				(firstResult.join().exit() == 0) ? "weights/churn: (none) -> 2" : "weights/imbalance: (none) -> 3");
 		assertThat(loser.run("draft", "rebase").exit()).isEqualTo(0);
 		assertThat(loser.run("draft", "submit").exit()).isEqualTo(0);
 		assertThat(loser.run("config", "show").out()).contains("weights/churn");
@@ -144,10 +144,10 @@
 	@Test
 	void theTimeLineIsFollowedLive() {
 		fillInMinimalDraft(this.firstOperator);
-		CompletableFuture<OperatorTool.Result> watching = CompletableFuture
+		CompletableFuture<OperatorTool.Result> following = CompletableFuture
 			.supplyAsync(() -> this.secondOperator.run("timeline", "--follow", "--for-seconds", "8", "--kind", "402"));
 		assertThat(this.firstOperator.run("draft", "submit").exit()).isEqualTo(0);
-		String output = watching.join().out();
+		String output = following.join().out();
 		assertThat(output.lines().filter((line) -> line.contains("DOCUMENT_IN_FORCE"))).hasSize(3);
 	}
 
@@ -178,8 +178,8 @@
 		replaced.daemon().kill();
 		replaced.daemon().start();
 		Await.until("the replaced daemon answers", () -> status(replaced).isRight());
-		StatusAnswer early = status(replaced).get();
-		assertThat(!early.documentRead() || early.documentVersion() == 1).isTrue();
+		StatusAnswer statusAfterRestart = status(replaced).get();
+		assertThat(!statusAfterRestart.documentRead() || statusAfterRestart.documentVersion() == 1).isTrue();
 		assertThat(version(this.deployment.instances().get(0))).isEqualTo(1);
 		this.deployment.platform().faults(PlatformFaults.NONE);
 		Await.until("the replaced daemon has the version again", () -> version(replaced) == 1);
@@ -189,8 +189,8 @@
 
 	@Test
 	void requestsWithoutTheSecretAreRefusedAndAllFaultsAreListedTogether() {
-		OperatorTool stranger = new OperatorTool(this.folder.resolve("stranger"), operatorAddress(0), "wrong");
-		OperatorTool.Result refused = stranger.run("config", "show");
+		OperatorTool unauthorized = new OperatorTool(this.folder.resolve("stranger"), operatorAddress(0), "wrong");
+		OperatorTool.Result refused = unauthorized.run("config", "show");
 		assertThat(refused.exit()).isEqualTo(ErrorKind.UNAUTHORIZED.exitCode());
 		this.firstOperator.run("form", "limits", "divecal", "--lookup-share-percent", "100");
 		OperatorTool.Result faults = this.firstOperator.run("draft", "check");
@@ -204,9 +204,9 @@
 	void theTimeLineOfAllDaemonsShowsASubmissionBeforeItIsInForce() {
 		fillInMinimalDraft(this.firstOperator);
 		this.firstOperator.run("draft", "submit");
-		String line = this.firstOperator.run("timeline", "--count", "1000").out();
-		assertThat(line).contains("DOCUMENT_IN_FORCE");
-		assertThat(line.indexOf("DOCUMENT_ACCEPTED")).isLessThan(line.indexOf("DOCUMENT_IN_FORCE"));
+		String timeline = this.firstOperator.run("timeline", "--count", "1000").out();
+		assertThat(timeline).contains("DOCUMENT_IN_FORCE");
+		assertThat(timeline.indexOf("DOCUMENT_ACCEPTED")).isLessThan(timeline.indexOf("DOCUMENT_IN_FORCE"));
 		assertThat(this.firstOperator.run("timeline", "--kind", "402")
 			.out()
 			.lines()
--- a/integration/src/test/java/org/brasspier/integration/document/OperatorPortTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/OperatorPortTests.java
@@ -30,7 +30,7 @@
  */
 class OperatorPortTests {
 
-	private static final Pattern CALL = Pattern.compile("`?(GET|POST)? ?(/(?:v1|peer|metrics)[a-z0-9/-]*)");
+	private static final Pattern DOCUMENTED_CALL = Pattern.compile("`?(GET|POST)? ?(/(?:v1|peer|metrics)[a-z0-9/-]*)");
 
 	private static final String NO_SECRET = "";
 
@@ -98,8 +98,8 @@
 
 	private static List<MatchResult> documentedCalls() throws IOException {
 		String page = Files.readString(Path.of("..", "docs", "API.md"));
-		String part = page.substring(page.indexOf("## Towards operators"), page.indexOf("## Errors"));
-		return Stream.of(part).flatMap((text) -> CALL.matcher(text).results()).toList();
+		String section = page.substring(page.indexOf("## Towards operators"), page.indexOf("## Errors"));
+		return Stream.of(section).flatMap((text) -> DOCUMENTED_CALL.matcher(text).results()).toList();
 	}
 
 	private HttpResponse<String> call(String method, String path, String secret) throws IOException {
--- a/integration/src/test/java/org/brasspier/integration/document/OperatorTool.java
+++ b/integration/src/test/java/org/brasspier/integration/document/OperatorTool.java
@@ -45,11 +45,11 @@
 		Terminal terminal = new Terminal(new BufferedReader(new StringReader(input)),
 				new PrintStream(out, true, StandardCharsets.UTF_8), new PrintStream(err, true, StandardCharsets.UTF_8),
 				interactive);
-		List<String> all = new ArrayList<>(List.of("--draft", this.draft.toString()));
-		all.addAll(List.of(arguments));
+		List<String> allArguments = new ArrayList<>(List.of("--draft", this.draft.toString()));
+		allArguments.addAll(List.of(arguments));
 		int exit = new CommandLine(terminal,
 				Map.of("BRASSPIER_DAEMON", this.daemons, "BRASSPIER_OPERATOR_SECRET", this.secret))
-			.run(all.toArray(String[]::new));
+			.run(allArguments.toArray(String[]::new));
 		return new Result(exit, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
 	}
 
--- a/integration/src/test/java/org/brasspier/integration/document/OperatorsViewTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/OperatorsViewTests.java
@@ -66,13 +66,13 @@
 				.filter((record) -> !serverThatRan(record.request().id()).equals(entry.name()))
 				.findFirst()
 				.orElseThrow();
-			String line = this.tool.run("timeline", "--request", forwarded.request().id()).out();
-			int atEntry = line.indexOf("REQUEST_FORWARDED");
-			int atOwner = line.indexOf("REQUEST_HANDED_OVER");
-			assertWithMessage(line).that(atEntry).isAtLeast(0);
-			assertWithMessage(line).that(atOwner).isGreaterThan(atEntry);
-			assertWithMessage(line).that(line.lastIndexOf("REQUEST_ANSWERED")).isGreaterThan(atOwner);
-			assertThat(line).contains(serverThatRan(forwarded.request().id()));
+			String timeline = this.tool.run("timeline", "--request", forwarded.request().id()).out();
+			int atEntry = timeline.indexOf("REQUEST_FORWARDED");
+			int atOwner = timeline.indexOf("REQUEST_HANDED_OVER");
+			assertWithMessage(timeline).that(atEntry).isAtLeast(0);
+			assertWithMessage(timeline).that(atOwner).isGreaterThan(atEntry);
+			assertWithMessage(timeline).that(timeline.lastIndexOf("REQUEST_ANSWERED")).isGreaterThan(atOwner);
+			assertThat(timeline).contains(serverThatRan(forwarded.request().id()));
 		}
 	}
 
@@ -119,7 +119,7 @@
 		this.deployment.instances().forEach((instance) -> assertThat(status).contains(instance.name()));
 		assertThat(status).doesNotContain("no answer");
 		assertThat(status).contains("primary hullbook-");
-		assertThat(owner("hull-4711")).startsWith("hullbook-");
+		assertThat(ownerOf("hull-4711")).startsWith("hullbook-");
 	}
 
 	// Callers report slow lookups. The status shows at which instance requests wait, how
@@ -160,7 +160,7 @@
 			.anyMatch((line) -> line.matches("hullbook +[0-9]+ +0 +3"));
 	}
 
-	private String owner(String key) {
+	private String ownerOf(String key) {
 		String[] columns = this.tool.run("owner", "hullbook", key).out().lines().toList().getLast().split(" +");
 		return columns[3];
 	}
--- a/integration/src/test/java/org/brasspier/integration/document/PageCommandsTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/PageCommandsTests.java
@@ -27,9 +27,9 @@
  */
 class PageCommandsTests {
 
-	private static final String TOOL = "brasspier ";
+	private static final String COMMAND_PREFIX = "brasspier ";
 
-	private static final Pattern PROGRAM = Pattern.compile("\\bbin/([a-z-]+)");
+	private static final Pattern PROGRAM_NAME = Pattern.compile("\\bbin/([a-z-]+)");
 
 	@TempDir
 	private Path folder;
@@ -90,8 +90,8 @@
 	@Test
 	void theProgramsNamedInThePagesExist() throws IOException {
 		for (String page : List.of("README.md", "CONTRIBUTING.md", "docs/USER_GUIDE.md", "docs/OPERATING.md")) {
-			PROGRAM.matcher(Files.readString(Path.of("..", page))).results().forEach((found) -> {
-				Path program = Path.of("..", "bin", found.group(1));
+			PROGRAM_NAME.matcher(Files.readString(Path.of("..", page))).results().forEach((match) -> {
+				Path program = Path.of("..", "bin", match.group(1));
 				assertWithMessage("%s of %s", program, page).that(Files.isExecutable(program)).isTrue();
 			});
 		}
@@ -104,7 +104,7 @@
 	}
 
 	private String[] arguments(String command) {
-		return Arrays.stream(command.substring(TOOL.length()).split(" "))
+		return Arrays.stream(command.substring(COMMAND_PREFIX.length()).split(" "))
 			.map((word) -> (word.equals("RANGE")) ? rangeToMove() : word)
 			.toArray(String[]::new);
 	}
@@ -126,7 +126,7 @@
 			.skip(1)
 			.map((block) -> block.substring(0, block.indexOf("```")))
 			.flatMap(String::lines)
-			.filter((line) -> line.startsWith(TOOL));
+			.filter((line) -> line.startsWith(COMMAND_PREFIX));
 	}
 
 }
--- a/integration/src/test/java/org/brasspier/integration/document/SecretsRotationTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/SecretsRotationTests.java
@@ -67,8 +67,8 @@
 		try (CallerFleet callers = this.deployment.newCallers()) {
 			callers.setTraffic(List.of(TrafficStream.steady("hullbook", true, "lookup", 100)));
 			rotate("peers", (secrets, lines) -> secrets.sharedKeys(lines), this.oldKey, NEW_KEY);
-			long answered = answeredCount(callers);
-			Await.until("callers are answered after the rotation", () -> answeredCount(callers) > answered + 300);
+			long answeredBefore = answeredCount(callers);
+			Await.until("callers are answered after the rotation", () -> answeredCount(callers) > answeredBefore + 300);
 			callers.finish();
 			assertWithMessage("requests that failed")
 				.that(callers.records()
@@ -115,9 +115,9 @@
 	@Test
 	void noSecretShowsInAnyOutput() throws IOException {
 		StringBuilder output = new StringBuilder();
-		OperatorTool stranger = new OperatorTool(this.folder.resolve("other"), operatorAddress(),
+		OperatorTool unauthorized = new OperatorTool(this.folder.resolve("other"), operatorAddress(),
 				"a-stranger-s-secret");
-		for (OperatorTool tool : List.of(tool(), stranger)) {
+		for (OperatorTool tool : List.of(tool(), unauthorized)) {
 			for (List<String> command : List.of(List.of("status", "--ranges"), List.of("config", "show"),
 					List.of("timeline", "--count", "5000"), List.of("measures"), List.of("form", "secrets"),
 					List.of("move", "hullbook", "nonsense", "nobody"), List.of("--output", "json", "status"))) {
@@ -140,17 +140,17 @@
 	}
 
 	/** Adds the new secret everywhere, then removes the old one, one daemon at a time. */
-	private void rotate(String secretKind, BiConsumer<InstanceSecrets, String[]> write, String old,
+	private void rotate(String secretKind, BiConsumer<InstanceSecrets, String[]> write, String previous,
 			String replacement) {
 		if (secretKind.equals("platform")) {
-			this.deployment.platform().acceptTokens(old, replacement);
+			this.deployment.platform().acceptTokens(previous, replacement);
 		}
-		for (String[] lines : List.of(new String[] { old, replacement }, new String[] { replacement })) {
+		for (String[] lines : List.of(new String[] { previous, replacement }, new String[] { replacement })) {
 			for (StandInInstance instance : this.deployment.instances()) {
-				long before = secretsReadCount(instance, secretKind);
+				long readsBefore = secretsReadCount(instance, secretKind);
 				write.accept(instance.secrets(), lines);
 				Await.until(instance.name() + " has reread its file",
-						() -> secretsReadCount(instance, secretKind) > before);
+						() -> secretsReadCount(instance, secretKind) > readsBefore);
 			}
 		}
 	}
