--- a/integration/src/test/java/org/brasspier/integration/PausedHolderTests.java
+++ b/integration/src/test/java/org/brasspier/integration/PausedHolderTests.java
@@ -51,8 +51,8 @@
 	}
 
 	// An instance is paused with an order half done and then resumes. Meanwhile its
-	// ranges have moved. The fence keeps the order from taking effect or, where the
-	// server checks no fences, the deadline that the daemon set.
+	// ranges have moved. The fence keeps the order from taking effect; where the server
+	// checks no fences, the deadline that the daemon set does.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void aResumedInstanceCompletesNoUnfinishedOrder(boolean checksFences) {
