--- a/integration/src/test/java/org/brasspier/integration/InstanceLossTests.java
+++ b/integration/src/test/java/org/brasspier/integration/InstanceLossTests.java
@@ -6,53 +6,54 @@
 import org.brasspier.standins.StandInInstance;
 import org.junit.jupiter.api.Test;
 
-class InstanceLossTests extends AbstractSceneTests {
+class InstanceLossTests extends AbstractFaultTests {
 
-	// A crew asks for a record and its owner's machine dies. The managers hear no more
-	// heartbeats, let the lease run out and move the ranges. The crew's next tries are
-	// turned away for a moment, then another server answers.
+	// The instance that owns a key is killed. The managers receive no more heartbeats
+	// from it, let its lease expire and move its ranges. Callers are refused for a
+	// moment, then another server answers.
 	@Test
 	void theRangesOfALostInstanceAreServedByOthers() {
-		StandInInstance lost = scene.owner("a");
-		List<OwnedRange> ranges = scene.deployment().ownedBy(lost);
+		StandInInstance lost = testDeployment.owner("a");
+		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(lost);
 		lost.kill();
-		scene.awaitRecovered(ranges);
+		testDeployment.awaitRecovered(ranges);
 	}
 
-	// The backend server's process dies, its daemon is well and knows of it at once: the
-	// server's port refuses. The daemon gives the ranges up.
+	// The process of the backend server is killed while its daemon is healthy. The daemon
+	// detects this immediately, since the port of the server refuses connections, and
+	// releases the ranges.
 	@Test
 	void theRangesOfALostBackendServerAreServedByOthers() {
-		StandInInstance lost = scene.owner("a");
-		List<OwnedRange> ranges = scene.deployment().ownedBy(lost);
+		StandInInstance lost = testDeployment.owner("a");
+		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(lost);
 		lost.server().kill();
-		scene.awaitRecovered(ranges);
+		testDeployment.awaitRecovered(ranges);
 	}
 
-	// The daemon's process dies and its server lives on, with orders still running. The
-	// grants that the server holds run out with the lease, so what it finishes later has
-	// no effect, and others serve the ranges.
+	// The process of the daemon is killed and its server survives, with orders still
+	// running. The grants of the server expire with the lease, so orders that it
+	// completes later have no effect, and other instances serve the ranges.
 	@Test
 	void theRangesOfALostDaemonAreServedByOthersThoughItsServerLives() {
-		StandInInstance lost = scene.owner("a");
-		List<OwnedRange> ranges = scene.deployment().ownedBy(lost);
+		StandInInstance lost = testDeployment.owner("a");
+		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(lost);
 		lost.daemon().kill();
-		scene.awaitRecovered(ranges);
+		testDeployment.awaitRecovered(ranges);
 	}
 
-	// While the ranges of a lost instance are on their way to others, a second one is
-	// lost. The first recovery must not be undone nor the second forgotten.
+	// While the ranges of a lost instance are being moved to others, a second instance is
+	// lost. The first recovery must not be undone nor the second skipped.
 	@Test
-	void aSecondLossDuringARecoveryLosesNothing() {
-		StandInInstance first = scene.owner("a");
-		StandInInstance second = scene.otherThan(first);
-		List<OwnedRange> ranges = scene.deployment().ownedBy(first);
+	void aSecondLossDuringARecoveryLosesNoRange() {
+		StandInInstance first = testDeployment.owner("a");
+		StandInInstance second = testDeployment.instanceOtherThan(first);
+		List<OwnedRange> ranges = testDeployment.deployment().ownedBy(first);
 		first.kill();
-		scene.awaitRecovered(ranges.subList(0, 1));
-		List<OwnedRange> more = scene.deployment().ownedBy(second);
+		testDeployment.awaitRecovered(ranges.subList(0, 1));
+		List<OwnedRange> rangesOfSecond = testDeployment.deployment().ownedBy(second);
 		second.kill();
 		first.start();
-		scene.awaitRecovered(more);
+		testDeployment.awaitRecovered(rangesOfSecond);
 	}
 
 }
--- a/integration/src/test/java/org/brasspier/integration/PausedHolderTests.java
+++ b/integration/src/test/java/org/brasspier/integration/PausedHolderTests.java
@@ -14,74 +14,79 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Each test once with servers that check fences and once with servers that don't.
+ * Tests of owners that are paused until their lease expires. Each test runs once with
+ * servers that check fences and once with servers that do not.
  */
 class PausedHolderTests {
 
-	private Scene scene;
+	private TestDeployment testDeployment;
 
 	@AfterEach
-	void judge() {
-		this.scene.assertPromisesKept();
-		this.scene.close();
+	void verify() {
+		this.testDeployment.assertNoViolations();
+		this.testDeployment.close();
 	}
 
-	private StandInInstance holder(boolean checksFences) {
-		this.scene = Scene.start(new ServiceShape(Scene.KEYED, true, 3, 8, 60, checksFences));
-		this.scene.traffic();
-		this.scene.awaitAnswers();
-		return this.scene.owner("a");
+	private StandInInstance startAndFindOwner(boolean checksFences) {
+		this.testDeployment = TestDeployment
+			.start(new ServiceShape(TestDeployment.SHARDED_SERVICE, true, 3, 8, 60, checksFences));
+		this.testDeployment.startTraffic();
+		this.testDeployment.awaitMoreAnswers();
+		return this.testDeployment.owner("a");
 	}
 
-	// A daemon is paused with requests in hand. Its lease runs out unknown to it, others
-	// own its ranges. When it wakes it must not hand over or answer anything under the
-	// old fence: the crew would see a record that is no longer the true one.
+	// A daemon is paused while it handles requests. Its lease expires without its
+	// knowledge and other instances own its ranges. When it resumes, it must not hand
+	// over a request or answer one under the old fence: the caller would read a record
+	// that is out of date.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void aDaemonPausedPastItsLeaseDoesNothingUnderTheOldFence(boolean checksFences) {
-		StandInInstance holder = holder(checksFences);
-		List<OwnedRange> ranges = this.scene.deployment().ownedBy(holder);
-		holder.daemon().pause();
-		this.scene.awaitRecovered(ranges);
-		holder.daemon().resume();
-		this.scene.awaitAnswers();
+		StandInInstance owner = startAndFindOwner(checksFences);
+		List<OwnedRange> ranges = this.testDeployment.deployment().ownedBy(owner);
+		owner.daemon().pause();
+		this.testDeployment.awaitRecovered(ranges);
+		owner.daemon().resume();
+		this.testDeployment.awaitMoreAnswers();
 	}
 
-	// A server freezes with an order half done and comes back as if nothing had happened.
-	// Meanwhile its ranges have moved. Its fence, or where it checks none the deadline
-	// that the daemon set, keeps the order from taking effect.
+	// An instance is paused with an order half done and then resumes. Meanwhile its
+	// ranges have moved. The fence keeps the order from taking effect; where the server
+	// checks no fences, the deadline that the daemon set does.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void aFrozenServerThatComesBackFinishesNothing(boolean checksFences) {
-		StandInInstance holder = holder(checksFences);
-		List<OwnedRange> ranges = this.scene.deployment().ownedBy(holder);
-		CompletableFuture<CallerRecord> half = this.scene
-			.begin(StandInRequest.posting(Scene.KEYED, "a", "half-" + checksFences).withPath("/post?work=400"));
-		this.scene.awaitAnswers();
-		holder.pause();
-		this.scene.awaitRecovered(ranges);
-		holder.resume();
-		half.join();
-		this.scene.awaitAnswers();
+	void aResumedInstanceCompletesNoUnfinishedOrder(boolean checksFences) {
+		StandInInstance owner = startAndFindOwner(checksFences);
+		List<OwnedRange> ranges = this.testDeployment.deployment().ownedBy(owner);
+		CompletableFuture<CallerRecord> unfinished = this.testDeployment
+			.callAsync(StandInRequest.posting(TestDeployment.SHARDED_SERVICE, "a", "half-" + checksFences)
+				.withPath("/post?work=400"));
+		this.testDeployment.awaitMoreAnswers();
+		owner.pause();
+		this.testDeployment.awaitRecovered(ranges);
+		owner.resume();
+		unfinished.join();
+		this.testDeployment.awaitMoreAnswers();
 	}
 
-	// Only the server freezes, and its daemon is well: it finds the server silent, gives
-	// the ranges up, and others serve them. The server wakes with an order half done that
-	// nobody waits for any more.
+	// Only the server is paused and its daemon is healthy. The daemon gets no answer from
+	// the server and releases the ranges, and other instances serve them. The server
+	// resumes with an order half done whose result no caller awaits any more.
 	@Tag("known-red")
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void aServerThatFreezesBesideAWellDaemonFinishesNothing(boolean checksFences) {
-		StandInInstance holder = holder(checksFences);
-		List<OwnedRange> ranges = this.scene.deployment().ownedBy(holder);
-		CompletableFuture<CallerRecord> half = this.scene
-			.begin(StandInRequest.posting(Scene.KEYED, "a", "frozen-" + checksFences).withPath("/post?work=400"));
-		this.scene.awaitAnswers();
-		holder.server().pause();
-		this.scene.awaitRecovered(ranges);
-		holder.server().resume();
-		half.join();
-		this.scene.awaitAnswers();
+	void aFrozenServerBesideAHealthyDaemonCompletesNoUnfinishedOrder(boolean checksFences) {
+		StandInInstance owner = startAndFindOwner(checksFences);
+		List<OwnedRange> ranges = this.testDeployment.deployment().ownedBy(owner);
+		CompletableFuture<CallerRecord> unfinished = this.testDeployment
+			.callAsync(StandInRequest.posting(TestDeployment.SHARDED_SERVICE, "a", "frozen-" + checksFences)
+				.withPath("/post?work=400"));
+		this.testDeployment.awaitMoreAnswers();
+		owner.server().pause();
+		this.testDeployment.awaitRecovered(ranges);
+		owner.server().resume();
+		unfinished.join();
+		this.testDeployment.awaitMoreAnswers();
 	}
 
 }
--- a/integration/src/test/java/org/brasspier/integration/RawPeer.java
+++ b/integration/src/test/java/org/brasspier/integration/RawPeer.java
@@ -6,25 +6,25 @@
 import java.net.SocketTimeoutException;
 
 /**
- * Sends bytes to a port for daemons.
+ * Sends bytes to a port on which a daemon accepts other daemons.
  */
 final class RawPeer {
 
-	private static final int WAIT_MILLIS = 10_000;
+	private static final int READ_TIMEOUT_MILLIS = 10_000;
 
 	private RawPeer() {
 	}
 
-	/** Tells whether the other side closed the connection within ten seconds. */
-	static boolean send(InetSocketAddress address, byte[] bytes) throws IOException {
+	/** Returns whether the other side closed the connection within ten seconds. */
+	static boolean sendAndAwaitClose(InetSocketAddress address, byte[] bytes) throws IOException {
 		try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-			socket.setSoTimeout(WAIT_MILLIS);
+			socket.setSoTimeout(READ_TIMEOUT_MILLIS);
 			socket.getOutputStream().write(bytes);
-			return drained(socket);
+			return awaitClose(socket);
 		}
 	}
 
-	private static boolean drained(Socket socket) {
+	private static boolean awaitClose(Socket socket) {
 		try {
 			while (socket.getInputStream().read() >= 0) {
 				continue;
--- a/integration/src/test/java/org/brasspier/integration/RequestPathFaultTests.java
+++ b/integration/src/test/java/org/brasspier/integration/RequestPathFaultTests.java
@@ -23,8 +23,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Silent connections, late answers, a request that crashes servers, and planned stops, as
- * callers see them.
+ * Tests of the request path, from the view of callers, with silent connections, late
+ * answers, a request that crashes servers, and planned stops.
  */
 class RequestPathFaultTests {
 
@@ -46,24 +46,24 @@
 	@Tag("known-red")
 	@Test
 	void aLookupIsAnsweredThoughConnectionsBetweenDaemonsWentSilent() throws Exception {
-		// Something between the daemons loses track of all open connections: they stay
-		// open and carry nothing. New ones work. Each crew still gets its record within
-		// its deadline.
-		answeredThoughSilent(":forward", "f");
+		// A network device between the daemons drops the state of all open connections:
+		// they stay open and carry no data, while new ones work. Each caller must still
+		// get its record within its deadline.
+		assertAnsweredAfterSilence(":forward", "f");
 	}
 
 	@Tag("known-red")
 	@Test
 	void aLookupIsAnsweredThoughConnectionsToServersWentSilent() throws Exception {
-		// The same between the daemons and their backend servers.
-		answeredThoughSilent(">server", "b");
+		// The same fault between the daemons and their backend servers.
+		assertAnsweredAfterSilence(">server", "b");
 	}
 
-	private static void answeredThoughSilent(String links, String prefix) throws Exception {
-		PathCaller caller = new PathCaller(SERVICE);
+	private static void assertAnsweredAfterSilence(String linkSuffix, String prefix) throws Exception {
+		SingleAttemptCaller caller = new SingleAttemptCaller(SERVICE);
 		for (StandInInstance entry : deployment.instances()) {
 			caller.get(entry, "/x", "warm", "warm-" + prefix + entry.name(), 1000);
-			deployment.proxy().links((name) -> name.endsWith(links)).forEach(FaultLink::silenceOpenConnections);
+			deployment.proxy().links((name) -> name.endsWith(linkSuffix)).forEach(FaultLink::silenceOpenConnections);
 			for (int i = 0; i < 8; i++) {
 				String id = prefix + entry.name() + i;
 				assertThat(caller.get(entry, "/x", "silent-" + i, id, 1000).body()).contains(id);
@@ -72,20 +72,21 @@
 	}
 
 	@Test
-	void lateAnswersReachNobodyElse() throws Exception {
-		// The links between daemons hold everything back for a while. Callers give up and
-		// ask for other things. When the links go on, the old answers come late.
+	void lateAnswersReachOnlyTheirOwnCallers() throws Exception {
+		// One daemon's links to the others hold all data back for a while. Callers give
+		// up and send other requests. When the links recover, the old answers arrive
+		// late.
 		deployment.awaitServed();
 		try (CallerFleet fleet = new CallerFleet(deployment.callerAddresses())) {
-			List<CompletableFuture<CallerRecord>> asked = new ArrayList<>(ask(fleet, "late", 100));
-			StandInInstance slow = deployment.instances().getLast();
-			deployment.setPeerLinks(slow, LinkState.HELD_BACK);
-			asked.addAll(ask(fleet, "held", 200));
-			Await.until("some gave up", () -> asked.stream().filter(CompletableFuture::isDone).count() > 100);
-			deployment.setPeerLinks(slow, LinkState.HEALTHY);
-			asked.addAll(ask(fleet, "after", 200));
-			List<CallerRecord> done = asked.stream().map(CompletableFuture::join).toList();
-			assertThat(done.stream()
+			List<CompletableFuture<CallerRecord>> pending = new ArrayList<>(startLookups(fleet, "late", 100));
+			StandInInstance delayed = deployment.instances().getLast();
+			deployment.setPeerLinks(delayed, LinkState.HELD_BACK);
+			pending.addAll(startLookups(fleet, "held", 200));
+			Await.until("some callers gave up", () -> pending.stream().filter(CompletableFuture::isDone).count() > 100);
+			deployment.setPeerLinks(delayed, LinkState.HEALTHY);
+			pending.addAll(startLookups(fleet, "after", 200));
+			List<CallerRecord> records = pending.stream().map(CompletableFuture::join).toList();
+			assertThat(records.stream()
 				.flatMap((record) -> record.attempts().stream())
 				.filter((attempt) -> attempt.answered() && !attempt.matchesRequest())
 				.toList()).isEmpty();
@@ -93,28 +94,29 @@
 		deployment.awaitServed();
 	}
 
-	private static List<CompletableFuture<CallerRecord>> ask(CallerFleet fleet, String key, int count) {
-		List<CompletableFuture<CallerRecord>> asked = new ArrayList<>();
+	private static List<CompletableFuture<CallerRecord>> startLookups(CallerFleet fleet, String key, int count) {
+		List<CompletableFuture<CallerRecord>> pending = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
-			asked.add(fleet.call(StandInRequest.lookup(SERVICE, key + i, fleet.newId()).withWaitMillis(1500)));
+			pending.add(fleet.call(StandInRequest.lookup(SERVICE, key + i, fleet.newId()).withWaitMillis(1500)));
 		}
-		return asked;
+		return pending;
 	}
 
 	@Test
-	void aRequestThatCrashesServersIsKeptAwayAfterTwo() throws Exception {
-		// One lookup ends each backend server that runs it, and its caller sends it again
-		// and again to any daemon. Two servers may fall; then it is refused by name, and
-		// the key's other requests go on.
-		PathCaller caller = new PathCaller(SERVICE);
+	void aRequestThatCrashesServersIsRefusedAfterTwoCrashes() throws Exception {
+		// One lookup crashes each backend server that runs it, and its caller sends it
+		// repeatedly, to any daemon. At most two servers may crash; then the request is
+		// refused with an error kind of its own, and other requests for the key are
+		// served.
+		SingleAttemptCaller caller = new SingleAttemptCaller(SERVICE);
 		List<StandInInstance> daemons = deployment.instances();
-		String last = "";
-		for (int i = 0; i < 40 && !last.equals("CRASHED_BACKENDS"); i++) {
+		String lastError = "";
+		for (int i = 0; i < 40 && !lastError.equals("CRASHED_BACKENDS"); i++) {
 			HttpResponse<String> answer = caller.get(daemons.get(i % daemons.size()), "/crash", "hull-c", "killer",
 					2000);
-			last = PathCaller.field(answer, "Brasspier-Error");
+			lastError = SingleAttemptCaller.header(answer, "Brasspier-Error");
 		}
-		assertThat(last).isEqualTo("CRASHED_BACKENDS");
+		assertThat(lastError).isEqualTo("CRASHED_BACKENDS");
 		long began = deployment.serverRecords()
 			.stream()
 			.filter((record) -> record.id().equals("killer") && record.kind() == ServerRecord.Kind.BEGAN)
@@ -130,23 +132,23 @@
 
 	@Test
 	void aPlannedStopUnderLoadFailsNoRequest() throws Exception {
-		// An instance is stopped for replacement while crews keep looking up and booking.
-		// Its server drains, its ranges go, and nobody notices.
+		// An instance is stopped for replacement while callers send lookups. Its server
+		// drains and its ranges move to other instances, without a failed request.
 		deployment.awaitServed();
 		StandInInstance leaving = deployment.instances().get(1);
 		try (CallerFleet fleet = new CallerFleet(deployment.callerAddresses())) {
-			List<CompletableFuture<CallerRecord>> asked = new ArrayList<>();
+			List<CompletableFuture<CallerRecord>> pending = new ArrayList<>();
 			Thread stopping = Thread.ofPlatform().daemon().start(leaving::stop);
 			while (stopping.isAlive()) {
-				asked.addAll(ask(fleet, "stop", 5));
+				pending.addAll(startLookups(fleet, "stop", 5));
 				Thread.sleep(10);
 			}
 			stopping.join();
-			List<CallerRecord> failed = asked.stream()
+			List<CallerRecord> failed = pending.stream()
 				.map(CompletableFuture::join)
 				.filter((record) -> record.outcome() != CallerRecord.Outcome.ANSWERED)
 				.toList();
-			assertThat(asked).isNotEmpty();
+			assertThat(pending).isNotEmpty();
 			assertThat(failed).isEmpty();
 		}
 		finally {
--- a/integration/src/test/java/org/brasspier/integration/Scene.java
+++ b/integration/src/test/java/org/brasspier/integration/TestDeployment.java
@@ -21,35 +21,35 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * A small deployment under light traffic, for one test class.
+ * A small deployment with light traffic, shared by the tests of one class.
  */
-final class Scene implements AutoCloseable {
+final class TestDeployment implements AutoCloseable {
 
-	static final String KEYED = "hullbook";
+	static final String SHARDED_SERVICE = "hullbook";
 
-	static final String UNKEYED = "jobdesk";
+	static final String UNSHARDED_SERVICE = "jobdesk";
 
 	private final Deployment deployment;
 
 	private final CallerFleet callers;
 
-	private Scene(Deployment deployment) {
+	private TestDeployment(Deployment deployment) {
 		this.deployment = deployment;
 		this.callers = deployment.newCallers();
 	}
 
-	static Scene start(ServiceShape... services) {
-		return of(DeploymentShape.small(services));
+	static TestDeployment start(ServiceShape... services) {
+		return start(DeploymentShape.small(services));
 	}
 
-	static Scene of(DeploymentShape shape) {
-		Scene scene = new Scene(Deployment.start(shape));
-		scene.deployment.awaitServed();
-		return scene;
+	static TestDeployment start(DeploymentShape shape) {
+		TestDeployment testDeployment = new TestDeployment(Deployment.start(shape));
+		testDeployment.deployment.awaitServed();
+		return testDeployment;
 	}
 
-	static Scene keyed(int servers) {
-		return start(new ServiceShape(KEYED, true, servers, 8, 60, true));
+	static TestDeployment shardedByKey(int servers) {
+		return start(new ServiceShape(SHARDED_SERVICE, true, servers, 8, 60, true));
 	}
 
 	Deployment deployment() {
@@ -60,8 +60,8 @@
 		return this.callers;
 	}
 
-	/** Lookups and postings for each service, until the test ends. */
-	void traffic() {
+	/** Sends lookups and postings to each service until the test ends. */
+	void startTraffic() {
 		this.callers.setTraffic(this.deployment.shape()
 			.services()
 			.stream()
@@ -72,60 +72,60 @@
 			.toList());
 	}
 
-	/** Waits until callers have been answered some hundred times more. */
-	void awaitAnswers() {
-		long enough = answered() + 200;
-		Await.until("200 more requests are answered", () -> answered() > enough);
+	/** Waits until 200 more requests have been answered. */
+	void awaitMoreAnswers() {
+		long targetCount = answeredCount() + 200;
+		Await.until("200 more requests are answered", () -> answeredCount() > targetCount);
 	}
 
 	/**
-	 * Waits until each instance owns something: one that was lost in an earlier test owns
-	 * nothing until its share comes back.
+	 * Waits until each instance owns a range. An instance that was lost in an earlier
+	 * test owns nothing until ranges are moved back to it.
 	 */
-	void awaitAllOwn() {
-		Await.until("each instance owns something",
+	void awaitAllInstancesOwnRanges() {
+		Await.until("each instance owns a range",
 				() -> this.deployment.instances()
 					.stream()
 					.noneMatch((instance) -> this.deployment.ownedBy(instance).isEmpty()));
 	}
 
-	long answered() {
+	long answeredCount() {
 		return this.callers.records()
 			.stream()
-			.filter((done) -> done.outcome() == CallerRecord.Outcome.ANSWERED)
+			.filter((record) -> record.outcome() == CallerRecord.Outcome.ANSWERED)
 			.count();
 	}
 
 	StandInInstance owner(String key) {
-		return this.deployment.owner(KEYED, key).orElseThrow();
+		return this.deployment.owner(SHARDED_SERVICE, key).orElseThrow();
 	}
 
-	StandInInstance otherThan(StandInInstance... taken) {
+	StandInInstance instanceOtherThan(StandInInstance... excluded) {
 		return this.deployment.instances()
 			.stream()
-			.filter((instance) -> !List.of(taken).contains(instance))
+			.filter((instance) -> !List.of(excluded).contains(instance))
 			.findFirst()
 			.orElseThrow();
 	}
 
-	CallerRecord ask(StandInRequest request) {
+	CallerRecord call(StandInRequest request) {
 		return this.callers.call(request).join();
 	}
 
-	CompletableFuture<CallerRecord> begin(StandInRequest request) {
+	CompletableFuture<CallerRecord> callAsync(StandInRequest request) {
 		return this.callers.call(request);
 	}
 
-	/** Waits until callers get answers for each range that an instance owned. */
+	/** Waits until callers get answers for each of the given ranges. */
 	void awaitRecovered(List<OwnedRange> ranges) {
-		assertWithMessage("ranges of the lost owner").that(ranges).isNotEmpty();
+		assertWithMessage("ranges that the lost instance owned").that(ranges).isNotEmpty();
 		try (RecoveryProbe probe = new RecoveryProbe(this.callers, ranges, this.deployment.shardedServices())) {
 			probe.await();
 		}
 	}
 
-	/** Mends all faults, ends the traffic, and judges the histories. */
-	void assertPromisesKept() {
+	/** Removes all faults, ends the traffic and checks the recorded histories. */
+	void assertNoViolations() {
 		new FaultInjector(this.deployment).clearFaults();
 		this.deployment.awaitServed();
 		this.callers.finish();
@@ -134,7 +134,7 @@
 		if (!violations.isEmpty()) {
 			System.err.println("histories and logs are kept in " + this.deployment.keepFiles());
 		}
-		assertWithMessage("broken promises").that(violations).isEmpty();
+		assertWithMessage("violated invariants").that(violations).isEmpty();
 	}
 
 	@Override
--- a/integration/src/test/java/org/brasspier/integration/document/DocumentDistributionTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/DocumentDistributionTests.java
@@ -26,8 +26,9 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * An accepted document is in force on every daemon and never reverts; real daemons, the
- * platform's stand-in, and operators with the command line tool.
+ * Tests that an accepted document is in force on every daemon and never reverts, with
+ * real daemons, the stand-in of the platform, and operators who use the command line
+ * tool.
  */
 class DocumentDistributionTests {
 
@@ -36,155 +37,163 @@
 
 	private final Deployment deployment = Deployment.prepare(DeploymentShape.small(3));
 
-	private OperatorTool lena;
+	private OperatorTool firstOperator;
 
-	private OperatorTool budi;
+	private OperatorTool secondOperator;
 
 	@BeforeEach
 	void startDaemons() {
 		this.deployment.instances().forEach((instance) -> instance.daemon().start());
 		String daemons = this.deployment.instances()
 			.stream()
-			.map(DocumentDistributionTests::operators)
+			.map(DocumentDistributionTests::operatorAddress)
 			.collect(Collectors.joining(","));
-		this.lena = tool("lena", daemons);
-		this.budi = tool("budi", daemons);
+		this.firstOperator = tool("lena", daemons);
+		this.secondOperator = tool("budi", daemons);
 		Await.until("all daemons know that there is no document yet",
-				() -> this.deployment.instances().stream().allMatch((instance) -> read(instance)));
+				() -> this.deployment.instances().stream().allMatch((instance) -> hasReadDocument(instance)));
 	}
 
 	@AfterEach
-	void endDaemons() {
+	void stopDaemons() {
 		this.deployment.close();
 	}
 
 	@Test
 	void aSubmissionIsInForceOnEveryDaemon() {
-		fillIn(this.lena);
-		OperatorTool.Result result = this.lena.run("draft", "submit");
+		fillInMinimalDraft(this.firstOperator);
+		OperatorTool.Result result = this.firstOperator.run("draft", "submit");
 		assertWithMessage(result.err()).that(result.exit()).isEqualTo(0);
 		assertThat(result.out()).contains("version 1 is in force on all 3 daemons");
 		assertThat(versions()).containsExactly(1L, 1L, 1L);
-		assertThat(this.lena.run("config", "history").out()).contains("VERSION");
-		assertThat(this.lena.run("config", "diff").out()).contains("service/hullbook/divided-by-key: (none) -> yes");
+		assertThat(this.firstOperator.run("config", "history").out()).contains("VERSION");
+		assertThat(this.firstOperator.run("config", "diff").out())
+			.contains("service/hullbook/divided-by-key: (none) -> yes");
 	}
 
-	// Two operators begin from version 1 and press submit at the same moment, each at
-	// another daemon. One of them must win; the other must see what the winner changed,
-	// and can move the draft onto it.
+	// Two operators start from version 1 and submit at the same time, each to another
+	// daemon. One submission must be accepted; the other operator must see what it
+	// changed and can rebase the draft onto it.
 	@Test
-	void ofTwoOperatorsWhoSubmitAtOnceOneWinsAndTheOtherSeesWhatChanged() {
-		fillIn(this.lena);
-		this.lena.run("draft", "submit");
-		this.lena.run("form", "weights", "--churn", "2");
-		this.budi.run("form", "weights", "--imbalance", "3");
-		CompletableFuture<OperatorTool.Result> one = CompletableFuture
-			.supplyAsync(() -> this.lena.run("--daemon", address(0), "draft", "submit", "--no-wait"));
-		CompletableFuture<OperatorTool.Result> other = CompletableFuture
-			.supplyAsync(() -> this.budi.run("--daemon", address(1), "draft", "submit", "--no-wait"));
-		List<OperatorTool.Result> results = List.of(one.join(), other.join());
+	void ofTwoConcurrentSubmissionsOneIsAcceptedAndTheOtherSeesWhatChanged() {
+		fillInMinimalDraft(this.firstOperator);
+		this.firstOperator.run("draft", "submit");
+		this.firstOperator.run("form", "weights", "--churn", "2");
+		this.secondOperator.run("form", "weights", "--imbalance", "3");
+		CompletableFuture<OperatorTool.Result> firstResult = CompletableFuture
+			.supplyAsync(() -> this.firstOperator.run("--daemon", operatorAddress(0), "draft", "submit", "--no-wait"));
+		CompletableFuture<OperatorTool.Result> secondResult = CompletableFuture
+			.supplyAsync(() -> this.secondOperator.run("--daemon", operatorAddress(1), "draft", "submit", "--no-wait"));
+		List<OperatorTool.Result> results = List.of(firstResult.join(), secondResult.join());
 		assertThat(results.stream().map(OperatorTool.Result::exit)).containsExactly(0,
 				ErrorKind.DOCUMENT_CONFLICT.exitCode());
-		OperatorTool loser = (one.join().exit() == 0) ? this.budi : this.lena;
-		String said = (one.join().exit() == 0) ? other.join().err() : one.join().err();
-		assertThat(said)
-			.contains((one.join().exit() == 0) ? "weights/churn: (none) -> 2" : "weights/imbalance: (none) -> 3");
+		OperatorTool loser = (firstResult.join().exit() == 0) ? this.secondOperator : this.firstOperator;
+		String loserMessage = (firstResult.join().exit() == 0) ? secondResult.join().err() : firstResult.join().err();
+		assertThat(loserMessage).contains(
+				(firstResult.join().exit() == 0) ? "weights/churn: (none) -> 2" : "weights/imbalance: (none) -> 3");
 		assertThat(loser.run("draft", "rebase").exit()).isEqualTo(0);
 		assertThat(loser.run("draft", "submit").exit()).isEqualTo(0);
 		assertThat(loser.run("config", "show").out()).contains("weights/churn");
 		assertThat(loser.run("config", "show").out()).contains("weights/imbalance");
 	}
 
-	// Both operators change the same field from version 1, Lena first. Budi, at a
-	// terminal, is shown what she changed, lets his draft be moved onto it, is told that
-	// the field was changed twice, and submits again; her other change stays.
+	// Both operators change the same field from version 1, the first operator before the
+	// second. The
+	// second, at a terminal, is shown the other change, confirms the rebase of the draft,
+	// is told that both changed the field, and submits again. The other change of the
+	// first operator is kept.
 	@Test
 	void atATerminalAConflictIsShownAndTheDraftMovedOnRequest() {
-		fillIn(this.lena);
-		this.lena.run("draft", "submit");
-		this.lena.run("form", "weights", "--churn", "2", "--imbalance", "3");
-		this.budi.run("form", "weights", "--churn", "4");
-		assertThat(this.lena.run("draft", "submit").exit()).isEqualTo(0);
-		OperatorTool.Result conflict = this.budi.typing("yes\n", "draft", "submit");
+		fillInMinimalDraft(this.firstOperator);
+		this.firstOperator.run("draft", "submit");
+		this.firstOperator.run("form", "weights", "--churn", "2", "--imbalance", "3");
+		this.secondOperator.run("form", "weights", "--churn", "4");
+		assertThat(this.firstOperator.run("draft", "submit").exit()).isEqualTo(0);
+		OperatorTool.Result conflict = this.secondOperator.runInteractively("yes\n", "draft", "submit");
 		assertThat(conflict.exit()).isEqualTo(ErrorKind.DOCUMENT_CONFLICT.exitCode());
 		assertThat(conflict.err()).contains("weights/imbalance: (none) -> 3");
 		assertThat(conflict.err()).contains("the draft is on version 2 now, with 1 changes");
 		assertThat(conflict.err()).contains("both changed weights/churn");
-		assertThat(this.budi.run("draft", "submit").exit()).isEqualTo(0);
-		String inForce = this.lena.run("config", "show").out();
+		assertThat(this.secondOperator.run("draft", "submit").exit()).isEqualTo(0);
+		String inForce = this.firstOperator.run("config", "show").out();
 		assertThat(inForce).containsMatch("weights/churn +4\n");
 		assertThat(inForce).containsMatch("weights/imbalance +3\n");
 	}
 
-	// Somebody asks whether the change is everywhere. While one daemon is down, the
-	// status must say so rather than leave it out.
+	// An operator checks whether a change is in force everywhere. While one daemon is
+	// down, the status must list it as not answering rather than omit it.
 	@Test
-	void theStatusShowsTheVersionOnEachDaemonAndWhichOneIsSilent() {
-		fillIn(this.lena);
-		this.lena.run("draft", "submit");
-		Await.until("the status lists all three", () -> statusLines("hullbook-[0-2] +1") == 3);
+	void theStatusShowsTheVersionOnEachDaemonAndWhichOneDoesNotAnswer() {
+		fillInMinimalDraft(this.firstOperator);
+		this.firstOperator.run("draft", "submit");
+		Await.until("the status lists all three daemons", () -> statusLines("hullbook-[0-2] +1") == 3);
 		this.deployment.instances().get(2).daemon().kill();
-		Await.until("two have the version, one is silent",
+		Await.until("two daemons report the version and one does not answer",
 				() -> statusLines("hullbook-[0-2] +1") == 2 && statusLines("\\(no answer\\) +\\?") == 1);
 	}
 
 	private long statusLines(String pattern) {
-		return this.lena.run("config", "status").out().lines().filter((line) -> line.matches(".* " + pattern)).count();
+		return this.firstOperator.run("config", "status")
+			.out()
+			.lines()
+			.filter((line) -> line.matches(".* " + pattern))
+			.count();
 	}
 
-	// An operator watches the time line while another one submits.
+	// An operator follows the time line while another one submits.
 	@Test
 	void theTimeLineIsFollowedLive() {
-		fillIn(this.lena);
-		CompletableFuture<OperatorTool.Result> watching = CompletableFuture
-			.supplyAsync(() -> this.budi.run("timeline", "--follow", "--for-seconds", "8", "--kind", "402"));
-		assertThat(this.lena.run("draft", "submit").exit()).isEqualTo(0);
-		String seen = watching.join().out();
-		assertThat(seen.lines().filter((line) -> line.contains("DOCUMENT_IN_FORCE"))).hasSize(3);
+		fillInMinimalDraft(this.firstOperator);
+		CompletableFuture<OperatorTool.Result> following = CompletableFuture
+			.supplyAsync(() -> this.secondOperator.run("timeline", "--follow", "--for-seconds", "8", "--kind", "402"));
+		assertThat(this.firstOperator.run("draft", "submit").exit()).isEqualTo(0);
+		String output = following.join().out();
+		assertThat(output.lines().filter((line) -> line.contains("DOCUMENT_IN_FORCE"))).hasSize(3);
 	}
 
 	// The table takes the write of the pointer, and its answer is lost. The operator must
-	// be told that the submission was accepted, and it must be in force once.
+	// be told that the submission was accepted, and it must be in force exactly once.
 	@Test
-	void aSubmissionWhoseAnswerWasLostIsSettledBeforeTheOperatorIsTold() {
-		fillIn(this.lena);
+	void aSubmissionWhoseAnswerWasLostIsResolvedBeforeTheOperatorIsAnswered() {
+		fillInMinimalDraft(this.firstOperator);
 		this.deployment.platform().faults(PlatformFaults.losingAnswers(10_000));
-		OperatorTool.Result result = this.lena.run("draft", "submit");
+		OperatorTool.Result result = this.firstOperator.run("draft", "submit");
 		assertWithMessage(result.err()).that(result.exit()).isEqualTo(0);
-		assertThat(this.lena.run("timeline", "--kind", "DOCUMENT_UNSETTLED").out()).contains("403");
+		assertThat(this.firstOperator.run("timeline", "--kind", "DOCUMENT_UNSETTLED").out()).contains("403");
 		assertThat(versions()).containsExactly(1L, 1L, 1L);
 	}
 
-	// The store goes down. Nobody can submit; the version in force stays. A daemon is
-	// replaced meanwhile: it must not serve by usual limits what the document in force
-	// says otherwise about, and has the version again once anybody can tell it.
+	// The store goes down. No submission is accepted, and the version in force stays. A
+	// daemon that is replaced meanwhile must not serve by default limits where the
+	// document in force sets others, and has the version again once the store or another
+	// daemon can report it.
 	@Test
 	void neitherAnOutageNorARestartRevertsTheVersionInForce() {
-		fillIn(this.lena);
-		this.lena.run("draft", "submit");
+		fillInMinimalDraft(this.firstOperator);
+		this.firstOperator.run("draft", "submit");
 		this.deployment.platform().faults(PlatformFaults.OUTAGE);
-		this.lena.run("form", "weights", "--churn", "2");
-		assertThat(this.lena.run("draft", "submit").exit()).isEqualTo(ErrorKind.STORE_UNAVAILABLE.exitCode());
+		this.firstOperator.run("form", "weights", "--churn", "2");
+		assertThat(this.firstOperator.run("draft", "submit").exit()).isEqualTo(ErrorKind.STORE_UNAVAILABLE.exitCode());
 		StandInInstance replaced = this.deployment.instances().get(2);
 		replaced.daemon().kill();
 		replaced.daemon().start();
 		Await.until("the replaced daemon answers", () -> status(replaced).isRight());
-		StatusAnswer early = status(replaced).get();
-		assertThat(!early.documentRead() || early.documentVersion() == 1).isTrue();
+		StatusAnswer statusAfterRestart = status(replaced).get();
+		assertThat(!statusAfterRestart.documentRead() || statusAfterRestart.documentVersion() == 1).isTrue();
 		assertThat(version(this.deployment.instances().get(0))).isEqualTo(1);
 		this.deployment.platform().faults(PlatformFaults.NONE);
 		Await.until("the replaced daemon has the version again", () -> version(replaced) == 1);
-		assertThat(this.lena.run("draft", "submit").exit()).isEqualTo(0);
+		assertThat(this.firstOperator.run("draft", "submit").exit()).isEqualTo(0);
 		assertThat(versions()).containsExactly(2L, 2L, 2L);
 	}
 
 	@Test
-	void withoutTheSecretNothingIsToldAndAllFaultsAreListedAtOnce() {
-		OperatorTool stranger = new OperatorTool(this.folder.resolve("stranger"), address(0), "wrong");
-		OperatorTool.Result refused = stranger.run("config", "show");
+	void requestsWithoutTheSecretAreRefusedAndAllFaultsAreListedTogether() {
+		OperatorTool unauthorized = new OperatorTool(this.folder.resolve("stranger"), operatorAddress(0), "wrong");
+		OperatorTool.Result refused = unauthorized.run("config", "show");
 		assertThat(refused.exit()).isEqualTo(ErrorKind.UNAUTHORIZED.exitCode());
-		this.lena.run("form", "limits", "divecal", "--lookup-share-percent", "100");
-		OperatorTool.Result faults = this.lena.run("draft", "check");
+		this.firstOperator.run("form", "limits", "divecal", "--lookup-share-percent", "100");
+		OperatorTool.Result faults = this.firstOperator.run("draft", "check");
 		assertThat(faults.exit()).isEqualTo(ErrorKind.DOCUMENT_INVALID.exitCode());
 		assertThat(faults.err()).contains("fill in the form of at least one service");
 		assertThat(faults.err()).contains("limits/divecal/lookup-share-percent");
@@ -193,17 +202,19 @@
 
 	@Test
 	void theTimeLineOfAllDaemonsShowsASubmissionBeforeItIsInForce() {
-		fillIn(this.lena);
-		this.lena.run("draft", "submit");
-		String line = this.lena.run("timeline", "--count", "1000").out();
-		assertThat(line).contains("DOCUMENT_IN_FORCE");
-		assertThat(line.indexOf("DOCUMENT_ACCEPTED")).isLessThan(line.indexOf("DOCUMENT_IN_FORCE"));
-		assertThat(this.lena.run("timeline", "--kind", "402").out().lines().filter((entry) -> !entry.startsWith("#")))
-			.hasSize(3);
-		assertThat(this.lena.run("--output", "json", "measures").out()).contains("\"kept_until_millis\"");
-	}
-
-	private static void fillIn(OperatorTool tool) {
+		fillInMinimalDraft(this.firstOperator);
+		this.firstOperator.run("draft", "submit");
+		String timeline = this.firstOperator.run("timeline", "--count", "1000").out();
+		assertThat(timeline).contains("DOCUMENT_IN_FORCE");
+		assertThat(timeline.indexOf("DOCUMENT_ACCEPTED")).isLessThan(timeline.indexOf("DOCUMENT_IN_FORCE"));
+		assertThat(this.firstOperator.run("timeline", "--kind", "402")
+			.out()
+			.lines()
+			.filter((entry) -> !entry.startsWith("#"))).hasSize(3);
+		assertThat(this.firstOperator.run("--output", "json", "measures").out()).contains("\"kept_until_millis\"");
+	}
+
+	private static void fillInMinimalDraft(OperatorTool tool) {
 		assertThat(tool.run("form", "service", "hullbook", "--divided-by-key", "yes").exit()).isEqualTo(0);
 		assertThat(tool
 			.run("form", "domains", "--regions", "domain-0=great-lakes,domain-1=great-lakes,domain-2=great-lakes")
@@ -214,20 +225,20 @@
 		return new OperatorTool(this.folder.resolve(name), daemons, this.deployment.operatorSecret());
 	}
 
-	private String address(int index) {
-		return operators(this.deployment.instances().get(index));
+	private String operatorAddress(int index) {
+		return operatorAddress(this.deployment.instances().get(index));
 	}
 
-	private static String operators(StandInInstance instance) {
+	private static String operatorAddress(StandInInstance instance) {
 		return Ports.text(instance.ports().operators());
 	}
 
 	private Either<ErrorAnswer, StatusAnswer> status(StandInInstance instance) {
 		return new OperatorClient(List.of(), this.deployment.operatorSecret(), Duration.ofSeconds(5))
-			.get(operators(instance), "/v1/status", StatusAnswer.class);
+			.get(operatorAddress(instance), "/v1/status", StatusAnswer.class);
 	}
 
-	private boolean read(StandInInstance instance) {
+	private boolean hasReadDocument(StandInInstance instance) {
 		return status(instance).map(StatusAnswer::documentRead).getOrElse(false);
 	}
 
--- a/integration/src/test/java/org/brasspier/integration/document/OperatorPortTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/OperatorPortTests.java
@@ -26,11 +26,11 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * The operator port of a real daemon, asked without the command line tool.
+ * Tests of the operator port of a real daemon, called without the command line tool.
  */
 class OperatorPortTests {
 
-	private static final Pattern CALL = Pattern.compile("`?(GET|POST)? ?(/(?:v1|peer|metrics)[a-z0-9/-]*)");
+	private static final Pattern DOCUMENTED_CALL = Pattern.compile("`?(GET|POST)? ?(/(?:v1|peer|metrics)[a-z0-9/-]*)");
 
 	private static final String NO_SECRET = "";
 
@@ -52,16 +52,17 @@
 	}
 
 	@AfterEach
-	void endDaemon() {
+	void stopDaemon() {
 		this.deployment.close();
 	}
 
-	// A stranger reaches the operator port and tries each call that docs/API.md names,
-	// with no secret, a wrong one, a cut one, and the secret without its scheme.
+	// An unauthorized client reaches the operator port and tries each call that
+	// docs/API.md lists, with no secret, a wrong one, one with its first character cut
+	// off, and one with a character added.
 	@Test
-	void eachCallOfTheInterfaceIsClosedWithoutTheSecret() throws IOException {
+	void eachCallOfTheInterfaceIsRefusedWithoutTheSecret() throws IOException {
 		String secret = this.deployment.operatorSecret();
-		List<MatchResult> calls = calls();
+		List<MatchResult> calls = documentedCalls();
 		assertThat(calls.size()).isAtLeast(15);
 		for (MatchResult call : calls) {
 			for (String offered : List.of(NO_SECRET, "a-wrong-secret", secret.substring(1), secret + "x")) {
@@ -74,8 +75,9 @@
 		}
 	}
 
-	// What monitoring systems read: names and lines as the exposition format has them,
-	// each series under its type, each metric explained, nothing twice.
+	// The metrics as monitoring systems read them: names and lines conform to the
+	// exposition format, each series has a type, each metric has an explanation, and no
+	// series occurs twice.
 	@Test
 	void theMetricsAreWellFormedAndEachIsExplained() throws IOException {
 		String text = call("GET", "/metrics", this.deployment.operatorSecret()).body();
@@ -94,10 +96,10 @@
 		assertThat(unexplained).isEmpty();
 	}
 
-	private static List<MatchResult> calls() throws IOException {
+	private static List<MatchResult> documentedCalls() throws IOException {
 		String page = Files.readString(Path.of("..", "docs", "API.md"));
-		String part = page.substring(page.indexOf("## Towards operators"), page.indexOf("## Errors"));
-		return Stream.of(part).flatMap((text) -> CALL.matcher(text).results()).toList();
+		String section = page.substring(page.indexOf("## Towards operators"), page.indexOf("## Errors"));
+		return Stream.of(section).flatMap((text) -> DOCUMENTED_CALL.matcher(text).results()).toList();
 	}
 
 	private HttpResponse<String> call(String method, String path, String secret) throws IOException {
--- a/integration/src/test/java/org/brasspier/integration/document/OperatorTool.java
+++ b/integration/src/test/java/org/brasspier/integration/document/OperatorTool.java
@@ -14,7 +14,7 @@
 import org.brasspier.cli.internal.Terminal;
 
 /**
- * One operator with the command line tool. Not thread-safe.
+ * Runs the command line tool for one operator. Not thread-safe.
  */
 final class OperatorTool {
 
@@ -34,31 +34,31 @@
 		return run("", false, arguments);
 	}
 
-	/** Runs a command in a terminal, where the operator types the lines. */
-	Result typing(String lines, String... arguments) {
+	/** Runs a command at an interactive terminal with the given input lines. */
+	Result runInteractively(String lines, String... arguments) {
 		return run(lines, true, arguments);
 	}
 
-	private Result run(String typed, boolean interactive, String... arguments) {
+	private Result run(String input, boolean interactive, String... arguments) {
 		ByteArrayOutputStream out = new ByteArrayOutputStream();
 		ByteArrayOutputStream err = new ByteArrayOutputStream();
-		Terminal terminal = new Terminal(new BufferedReader(new StringReader(typed)),
+		Terminal terminal = new Terminal(new BufferedReader(new StringReader(input)),
 				new PrintStream(out, true, StandardCharsets.UTF_8), new PrintStream(err, true, StandardCharsets.UTF_8),
 				interactive);
-		List<String> all = new ArrayList<>(List.of("--draft", this.draft.toString()));
-		all.addAll(List.of(arguments));
+		List<String> allArguments = new ArrayList<>(List.of("--draft", this.draft.toString()));
+		allArguments.addAll(List.of(arguments));
 		int exit = new CommandLine(terminal,
 				Map.of("BRASSPIER_DAEMON", this.daemons, "BRASSPIER_OPERATOR_SECRET", this.secret))
-			.run(all.toArray(String[]::new));
+			.run(allArguments.toArray(String[]::new));
 		return new Result(exit, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
 	}
 
 	/**
-	 * What a command did.
+	 * The outcome of a command.
 	 *
-	 * @param exit its exit code
-	 * @param out its result
-	 * @param err its progress and errors
+	 * @param exit the exit code
+	 * @param out the standard output, which holds the result
+	 * @param err the standard error, which holds progress and errors
 	 */
 	record Result(int exit, String out, String err) {
 
--- a/integration/src/test/java/org/brasspier/integration/document/OperatorsViewTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/OperatorsViewTests.java
@@ -27,7 +27,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * What operators see and order in a deployment that serves.
+ * Tests of what operators see and order in a deployment under load.
  */
 class OperatorsViewTests {
 
@@ -44,17 +44,17 @@
 				Ports.text(this.deployment.instances().getFirst().ports().operators()),
 				this.deployment.operatorSecret());
 		Await.until("each daemon knows that all three instances own ranges",
-				() -> this.deployment.instances().stream().allMatch((instance) -> spread(instance)));
+				() -> this.deployment.instances().stream().allMatch((instance) -> seesThreeOwners(instance)));
 		this.deployment.awaitServed();
 	}
 
 	@AfterEach
-	void end() {
+	void stopDeployment() {
 		this.deployment.close();
 	}
 
-	// A crew asks what became of a lookup. It reached one daemon, was forwarded to the
-	// owner's, and ran there; the operator follows it by its id through both.
+	// An operator traces a lookup that reached one daemon, was forwarded to the daemon of
+	// the owner and ran there. The time line shows it by its id across both daemons.
 	@Test
 	void aRequestIsFollowedByItsIdThroughEveryProcess() {
 		StandInInstance entry = this.deployment.instances().getFirst();
@@ -63,22 +63,22 @@
 				.mapToObj((i) -> callers.call(StandInRequest.lookup("hullbook", "hull-" + i, "followed-" + i)).join())
 				.toList();
 			CallerRecord forwarded = records.stream()
-				.filter((done) -> !ranAt(done.request().id()).equals(entry.name()))
+				.filter((record) -> !serverThatRan(record.request().id()).equals(entry.name()))
 				.findFirst()
 				.orElseThrow();
-			String line = this.tool.run("timeline", "--request", forwarded.request().id()).out();
-			int atEntry = line.indexOf("REQUEST_FORWARDED");
-			int atOwner = line.indexOf("REQUEST_HANDED_OVER");
-			assertWithMessage(line).that(atEntry).isAtLeast(0);
-			assertWithMessage(line).that(atOwner).isGreaterThan(atEntry);
-			assertWithMessage(line).that(line.lastIndexOf("REQUEST_ANSWERED")).isGreaterThan(atOwner);
-			assertThat(line).contains(ranAt(forwarded.request().id()));
+			String timeline = this.tool.run("timeline", "--request", forwarded.request().id()).out();
+			int atEntry = timeline.indexOf("REQUEST_FORWARDED");
+			int atOwner = timeline.indexOf("REQUEST_HANDED_OVER");
+			assertWithMessage(timeline).that(atEntry).isAtLeast(0);
+			assertWithMessage(timeline).that(atOwner).isGreaterThan(atEntry);
+			assertWithMessage(timeline).that(timeline.lastIndexOf("REQUEST_ANSWERED")).isGreaterThan(atOwner);
+			assertThat(timeline).contains(serverThatRan(forwarded.request().id()));
 		}
 	}
 
-	// Where the server's own record says that it ran. The owner that is asked for later
-	// may be another one, as ranges move for some seconds after a start.
-	private String ranAt(String id) {
+	// Returns the server whose own record says that the request began there. The owner
+	// reported later may be another one, as ranges move for some seconds after a start.
+	private String serverThatRan(String id) {
 		return this.deployment.serverRecords()
 			.stream()
 			.filter((record) -> record.kind() == ServerRecord.Kind.BEGAN && record.id().equals(id))
@@ -87,8 +87,8 @@
 			.orElseThrow();
 	}
 
-	// An operator looks for what became of one key, one range, one kind of event, one
-	// instance. Each filter shows what is about it and nothing else.
+	// An operator filters the time line by one key, one range, one kind of event or one
+	// instance. Each filter shows the events that concern it and no others.
 	@Test
 	void theTimeLineIsFilteredByKeyRangeKindAndInstance() {
 		try (CallerFleet callers = this.deployment.newCallers()) {
@@ -102,11 +102,11 @@
 		String started = timeline("--instance", "hullbook-1", "--kind", "DAEMON_STARTED");
 		assertThat(started.lines().filter((line) -> !line.startsWith("#"))).hasSize(1);
 		assertThat(timeline("--kind", "DAEMON_STARTED").lines().filter((line) -> !line.startsWith("#"))).hasSize(3);
-		JsonObject forPrograms = JsonParser
+		JsonObject json = JsonParser
 			.parseString(this.tool.run("--output", "json", "timeline", "--kind", "DAEMON_STARTED").out())
 			.getAsJsonObject();
-		assertThat(forPrograms.getAsJsonArray("events")).hasSize(3);
-		assertThat(forPrograms.has("losses")).isTrue();
+		assertThat(json.getAsJsonArray("events")).hasSize(3);
+		assertThat(json.has("losses")).isTrue();
 	}
 
 	private String timeline(String... filters) {
@@ -119,11 +119,11 @@
 		this.deployment.instances().forEach((instance) -> assertThat(status).contains(instance.name()));
 		assertThat(status).doesNotContain("no answer");
 		assertThat(status).contains("primary hullbook-");
-		assertThat(owner("hull-4711")).startsWith("hullbook-");
+		assertThat(ownerOf("hull-4711")).startsWith("hullbook-");
 	}
 
-	// Crews complain that lookups take long. The operator sees at which instance they
-	// wait, how many of which class, and that its slots are taken.
+	// Callers report slow lookups. The status shows at which instance requests wait, how
+	// many of which class, and that its slots are occupied.
 	@Test
 	void theStatusShowsWhatRunsAndWaitsAtEachInstance() {
 		try (CallerFleet callers = this.deployment.newCallers()) {
@@ -135,7 +135,7 @@
 						"hullbook-[0-9] +8 +[1-9][0-9]* +[1-9][0-9]* +internal 0\\+0, lookup [1-9][0-9]*\\+[1-9].*")));
 			callers.finish();
 		}
-		Await.until("nothing waits any more",
+		Await.until("no request waits any more",
 				() -> this.tool.run("status")
 					.out()
 					.lines()
@@ -153,16 +153,16 @@
 		assertThat(this.tool.run("declare-lost", "hullbook-1").exit()).isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
 	}
 
-	private boolean spread(StandInInstance instance) {
+	private boolean seesThreeOwners(StandInInstance instance) {
 		return this.tool.run("--daemon", Ports.text(instance.ports().operators()), "status")
 			.out()
 			.lines()
 			.anyMatch((line) -> line.matches("hullbook +[0-9]+ +0 +3"));
 	}
 
-	private String owner(String key) {
-		String[] cells = this.tool.run("owner", "hullbook", key).out().lines().toList().getLast().split(" +");
-		return cells[3];
+	private String ownerOf(String key) {
+		String[] columns = this.tool.run("owner", "hullbook", key).out().lines().toList().getLast().split(" +");
+		return columns[3];
 	}
 
 }
--- a/integration/src/test/java/org/brasspier/integration/document/PageCommandsTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/PageCommandsTests.java
@@ -22,13 +22,14 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * The commands in the pages work as they stand, against a small deployment that serves.
+ * Tests that the commands in the documentation work as written, against a small running
+ * deployment.
  */
 class PageCommandsTests {
 
-	private static final String TOOL = "brasspier ";
+	private static final String COMMAND_PREFIX = "brasspier ";
 
-	private static final Pattern PROGRAM = Pattern.compile("\\bbin/([a-z-]+)");
+	private static final Pattern PROGRAM_NAME = Pattern.compile("\\bbin/([a-z-]+)");
 
 	@TempDir
 	private Path folder;
@@ -44,25 +45,25 @@
 	}
 
 	@AfterEach
-	void end() {
+	void stopDeployment() {
 		this.deployment.close();
 	}
 
-	// An operator works through the guide and then through the page for faults, while
-	// what each section tells of happens: two operators submit at once, an instance is
-	// lost. Each command must do what the page says.
+	// Runs the commands of the user guide and then those of the operating guide, while
+	// the situations that they describe occur: two operators submit concurrently, an
+	// instance is lost. Each command must succeed.
 	@Test
 	void theCommandsOfThePagesRunInTheirOrder() throws IOException {
 		List<String> guide = commands("USER_GUIDE.md", "```sh").toList();
 		List<String> operating = commands("OPERATING.md", "```console").toList();
 		assertThat(guide.size()).isGreaterThan(15);
 		assertThat(operating.size()).isGreaterThan(15);
-		Stream.concat(guide.stream(), operating.stream()).forEach(this::runs);
+		Stream.concat(guide.stream(), operating.stream()).forEach(this::runCommand);
 		OperatorTool.Result mistyped = this.tool.run("drain", "--nonsense");
 		assertThat(mistyped.exit()).isEqualTo(ErrorKind.BAD_REQUEST.exitCode());
 	}
 
-	private void runs(String command) {
+	private void runCommand(String command) {
 		switch (command) {
 			case "brasspier draft rebase" -> letAnotherOperatorSubmit();
 			case "brasspier declare-lost hullbook-1 --yes" -> this.deployment.instance("hullbook-1").kill();
@@ -70,11 +71,11 @@
 			}
 		}
 		if (command.contains("declare-lost") || command.contains("move")) {
-			// Refused until the loss is noticed, and where the range has just moved.
-			Await.until(command, () -> this.tool.run(words(command)).exit() == 0);
+			// Refused until the loss is detected, and while a range has only just moved.
+			Await.until(command, () -> this.tool.run(arguments(command)).exit() == 0);
 			return;
 		}
-		OperatorTool.Result result = this.tool.run(words(command));
+		OperatorTool.Result result = this.tool.run(arguments(command));
 		assertWithMessage("%s: %s", command, result.err()).that(result.exit()).isEqualTo(0);
 	}
 
@@ -87,10 +88,10 @@
 	}
 
 	@Test
-	void theProgramsThatPagesNameAreThere() throws IOException {
+	void theProgramsNamedInThePagesExist() throws IOException {
 		for (String page : List.of("README.md", "CONTRIBUTING.md", "docs/USER_GUIDE.md", "docs/OPERATING.md")) {
-			PROGRAM.matcher(Files.readString(Path.of("..", page))).results().forEach((found) -> {
-				Path program = Path.of("..", "bin", found.group(1));
+			PROGRAM_NAME.matcher(Files.readString(Path.of("..", page))).results().forEach((match) -> {
+				Path program = Path.of("..", "bin", match.group(1));
 				assertWithMessage("%s of %s", program, page).that(Files.isExecutable(program)).isTrue();
 			});
 		}
@@ -102,14 +103,14 @@
 				this.deployment.operatorSecret());
 	}
 
-	private String[] words(String command) {
-		return Arrays.stream(command.substring(TOOL.length()).split(" "))
-			.map((word) -> (word.equals("RANGE")) ? range() : word)
+	private String[] arguments(String command) {
+		return Arrays.stream(command.substring(COMMAND_PREFIX.length()).split(" "))
+			.map((word) -> (word.equals("RANGE")) ? rangeToMove() : word)
 			.toArray(String[]::new);
 	}
 
-	/** A range that the page's target does not own. */
-	private String range() {
+	/** Returns a range that the target of the documented move does not own. */
+	private String rangeToMove() {
 		return this.tool.run("status", "--ranges")
 			.out()
 			.lines()
@@ -125,7 +126,7 @@
 			.skip(1)
 			.map((block) -> block.substring(0, block.indexOf("```")))
 			.flatMap(String::lines)
-			.filter((line) -> line.startsWith(TOOL));
+			.filter((line) -> line.startsWith(COMMAND_PREFIX));
 	}
 
 }
--- a/integration/src/test/java/org/brasspier/integration/document/SecretsRotationTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/SecretsRotationTests.java
@@ -26,8 +26,8 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * All three kinds of secrets are replaced while everything runs, and none of them shows
- * anywhere.
+ * Tests that all three kinds of secrets can be replaced in a running deployment, and that
+ * no output contains a secret.
  */
 class SecretsRotationTests {
 
@@ -52,27 +52,28 @@
 	}
 
 	@AfterEach
-	void end() {
+	void stopDeployment() {
 		this.deployment.close();
 	}
 
-	// An operator replaces the key that daemons share, one daemon after another, while
-	// callers ask. In between some daemons know one key and others two; where those could
-	// not prove themselves to each other, requests would be turned away for the whole
-	// time. A daemon that starts afterwards knows the new key only, and joins. Lookups,
-	// since a posting also ends unknown where a starved machine breaks its connection.
+	// An operator replaces the key that the daemons share, one daemon after another,
+	// under traffic. Meanwhile some daemons know one key and others two; if those could
+	// not authenticate to each other, requests would be refused for the whole time. A
+	// daemon that starts afterwards knows only the new key, and joins. The traffic is
+	// lookups only, since a posting also ends as unknown when an overloaded machine
+	// breaks its connection.
 	@Test
 	void thePeersKeyIsReplacedUnderTrafficAndNoRequestFails() {
 		try (CallerFleet callers = this.deployment.newCallers()) {
 			callers.setTraffic(List.of(TrafficStream.steady("hullbook", true, "lookup", 100)));
 			rotate("peers", (secrets, lines) -> secrets.sharedKeys(lines), this.oldKey, NEW_KEY);
-			long answered = answered(callers);
-			Await.until("callers are answered after the rotation", () -> answered(callers) > answered + 300);
+			long answeredBefore = answeredCount(callers);
+			Await.until("callers are answered after the rotation", () -> answeredCount(callers) > answeredBefore + 300);
 			callers.finish();
 			assertWithMessage("requests that failed")
 				.that(callers.records()
 					.stream()
-					.filter((done) -> done.outcome() != CallerRecord.Outcome.ANSWERED)
+					.filter((record) -> record.outcome() != CallerRecord.Outcome.ANSWERED)
 					.toList())
 				.isEmpty();
 		}
@@ -84,9 +85,9 @@
 				() -> tool().run("status").out().lines().anyMatch((line) -> line.matches("hullbook +[0-9]+ +0 +3")));
 	}
 
-	// The platform's operators replace its token: both are accepted for a while, then
-	// only the new one. Daemons that went on with the old one could neither move a range
-	// nor bring a document into force.
+	// The operators of the platform replace its token: both tokens are accepted for a
+	// while, then only the new one. Daemons that kept using the old one could neither
+	// move a range nor bring a document into force.
 	@Test
 	void thePlatformsTokenIsReplacedWithoutAStop() {
 		rotate("platform", (secrets, lines) -> secrets.platform(lines), this.oldToken, NEW_TOKEN);
@@ -99,54 +100,57 @@
 		assertThat(tool.run("drain", "hullbook-1").exit()).isEqualTo(0);
 	}
 
-	// An operator's secret was seen by somebody: a new one is added to every daemon, then
-	// the old one is taken out. From then on the old one opens nothing.
+	// An operator secret has been disclosed: a new one replaces it in the file of every
+	// daemon. Once the new one is accepted, the old one must be refused.
 	@Test
-	void theOperatorsSecretIsReplacedAndTheOldOneOpensNothing() {
+	void theOperatorsSecretIsReplacedAndTheOldOneIsRefused() {
 		this.deployment.instances().forEach((instance) -> instance.secrets().operators(NEW_SECRET));
-		OperatorTool tool = new OperatorTool(this.folder.resolve("draft"), operators(), NEW_SECRET);
+		OperatorTool tool = new OperatorTool(this.folder.resolve("draft"), operatorAddress(), NEW_SECRET);
 		Await.until("the new secret is accepted", () -> tool.run("status").exit() == 0);
 		assertThat(tool().run("status").exit()).isEqualTo(ErrorKind.UNAUTHORIZED.exitCode());
 	}
 
-	// Somebody reads logs, listings and errors of a deployment on which everything was
-	// tried, with right secrets, with wrong ones and with a file of unfit ones.
+	// Collects logs, command output and errors of a deployment on which many commands
+	// were tried, with valid secrets, with wrong ones and with a file of invalid ones.
 	@Test
 	void noSecretShowsInAnyOutput() throws IOException {
-		StringBuilder shown = new StringBuilder();
-		OperatorTool stranger = new OperatorTool(this.folder.resolve("other"), operators(), "a-stranger-s-secret");
-		for (OperatorTool tool : List.of(tool(), stranger)) {
+		StringBuilder output = new StringBuilder();
+		OperatorTool unauthorized = new OperatorTool(this.folder.resolve("other"), operatorAddress(),
+				"a-stranger-s-secret");
+		for (OperatorTool tool : List.of(tool(), unauthorized)) {
 			for (List<String> command : List.of(List.of("status", "--ranges"), List.of("config", "show"),
 					List.of("timeline", "--count", "5000"), List.of("measures"), List.of("form", "secrets"),
 					List.of("move", "hullbook", "nonsense", "nobody"), List.of("--output", "json", "status"))) {
 				OperatorTool.Result result = tool.run(command.toArray(String[]::new));
-				shown.append(result.out()).append(result.err());
+				output.append(result.out()).append(result.err());
 			}
 		}
-		InstanceSecrets unfit = this.deployment.instances().getFirst().secrets();
-		unfit.sharedKeys(this.oldKey, "tooshort");
-		Await.until("the unfit file is told of", () -> !events("SECRETS_REFUSED").isEmpty());
+		InstanceSecrets secretsFiles = this.deployment.instances().getFirst().secrets();
+		secretsFiles.sharedKeys(this.oldKey, "tooshort");
+		Await.until("the invalid file is reported", () -> !events("SECRETS_REFUSED").isEmpty());
 		this.deployment.instances().getFirst().stop();
 		try (Stream<Path> files = Files.list(this.deployment.folder())) {
 			for (Path file : files.filter((path) -> path.toString().matches(".*\\.(log|out)")).toList()) {
-				shown.append(Files.readString(file));
+				output.append(Files.readString(file));
 			}
 		}
-		assertThat(shown.toString()).contains("SECRETS_REFUSED");
+		assertThat(output.toString()).contains("SECRETS_REFUSED");
 		Stream.concat(this.deployment.secrets().stream(), Stream.of("tooshort", "a-stranger-s-secret"))
-			.forEach((secret) -> assertThat(shown.toString().contains(secret)).isFalse());
+			.forEach((secret) -> assertThat(output.toString().contains(secret)).isFalse());
 	}
 
-	/** Adds the new one everywhere, then takes the old one out, daemon by daemon. */
-	private void rotate(String whose, BiConsumer<InstanceSecrets, String[]> write, String old, String fresh) {
-		if (whose.equals("platform")) {
-			this.deployment.platform().acceptTokens(old, fresh);
+	/** Adds the new secret everywhere, then removes the old one, one daemon at a time. */
+	private void rotate(String secretKind, BiConsumer<InstanceSecrets, String[]> write, String previous,
+			String replacement) {
+		if (secretKind.equals("platform")) {
+			this.deployment.platform().acceptTokens(previous, replacement);
 		}
-		for (String[] lines : List.of(new String[] { old, fresh }, new String[] { fresh })) {
+		for (String[] lines : List.of(new String[] { previous, replacement }, new String[] { replacement })) {
 			for (StandInInstance instance : this.deployment.instances()) {
-				long before = taken(instance, whose);
+				long readsBefore = secretsReadCount(instance, secretKind);
 				write.accept(instance.secrets(), lines);
-				Await.until(instance.name() + " has read its file anew", () -> taken(instance, whose) > before);
+				Await.until(instance.name() + " has reread its file",
+						() -> secretsReadCount(instance, secretKind) > readsBefore);
 			}
 		}
 	}
@@ -155,24 +159,24 @@
 		return tool().run("timeline", "--kind", kind).out().lines().filter((line) -> !line.startsWith("#")).toList();
 	}
 
-	private long taken(StandInInstance instance, String whose) {
+	private long secretsReadCount(StandInInstance instance, String secretKind) {
 		String daemon = Ports.text(instance.ports().operators());
 		return tool().run("--daemon", daemon, "timeline", "--kind", "SECRETS_READ")
 			.out()
 			.lines()
-			.filter((line) -> line.contains(instance.name() + " ") && line.contains(whose))
+			.filter((line) -> line.contains(instance.name() + " ") && line.contains(secretKind))
 			.count();
 	}
 
-	private static long answered(CallerFleet callers) {
-		return callers.records().stream().filter((done) -> done.outcome() == CallerRecord.Outcome.ANSWERED).count();
+	private static long answeredCount(CallerFleet callers) {
+		return callers.records().stream().filter((record) -> record.outcome() == CallerRecord.Outcome.ANSWERED).count();
 	}
 
 	private OperatorTool tool() {
-		return new OperatorTool(this.folder.resolve("draft"), operators(), this.deployment.operatorSecret());
+		return new OperatorTool(this.folder.resolve("draft"), operatorAddress(), this.deployment.operatorSecret());
 	}
 
-	private String operators() {
+	private String operatorAddress() {
 		return Ports.text(this.deployment.instances().getFirst().ports().operators());
 	}
 
