--- a/bench/src/main/java/org/brasspier/bench/demo/Demo.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/Demo.java
@@ -18,9 +18,9 @@
 import org.brasspier.standins.StandInInstance;
 
 /**
- * Entry point of {@code bin/demo}. Runs a deployment of the current production size under
- * mixed traffic and kills one instance without warning. Exits with 0 if no guarantee was
- * violated, 1 if one was violated, and 2 if the command-line flags are invalid.
+ * Entry point of {@code bin/demo}. Runs a deployment of today's size under mixed traffic
+ * and kills one instance without warning. Exits with 0 if no guarantee was violated, 1 if
+ * one was violated, and 2 if the command-line flags are invalid.
  */
 public final class Demo {
 
--- a/core/src/main/java/org/brasspier/core/admission/RetryAfterEstimator.java
+++ b/core/src/main/java/org/brasspier/core/admission/RetryAfterEstimator.java
@@ -28,7 +28,7 @@
 	 * Time constant with which the counts of refusals and starts decay exponentially; the
 	 * counts determine whether the server is overloaded.
 	 */
-	private static final double WINDOW_NANOS = Duration.ofMillis(500).toNanos();
+	private static final double DECAY_TIME_NANOS = Duration.ofMillis(500).toNanos();
 
 	/** Decayed number of refusals below which they are considered random. */
 	private static final double MIN_REFUSED = 0.5;
@@ -83,7 +83,7 @@
 	}
 
 	private void decay(long now) {
-		double decayFactor = Math.exp(-Math.max(0, now - this.countedNanos) / WINDOW_NANOS);
+		double decayFactor = Math.exp(-Math.max(0, now - this.countedNanos) / DECAY_TIME_NANOS);
 		this.started *= decayFactor;
 		this.refused *= decayFactor;
 		this.countedNanos = now;
--- a/core/src/main/java/org/brasspier/core/crash/CrashDetector.java
+++ b/core/src/main/java/org/brasspier/core/crash/CrashDetector.java
@@ -29,28 +29,28 @@
 	private Optional<BackendIncarnation> incarnation = Optional.empty();
 
 	/**
-	 * Records that a connection ended while the server was handling a request from it.
-	 * @param of the server's incarnation
-	 * @param request the request's fingerprint
+	 * Records that a connection ended while the server was handling its request.
+	 * @param serverIncarnation the incarnation of the server
+	 * @param requestFingerprint the request's fingerprint
 	 * @param nowNanos the current time
 	 */
-	public void onConnectionLost(BackendIncarnation of, long request, long nowNanos) {
-		if (!this.incarnation.equals(Optional.of(of))) {
+	public void onConnectionLost(BackendIncarnation serverIncarnation, long requestFingerprint, long nowNanos) {
+		if (!this.incarnation.equals(Optional.of(serverIncarnation))) {
 			this.lostNanos.clear();
-			this.incarnation = Optional.of(of);
+			this.incarnation = Optional.of(serverIncarnation);
 		}
 		if (this.lostNanos.size() < CrashReport.MAX_REQUESTS) {
-			this.lostNanos.put(request, nowNanos);
+			this.lostNanos.put(requestFingerprint, nowNanos);
 		}
 	}
 
 	/**
 	 * Records that the server answered.
-	 * @param of the server's incarnation
+	 * @param serverIncarnation the incarnation of the server
 	 * @param sentNanos when the answered request was sent
 	 */
-	public void onAnswer(BackendIncarnation of, long sentNanos) {
-		if (this.incarnation.equals(Optional.of(of))) {
+	public void onAnswer(BackendIncarnation serverIncarnation, long sentNanos) {
+		if (this.incarnation.equals(Optional.of(serverIncarnation))) {
 			this.lostNanos.values().removeIf((lost) -> lost - sentNanos < 0);
 		}
 	}
@@ -67,18 +67,18 @@
 	/**
 	 * Records that nothing listens on the server's address, or that a new incarnation has
 	 * started.
-	 * @param of the incarnation that has ended
+	 * @param serverIncarnation the incarnation that has ended
 	 * @param nowNanos the current time
 	 * @return the requests that it was running when it crashed; empty if no connection
 	 * ended recently
 	 */
-	public Optional<CrashReport> onServerEnded(BackendIncarnation of, long nowNanos) {
-		if (!this.incarnation.equals(Optional.of(of))) {
+	public Optional<CrashReport> onServerEnded(BackendIncarnation serverIncarnation, long nowNanos) {
+		if (!this.incarnation.equals(Optional.of(serverIncarnation))) {
 			return Optional.empty();
 		}
 		this.lostNanos.values().removeIf((lost) -> nowNanos - lost >= RETENTION_NANOS);
 		Optional<CrashReport> report = this.lostNanos.isEmpty() ? Optional.empty()
-				: Optional.of(new CrashReport(of, this.lostNanos.keySet()));
+				: Optional.of(new CrashReport(serverIncarnation, this.lostNanos.keySet()));
 		this.lostNanos.clear();
 		return report;
 	}
--- a/core/src/main/java/org/brasspier/core/document/ValueRule.java
+++ b/core/src/main/java/org/brasspier/core/document/ValueRule.java
@@ -18,12 +18,13 @@
 	 */
 	default boolean allows(String value) {
 		return switch (this) {
-			case WholeNumber whole -> whole.holds(value);
-			case Decimal decimal -> decimal.holds(value);
+			case WholeNumber whole -> whole.isNumberInRange(value);
+			case Decimal decimal -> decimal.isNumberInRange(value);
 			case Choice choice -> choice.values().contains(value);
 			case Names names -> value.isEmpty() || Arrays.stream(value.split(",", -1)).allMatch(Text::isName);
 			case Shares shares -> value.isEmpty() || Entry.parseList(value)
-				.filter((entries) -> entries.stream().allMatch((entry) -> shares.share().holds(entry.value())))
+				.filter((entries) -> entries.stream()
+					.allMatch((entry) -> shares.share().isNumberInRange(entry.value())))
 				.isPresent();
 			case Pairs pairs -> value.isEmpty() || Entry.parseList(value)
 				.filter((entries) -> entries.stream().allMatch((entry) -> Text.isName(entry.value())))
@@ -55,7 +56,7 @@
 	 */
 	record WholeNumber(long min, long max) implements ValueRule {
 
-		boolean holds(String value) {
+		boolean isNumberInRange(String value) {
 			return value.matches("[0-9]{1,12}") && Long.parseLong(value) >= this.min
 					&& Long.parseLong(value) <= this.max;
 		}
@@ -70,7 +71,7 @@
 	 */
 	record Decimal(double min, double max) implements ValueRule {
 
-		boolean holds(String value) {
+		boolean isNumberInRange(String value) {
 			return value.matches("[0-9]{1,9}(\\.[0-9]{1,6})?") && Double.parseDouble(value) >= this.min
 					&& Double.parseDouble(value) <= this.max;
 		}
--- a/core/src/main/java/org/brasspier/core/keys/GrantCallScheduler.java
+++ b/core/src/main/java/org/brasspier/core/keys/GrantCallScheduler.java
@@ -41,9 +41,9 @@
 
 	private final Set<GrantCall> pending = new HashSet<>();
 
-	private final Map<KeySpan, Long> retryNanos = new HashMap<>();
+	private final Map<KeySpan, Long> retryAtNanos = new HashMap<>();
 
-	private final Set<KeySpan> superseded = new HashSet<>();
+	private final Set<KeySpan> supersededSpans = new HashSet<>();
 
 	private boolean started;
 
@@ -69,18 +69,18 @@
 			this.started = true;
 			this.tracker.recordPredecessorGrants();
 		}
-		List<KeyHolding> own = this.tracker.applyMap(map, incarnation);
-		this.retryNanos.values().removeIf((until) -> until - now <= 0);
-		this.superseded.removeIf((span) -> own.stream().noneMatch((held) -> held.span().equals(span)));
+		List<KeyHolding> holdings = this.tracker.applyMap(map, incarnation);
+		this.retryAtNanos.values().removeIf((retryAt) -> retryAt - now <= 0);
+		this.supersededSpans.removeIf((span) -> holdings.stream().noneMatch((held) -> held.span().equals(span)));
 		List<GrantCall> calls = new ArrayList<>();
-		own.stream()
+		holdings.stream()
 			.filter((held) -> held.nextHolder().isPresent() && isIdle(held.span()) && !this.tracker.wasReleased(held))
 			.forEach((held) -> calls.add(release(held, now)));
 		long hold = this.tracker.holdNanos(leaseNanos - MAX_ARRIVAL_NANOS);
 		if (hold > 0) {
 			long available = MAX_PENDING_GRANTS
 					- this.pending.stream().filter((call) -> call instanceof GrantCall.Grant).count();
-			own.stream()
+			holdings.stream()
 				.filter((held) -> held.nextHolder().isEmpty() && isIdle(held.span()))
 				.filter((held) -> now + hold - this.tracker.usableUntilNanos(held, now) >= Math.min(hold,
 						RENEWAL_GAIN_NANOS))
@@ -93,7 +93,7 @@
 	}
 
 	private boolean isIdle(KeySpan span) {
-		return !this.retryNanos.containsKey(span)
+		return !this.retryAtNanos.containsKey(span)
 				&& this.pending.stream().noneMatch((call) -> call.span().overlaps(span));
 	}
 
@@ -115,7 +115,7 @@
 	 */
 	public void onGranted(GrantCall.Grant call, long sentNanos, long now) {
 		this.pending.remove(call);
-		this.superseded.remove(call.span());
+		this.supersededSpans.remove(call.span());
 		this.tracker.recordGrant(call, sentNanos, now);
 	}
 
@@ -127,9 +127,9 @@
 	 */
 	public void onSuperseded(GrantCall.Grant call, long now) {
 		this.pending.remove(call);
-		this.superseded.add(call.span());
+		this.supersededSpans.add(call.span());
 		this.tracker.stopUsing(call.span(), now);
-		this.retryNanos.put(call.span(), now + RETRY_NANOS);
+		this.retryAtNanos.put(call.span(), now + RETRY_NANOS);
 	}
 
 	/**
@@ -139,7 +139,7 @@
 	 * @return true if its latest grant was superseded
 	 */
 	public boolean needsNewFence(KeyHolding held) {
-		return this.superseded.contains(held.span());
+		return this.supersededSpans.contains(held.span());
 	}
 
 	/**
@@ -160,7 +160,7 @@
 	 */
 	public void onUnanswered(GrantCall call, long now) {
 		this.pending.remove(call);
-		this.retryNanos.put(call.span(), now + RETRY_NANOS);
+		this.retryAtNanos.put(call.span(), now + RETRY_NANOS);
 		if (call instanceof GrantCall.Grant grant) {
 			this.tracker.recordUnansweredGrant(grant, now);
 		}
@@ -173,7 +173,7 @@
 	 */
 	public void onNotSent(GrantCall call, long now) {
 		this.pending.remove(call);
-		this.retryNanos.put(call.span(), now + RETRY_NANOS);
+		this.retryAtNanos.put(call.span(), now + RETRY_NANOS);
 	}
 
 	/**
--- a/core/src/main/java/org/brasspier/core/ownership/CrashMark.java
+++ b/core/src/main/java/org/brasspier/core/ownership/CrashMark.java
@@ -5,10 +5,10 @@
  * reach its next owner before any request does, so that the same request can't crash one
  * backend server after the other. Immutable and thread-safe.
  *
- * @param requestHash the hash of the request's id or fingerprint
+ * @param crashFingerprint the hash of the request's id or fingerprint
  * @param crashes the number of losses during which it was in flight, at least 1
  */
-public record CrashMark(long requestHash, int crashes) {
+public record CrashMark(long crashFingerprint, int crashes) {
 
 	/** Maximum number of marks for each range; the latest ones are kept. */
 	public static final int MAX_PER_RANGE = 16;
--- a/core/src/main/java/org/brasspier/core/ownership/RowDigest.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RowDigest.java
@@ -80,7 +80,7 @@
 		putOptional(hash, range.owner(), (owner) -> hash.putString(owner.value()));
 		hash.putLong(range.fence().value());
 		putAll(hash, range.marks(), (mark) -> {
-			hash.putLong(mark.requestHash());
+			hash.putLong(mark.crashFingerprint());
 			hash.putInt(mark.crashes());
 		});
 	}
--- a/core/src/main/java/org/brasspier/core/request/CrashHistory.java
+++ b/core/src/main/java/org/brasspier/core/request/CrashHistory.java
@@ -63,9 +63,10 @@
 	 */
 	public void merge(List<CrashMark> marks) {
 		marks.forEach((mark) -> {
-			Optional<KeyHash> point = Optional.ofNullable(this.suspects.get(mark.requestHash()))
+			Optional<KeyHash> point = Optional.ofNullable(this.suspects.get(mark.crashFingerprint()))
 				.flatMap(Suspect::point);
-			put(mark.requestHash(), new Suspect(Math.max(mark.crashes(), crashCount(mark.requestHash())), point));
+			put(mark.crashFingerprint(),
+					new Suspect(Math.max(mark.crashes(), crashCount(mark.crashFingerprint())), point));
 		});
 	}
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/http/BackendSocket.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/http/BackendSocket.java
@@ -114,7 +114,7 @@
 	private void take(ByteBuffer bytes) {
 		if (this.exchange == null) {
 			// Unsolicited bytes: the boundaries of later answers are unknown.
-			broken("bytes came that belong to no order");
+			broken("received bytes while no request was in progress");
 			return;
 		}
 		while (bytes.hasRemaining() && this.exchange != null && !this.closed) {
--- a/wire/src/main/java/org/brasspier/wire/CellRowCodec.java
+++ b/wire/src/main/java/org/brasspier/wire/CellRowCodec.java
@@ -191,7 +191,7 @@
 	private record StoredMark(long request, int crashes) {
 
 		static StoredMark of(CrashMark mark) {
-			return new StoredMark(mark.requestHash(), mark.crashes());
+			return new StoredMark(mark.crashFingerprint(), mark.crashes());
 		}
 
 		CrashMark mark() {
--- a/wire/src/main/java/org/brasspier/wire/RowFrames.java
+++ b/wire/src/main/java/org/brasspier/wire/RowFrames.java
@@ -125,7 +125,7 @@
 
 	static void writeMarks(FrameWriter out, List<CrashMark> marks) {
 		out.count(marks.size());
-		marks.forEach((mark) -> out.number(mark.requestHash()).number(mark.crashes()));
+		marks.forEach((mark) -> out.number(mark.crashFingerprint()).number(mark.crashes()));
 	}
 
 	static List<CrashMark> readMarks(FrameReader in) throws WireException {
