--- a/integration/src/test/java/org/brasspier/integration/document/DocumentDistributionTests.java
+++ b/integration/src/test/java/org/brasspier/integration/document/DocumentDistributionTests.java
@@ -98,10 +98,9 @@
 	}
 
 	// Both operators change the same field from version 1, the first operator before the
-	// second. The
-	// second, at a terminal, is shown the other change, confirms the rebase of the draft,
-	// is told that both changed the field, and submits again. The other change of the
-	// first operator is kept.
+	// second. The second, at a terminal, is shown the other change, confirms the rebase
+	// of the draft, is told that both changed the field, and submits again. The other
+	// change of the first operator is kept.
 	@Test
 	void atATerminalAConflictIsShownAndTheDraftMovedOnRequest() {
 		fillInMinimalDraft(this.firstOperator);
