--- a/bench/src/main/java/org/brasspier/bench/capacity/CapacityRequirement.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/CapacityRequirement.java
@@ -50,6 +50,7 @@
 	static List<CapacityRequirement> calculate(MeasuredSlopes slopes, TargetSize target) {
 		Slope traffic = slopes.get("primary lease manager, control traffic");
 		double rowReads = slopes.get("cell, calls of the table in steady state").valueAt(0);
+		// The primary makes half of the reads, the other manager the other half.
 		double readBytes = UNCHANGED_READ_BYTES * (rowReads + POINTER_READS_PER_SECOND) / 2;
 		int members = maxMembers(traffic, target.controlBytes() - readBytes);
 		double cells = Math.ceil((double) target.nodes() / members);
@@ -67,6 +68,7 @@
 				new CapacityRequirement("other member: control traffic",
 						slopes.get("member, control traffic").valueAt(members), target.controlBytes(), "bytes/s",
 						"heartbeats"),
+				// Microseconds per second divided by 1e4 are percent of a core.
 				new CapacityRequirement("primary lease manager: deciding and coding",
 						slopes.get("primary lease manager, deciding and coding").valueAt(members) / 1e4, 1.5,
 						"% of a core", "the ownership thread"),
@@ -97,7 +99,8 @@
 
 	/**
 	 * Returns the share of the limit that remains unused.
-	 * @return 1 if nothing is needed, negative if the need exceeds the limit
+	 * @return 1 if nothing is needed, negative if the need exceeds the limit, NaN if
+	 * there is no limit
 	 */
 	double margin() {
 		return 1 - this.need / this.limit;
--- a/bench/src/main/java/org/brasspier/bench/capacity/Slope.java
+++ b/bench/src/main/java/org/brasspier/bench/capacity/Slope.java
@@ -47,7 +47,8 @@
 
 	/**
 	 * Replaces NaN by 0: where the points lie exactly on a line, a rounding error can
-	 * make the radicand of the error negative.
+	 * make the radicand of the error negative; where all values are equal, the
+	 * coefficient of determination is 0 / 0.
 	 */
 	private static double orZero(double error) {
 		return (Double.isNaN(error)) ? 0 : error;
--- a/bench/src/main/java/org/brasspier/bench/demo/RecoveryStages.java
+++ b/bench/src/main/java/org/brasspier/bench/demo/RecoveryStages.java
@@ -15,10 +15,11 @@
  * after the loss; -1 for a stage that did not occur. Immutable and thread-safe.
  *
  * @param suspected a lease manager first suspected the lost instance
- * @param epoch the row first named new lease managers, if the lost instance was one
+ * @param epoch first change of the epoch in the log, expected only if the lost instance
+ * was a lease manager
  * @param lost the instance was declared lost: its lease has run out and its ranges are
  * promised to new owners
- * @param granted the last of its ranges was granted to a new owner
+ * @param granted last grant of any range in the log
  */
 record RecoveryStages(long suspected, long epoch, long lost, long granted) {
 
--- a/bench/src/main/java/org/brasspier/bench/policy/AdmissionServer.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/AdmissionServer.java
@@ -17,8 +17,8 @@
 import org.brasspier.core.admission.RunOutcome;
 
 /**
- * A backend server behind an admission controller, used as in the daemon. Not
- * thread-safe.
+ * A backend server behind an admission controller, called the way the daemon calls it.
+ * Not thread-safe.
  */
 final class AdmissionServer {
 
@@ -135,6 +135,7 @@
 		});
 	}
 
+	// sinceNanos is the virtual time at which the request was offered.
 	private record PendingAttempt(Attempt attempt, Consumer<AttemptResult> onResult, long sinceNanos) {
 
 	}
--- a/bench/src/main/java/org/brasspier/bench/policy/GoodputUpperBound.java
+++ b/bench/src/main/java/org/brasspier/bench/policy/GoodputUpperBound.java
@@ -59,6 +59,7 @@
 		if (now >= faults.stallBeginNanos() && now < faults.stallEndNanos()) {
 			return 0;
 		}
+		// The first server runs at 1 / slowness of the others' speed.
 		double servers = this.deployment.servers() - 1 + 1 / faults.slowness()
 				- ((now >= faults.lostAtNanos()) ? 1 : 0);
 		return servers * (this.deployment.slots() / faults.slotOverstatement());
--- a/core/src/main/java/org/brasspier/core/ownership/CrashMark.java
+++ b/core/src/main/java/org/brasspier/core/ownership/CrashMark.java
@@ -5,7 +5,8 @@
  * reach its next owner before any request does, so that the same request can't crash one
  * backend server after the other. Immutable and thread-safe.
  *
- * @param crashFingerprint the hash of the request's id or fingerprint
+ * @param crashFingerprint the hash of the request's service and id, or of its contents if
+ * the id was generated
  * @param crashes the number of losses during which it was in flight, at least 1
  */
 public record CrashMark(long crashFingerprint, int crashes) {
--- a/core/src/main/java/org/brasspier/core/ownership/FormerPairs.java
+++ b/core/src/main/java/org/brasspier/core/ownership/FormerPairs.java
@@ -7,7 +7,7 @@
 
 /**
  * Tracks which manager pairs of earlier epochs are known to have ended. If a third member
- * took over from a pair, the pair may only be disconnected, and it continues as long as
+ * took over from a pair, the pair may merely be disconnected, and it continues as long as
  * its two managers confirm each other. Evidence that one of them has stopped is
  * sufficient, since the other's authority ends with its last confirmation. Not
  * thread-safe.
@@ -55,6 +55,7 @@
 	}
 
 	List<ManagerPair> closed(CellRow row, long epochStartedAt, long now) {
+		// If this member was in a former pair, it has acknowledged a later epoch since.
 		onHeartbeat(this.self, row.epoch(), row, epochStartedAt);
 		long allEndedAt = epochStartedAt + this.timing.withDrift(this.timing.withoutTable() + this.timing.authority());
 		return row.unclosed()
--- a/core/src/main/java/org/brasspier/core/ownership/Guard.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Guard.java
@@ -1,8 +1,8 @@
 package org.brasspier.core.ownership;
 
 /**
- * The guards that ensure a single owner for each range. For each guard a test switches it
- * off and must then find two owners, so that no guard is redundant; docs/DESIGN.md lists
+ * The guards that ensure a single owner for each range. For each guard, a test disables
+ * it and must then find a violation, so that no guard is redundant; docs/DESIGN.md lists
  * the guards with their tests.
  */
 enum Guard {
--- a/core/src/main/java/org/brasspier/core/ownership/RangeState.java
+++ b/core/src/main/java/org/brasspier/core/ownership/RangeState.java
@@ -15,7 +15,8 @@
  * @param range the points
  * @param owner its owner, if it has one
  * @param fence the version of the row that assigned it to its current owner
- * @param marks marks of crashed requests that the current owner must know
+ * @param marks marks of requests that were in flight when a backend server was lost, for
+ * the current owner
  */
 public record RangeState(ServiceName service, KeyRange range, Optional<InstanceId> owner, Fence fence,
 		List<CrashMark> marks) {
--- a/core/src/main/java/org/brasspier/core/ownership/Takeover.java
+++ b/core/src/main/java/org/brasspier/core/ownership/Takeover.java
@@ -12,9 +12,9 @@
  * Decides whether a member that hears neither lease manager takes over. Either both
  * managers are lost, or this member alone is disconnected, and then a takeover would
  * interrupt a healthy cell. So it probes the other members: if more than half of the
- * members hear no manager either, one of them takes over at once. If they can't be
- * reached, a challenge in the row gives managers that reach the table time to respond.
- * Not thread-safe; cheap to copy.
+ * members that are not managers, itself included, hear no manager either, one of them
+ * takes over at once. If they can't be reached, a challenge in the row gives managers
+ * that reach the table time to respond. Not thread-safe; cheap to copy.
  */
 final class Takeover {
 
@@ -30,7 +30,9 @@
 	 */
 	private static final long STAGGER_MILLIS = 300;
 
-	/** Time without a lease after which a member challenges the managers. */
+	/**
+	 * Time since a manager was last heard after which a member challenges the managers.
+	 */
 	private static final long CHALLENGE_AFTER_MILLIS = 2000;
 
 	private final MemberKey self;
@@ -101,8 +103,9 @@
 		}
 		ManagerPair pair = row.managers().get();
 		if (pair.managers().allMatch((manager) -> hasEnded(manager, now))) {
-			// Both processes have ended, so neither confirms the other any longer; the
-			// usual waiting time is sufficient.
+			// Both processes have ended, so neither confirms the other any longer. The
+			// usual wait for the managers' authority (Timing.authority) to end after
+			// the new epoch has started is sufficient.
 			return Optional.of(row.nextEpoch(this.self, Optional.empty(), row.unclosed()));
 		}
 		if (silentMillis > silenceTimeout() && othersAgree(row, pair, silentMillis, now)) {
--- a/core/src/main/java/org/brasspier/core/ownership/WarmUp.java
+++ b/core/src/main/java/org/brasspier/core/ownership/WarmUp.java
@@ -32,10 +32,10 @@
 	}
 
 	/**
-	 * Updates the members. Members that are already serving in the first row that this
-	 * process sees count as warm. An epoch change has no effect: managers often change
-	 * because an instance is being replaced, and the one that was replaced before it is
-	 * still new then.
+	 * Updates the members. Members that already own ranges count as warm in every row up
+	 * to the first one with an active member. An epoch change has no effect: managers
+	 * often change because an instance is being replaced, and the replacement started
+	 * just before is still new then.
 	 * @param row the newest row
 	 * @param now current time, milliseconds
 	 */
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentFollower.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentFollower.java
@@ -17,7 +17,7 @@
  * Keeps this process up to date with the document version in force. Heartbeats carry the
  * version that each peer has in force; a daemon with an older version fetches the body
  * from that peer. The pointer row is read every second by lease managers, and by other
- * daemons only while they receive no heartbeats. Confined to the operators' thread.
+ * daemons only while they receive no heartbeats. Confined to the operators thread.
  * <p>
  * Load on the table with 3,500 daemons in 175 cells: two lease managers per cell, each
  * reading once a second, make 350 reads a second. If no heartbeat arrived anywhere, 3,500
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentService.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentService.java
@@ -12,7 +12,7 @@
 
 /**
  * Submits configuration documents, follows the version in force and reads the history of
- * versions. Confined to the operators' thread.
+ * versions. Confined to the operators thread.
  */
 public final class DocumentService {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentStore.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/DocumentStore.java
@@ -16,7 +16,7 @@
 /**
  * Stores document versions in the platform's services: immutable bodies in the object
  * store, named by their hash, and one table row that points to the body in force.
- * Confined to the operators' thread.
+ * Confined to the operators thread.
  */
 final class DocumentStore {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/PeerDocuments.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/PeerDocuments.java
@@ -4,7 +4,7 @@
 import org.brasspier.core.InstanceId;
 
 /**
- * Fetches the document in force from other daemons. Confined to the operators' thread.
+ * Fetches the document in force from other daemons. Confined to the operators thread.
  */
 public interface PeerDocuments {
 
--- a/daemon/src/main/java/org/brasspier/daemon/internal/document/Submitter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/document/Submitter.java
@@ -23,7 +23,7 @@
 /**
  * Puts submissions into force: stores the body under its hash, then replaces the pointer
  * row on condition that its version is still the one that was read. Confined to the
- * operators' thread.
+ * operators thread.
  * <p>
  * A write whose answer was lost may have taken effect, or may still do so. The operator
  * gets no outcome until that is resolved: the row is read back, and as long as it still
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureRecorder.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureRecorder.java
@@ -28,7 +28,7 @@
  * that the table allows. Each daemon counts moves as it sees them, so a new primary
  * continues from its own counts. If all daemons are lost at once, the last five minutes
  * are lost; if one daemon is lost, the counts that only it had since the last write are
- * lost. Confined to the operators' thread.
+ * lost. Confined to the operators thread.
  */
 public final class MeasureRecorder {
 
@@ -63,7 +63,7 @@
 	 * @param cell the cell
 	 * @param memberReports collects the counts of daemons
 	 * @param events the event log
-	 * @param wallMillis the wall clock, in milliseconds since the epoch
+	 * @param wallMillis the wall clock, in milliseconds since 1970
 	 */
 	public MeasureRecorder(TableService table, String cell, MemberReports memberReports, EventLog events,
 			LongSupplier wallMillis) {
@@ -185,8 +185,8 @@
 
 	/**
 	 * Reads the stored measures of a period, in whole hours.
-	 * @param fromMillis the start of the period, in milliseconds since the epoch
-	 * @param toMillis the end of the period, in milliseconds since the epoch
+	 * @param fromMillis the start of the period, in milliseconds since 1970
+	 * @param toMillis the end of the period, in milliseconds since 1970
 	 * @return the sums, or a
 	 * {@link org.brasspier.daemon.internal.platform.StoreException}
 	 */
@@ -220,7 +220,7 @@
 	 * The stored measures of a period. Immutable and thread-safe.
 	 *
 	 * @param untilMillis the time until which measures are stored, in milliseconds since
-	 * the epoch
+	 * 1970
 	 * @param services the sums by service
 	 */
 	public record StoredMeasures(long untilMillis, Map<String, MeasureSums> services) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureStore.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasureStore.java
@@ -8,7 +8,7 @@
 
 /**
  * Reads and writes the rows {@code measures/DAY/CELL} of the table. Confined to the
- * operators' thread.
+ * operators thread.
  */
 final class MeasureStore {
 
@@ -23,7 +23,7 @@
 
 	/**
 	 * Reads the measures of a day.
-	 * @param day the day, counted since the epoch
+	 * @param day the day, counted since 1970
 	 * @return the day with the version of its row, 0 if there is no row; or a
 	 * {@link StoreException}
 	 */
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasuredDay.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/MeasuredDay.java
@@ -16,8 +16,7 @@
 /**
  * Measures of one cell on one day, by hour, as stored. Immutable and thread-safe.
  *
- * @param collectedUntil the last minute whose reports are included, counted since the
- * epoch
+ * @param collectedUntil the last minute whose reports are included, counted since 1970
  * @param write the id of the write that stored this value, so that a write whose answer
  * was lost can be recognized
  * @param hours the measures by hour of the day and service
@@ -28,7 +27,7 @@
 
 	/**
 	 * Creates a day without measures.
-	 * @param day the day, counted since the epoch
+	 * @param day the day, counted since 1970
 	 * @return the day
 	 */
 	static MeasuredDay emptyDay(long day) {
--- a/daemon/src/main/java/org/brasspier/daemon/internal/measure/OutcomeMeter.java
+++ b/daemon/src/main/java/org/brasspier/daemon/internal/measure/OutcomeMeter.java
@@ -15,7 +15,7 @@
 
 /**
  * Counts per minute the requests, refusals and run times from which the measures are
- * computed. Thread-safe; the requests' thread counts and the operators' thread reads once
+ * computed. Thread-safe; the requests' thread counts and the operators thread reads once
  * a minute, so the lock is almost uncontended.
  */
 public final class OutcomeMeter {
@@ -44,7 +44,7 @@
 	/**
 	 * Creates a meter without counts.
 	 * @param instance this instance
-	 * @param wallMillis the wall clock, in milliseconds since the epoch
+	 * @param wallMillis the wall clock, in milliseconds since 1970
 	 */
 	public OutcomeMeter(InstanceId instance, LongSupplier wallMillis) {
 		this.instance = instance;
@@ -62,8 +62,10 @@
 	/**
 	 * Counts an error answered to a caller of this daemon.
 	 * @param service the service
-	 * @param kind the kind of the error; errors that the caller itself caused aren't
-	 * counted
+	 * @param kind the kind of the error; not counted are errors that the caller caused,
+	 * requests refused because of their id or because they crashed backend servers, and
+	 * errors that concern the document, the store, the stored state, an operator's order
+	 * or an unreachable daemon
 	 */
 	public synchronized void countFailed(ServiceName service, ErrorKind kind) {
 		if (!countsAsRefused(kind)) {
@@ -107,7 +109,7 @@
 
 	/**
 	 * Returns the counts of complete minutes.
-	 * @param afterMinute the minute since the epoch after which reports are returned
+	 * @param afterMinute the minute since 1970 after which reports are returned
 	 * @return one report for each minute and service, oldest first
 	 */
 	public synchronized List<MinuteReport> reportsAfter(long afterMinute) {
@@ -156,6 +158,7 @@
 
 		private long refused;
 
+		/** Bit n is set if a request was refused in second n of the minute. */
 		private long refusedSecondsMask;
 
 		private long busyNanos;
--- a/integration/src/test/java/org/brasspier/integration/CrashingRequestTests.java
+++ b/integration/src/test/java/org/brasspier/integration/CrashingRequestTests.java
@@ -40,8 +40,8 @@
 		assertThat(beginCount("poison-lookup")).isAtMost(2);
 	}
 
-	// The same as a posting: it may have run at the first attempt, so it is not run
-	// again.
+	// One posting crashes the backend server that runs it, and its caller keeps sending
+	// it. It may have run at the first attempt, so it fails and is not run again.
 	@Test
 	void aPostingThatCrashesAServerIsNotRunAgain() {
 		CallerRecord record = call(StandInRequest.posting(TestDeployment.SHARDED_SERVICE, "a", "poison-posting"));
--- a/integration/src/test/java/org/brasspier/integration/PausedHolderTests.java
+++ b/integration/src/test/java/org/brasspier/integration/PausedHolderTests.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tests of owners that are paused until their lease expires. Each test runs once with
- * servers that check fences and once with servers that do not.
+ * Tests of owners whose daemon, server or whole instance is paused until other instances
+ * serve their ranges. Each test runs once with servers that check fences and once with
+ * servers that do not.
  */
 class PausedHolderTests {
 
--- a/integration/src/test/java/org/brasspier/integration/StoreFaultTests.java
+++ b/integration/src/test/java/org/brasspier/integration/StoreFaultTests.java
@@ -127,9 +127,10 @@
 	}
 
 	// While the store is down, a server is paused for a moment, as by a long garbage
-	// collection. The daemon used to release the ranges immediately, and with the store
-	// down they could neither be assigned to another instance nor taken back: callers of
-	// a server that was healthy again were refused until the store answered.
+	// collection. The server must serve again before the store answers. Guards against a
+	// daemon that releases the ranges immediately: with the store down they can neither
+	// be assigned to another instance nor taken back, so callers of a server that is
+	// healthy again are refused until the store answers.
 	@Tag("known-red")
 	@Test
 	void aServerPausedDuringAnOutageServesAgainBeforeTheStoreAnswers() {
--- a/standins/src/main/java/org/brasspier/standins/RecoveryProbe.java
+++ b/standins/src/main/java/org/brasspier/standins/RecoveryProbe.java
@@ -12,7 +12,8 @@
 
 /**
  * Sends requests for a key of each given range periodically until the range is answered,
- * so that the time of the first answer is known to within some milliseconds. Thread-safe.
+ * so that the time of the first answer is known to within about 60 ms, the period of the
+ * probes. Thread-safe.
  */
 public final class RecoveryProbe implements AutoCloseable {
 
--- a/wire/src/main/java/org/brasspier/wire/operator/EventsAnswer.java
+++ b/wire/src/main/java/org/brasspier/wire/operator/EventsAnswer.java
@@ -8,8 +8,8 @@
  * @param instance the instance
  * @param lastNumber the number to continue reading from
  * @param lost the number of events lost since its start because a ring was full
- * @param pushedOutUntil the number before which events were evicted by newer ones; 0 if
- * none was
+ * @param pushedOutUntil the number up to and including which events may have been evicted
+ * by newer ones; 0 if none was
  * @param events the events, oldest first
  */
 public record EventsAnswer(String instance, long lastNumber, long lost, long pushedOutUntil,
